--- a/crates/barleyspool_core/src/forward/stage_pace.rs
+++ b/crates/barleyspool_core/src/forward/forecast_correction.rs
@@ -33,11 +33,11 @@
 /// full calls; it does not know what more urgent orders come, what room is short, or that two nodes own a pool for a
 /// moment. All of these show in what the calls of the last seconds took (docs/DECISIONS.md).
 #[derive(Clone, Debug, Default)]
-pub struct StagePace {
+pub struct ForecastCorrection {
     by_route: HashMap<String, Pace>,
 }
 
-impl StagePace {
+impl ForecastCorrection {
     /// The time that stages for which `forecast` was reckoned are expected to take. Calls that were faster than
     /// forecast are no reason to take more.
     pub fn corrected(&self, now: Time, route: &str, forecast: Span) -> Span {
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -3,7 +3,7 @@
 //! [`crate::Router`] hands payloads from stage to stage and answers under the caller's key. Here the call
 //! itself goes to the last target unchanged; the stages before it leave their results where they were made
 //! and hand on only handles. The parts are stepped with the time and what happened, like everything else in
-//! this crate: [`Forwarder`] chooses targets and rations retries, [`StageRun`] walks the graph of stages,
+//! this crate: [`Forwarder`] chooses targets and rations retries, [`StageProgress`] walks the graph of stages,
 //! [`PieceQueue`] lets pieces of many requests share the calls of a stage pool.
 
 mod bounded_targets;
@@ -15,31 +15,30 @@
 mod evacuations;
 mod feed_cursor;
 mod first_list;
+mod forecast_correction;
 mod forwarder;
-mod kept_results;
 mod leaving_runs;
 mod list_holder;
 mod need;
 mod packed_list;
+mod piece_batching;
 mod piece_order;
-mod piece_pick;
-mod piece_plan;
+mod piece_plan_update;
 mod piece_queue;
-mod piece_time;
+mod piece_timeouts;
 mod plan;
 mod planned_stop;
 mod pool_shards;
 mod pool_target;
-mod pool_wait;
-mod prefix_memory;
+mod prefix_tracker;
+mod result_store;
 mod retry_window;
 mod send_end;
 mod service_spec;
 mod service_targets;
 mod source_role;
 mod source_watch;
-mod stage_pace;
-mod stage_run;
+mod stage_progress;
 mod start_hold;
 mod target_counts;
 mod target_entry;
@@ -48,6 +47,7 @@
 mod target_record;
 mod target_rest;
 mod target_store;
+mod wait_estimate;
 
 pub use bounded_targets::{Grant, NO_ROOM_TTL, ReportedLimit};
 pub use call_head::{CallHead, PromptPart};
@@ -59,29 +59,29 @@
 pub use evacuations::Evacuations;
 pub use feed_cursor::{FeedCursor, FeedStep, WATCH_MARGIN, poll_wait};
 pub use first_list::{FirstList, FleetView};
+pub use forecast_correction::ForecastCorrection;
 pub use forwarder::{ForwardSettings, Forwarder, SendKey};
-pub use kept_results::handle_address;
 pub use leaving_runs::{LeavingRuns, LeavingUpdate};
 pub use list_holder::{HandoutKey, ListHandout, ListHolder, ListTaker, choose_holder};
 pub use need::{Choose, Chosen, Need, Shard, shard_key};
 pub use packed_list::{PackedList, UnpackError};
 pub use piece_order::{
-    CallKey, CallOutcome, OrderEnd, OrderKey, PieceAsk, PieceCall, PieceOrder, PieceOutcome,
+    BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
 };
 pub use piece_queue::PieceQueue;
 pub use plan::{ForwardPlan, MemberView};
 pub use planned_stop::{PlannedStop, StopPhase};
 pub use pool_shards::PoolShards;
 pub use pool_target::PoolTarget;
-pub use prefix_memory::PrefixMemory;
+pub use prefix_tracker::PrefixTracker;
+pub use result_store::handle_address;
 pub use retry_window::RetryWindow;
 pub use send_end::{NextStep, SendEnd, SendHistory, next_step};
 pub use service_spec::{ColdSpec, EngineSpec, ForwardService, PoolSpec};
 pub use service_targets::{ServiceTargets, Shards, service_targets};
 pub use source_role::{ReaderCandidate, SourceRole, source_audience, source_role};
 pub use source_watch::{Held, SourceWatch};
-pub use stage_pace::StagePace;
-pub use stage_run::{ReadyStage, StageRun};
+pub use stage_progress::{ReadyStage, StageProgress};
 pub use start_hold::hold_until;
 pub use target_counts::TargetCounts;
 pub use target_entry::{TargetEntry, TargetRun, TargetTable, TargetTimes};
--- a/crates/barleyspool_core/src/forward/piece_pick.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -1,9 +1,9 @@
 //! Which waiting pieces go into the next call, and to which target of the pool.
 
-use super::piece_order::PieceItem;
+use super::piece_order::BatchItem;
 use super::piece_queue::{Order, Piece};
 use super::pool_target::TOO_SLOW;
-use super::{OrderKey, PieceCall, PieceQueue, PoolTarget};
+use super::{BatchCall, OrderKey, PieceQueue, PoolTarget};
 use crate::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
 type ZoneLoads = BTreeMap<String, ZoneLoad>;
 
 impl PieceQueue {
-    pub(super) fn next_call(&mut self, now: Time) -> Option<PieceCall> {
+    pub(super) fn next_call(&mut self, now: Time) -> Option<BatchCall> {
         let waiting = self.waiting();
         if waiting == 0 {
             return None;
@@ -166,7 +166,7 @@
         waiting
     }
 
-    fn take_items(&mut self, now: Time, loads: &ZoneLoads, target: &Idle, size: u32) -> Vec<PieceItem> {
+    fn take_items(&mut self, now: Time, loads: &ZoneLoads, target: &Idle, size: u32) -> Vec<BatchItem> {
         let room = |target: &PoolTarget| target.free_room(now, self.spec.room);
         let mut room = self.targets.get(&target.id).map_or(0, room);
         let mut items = Vec::new();
@@ -181,7 +181,7 @@
             for piece in 0..order.pieces.len() {
                 let full = items.len() as u32 >= self.spec.batch.max(1);
                 // An order that was begun is taken whole: its pieces read the same inputs.
-                let begun = items.last().is_some_and(|item: &PieceItem| item.order == key);
+                let begun = items.last().is_some_and(|item: &BatchItem| item.order == key);
                 if full || (items.len() as u32 >= size && !begun) {
                     return items;
                 }
@@ -191,7 +191,7 @@
                 room -= order.order.bytes;
                 order.pieces[piece] = Piece::InCall;
                 order.waiting -= 1;
-                items.push(PieceItem {
+                items.push(BatchItem {
                     order: key,
                     piece: piece as u32,
                 });
--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -7,7 +7,7 @@
     /// An order that is waiting or at work.
     pub struct OrderKey;
     /// A call to a target.
-    pub struct CallKey;
+    pub struct BatchKey;
 }
 
 /// Pieces of one stage of one request, to be made.
@@ -56,7 +56,7 @@
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallOutcome {
+pub enum BatchOutcome {
     /// Answered, with one outcome for each of its items.
     Done(Vec<PieceOutcome>),
     /// The target said that it did not run it.
@@ -74,7 +74,7 @@
 
 /// How an order ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// Every piece was made; the handles in order.
     Made(Vec<String>),
     /// Inputs are gone.
@@ -89,7 +89,7 @@
 
 /// One piece of a call, by the order that it belongs to.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(super) struct PieceItem {
+pub(super) struct BatchItem {
     /// The order.
     pub(super) order: OrderKey,
     /// Which piece of it.
@@ -99,7 +99,7 @@
 /// One piece as it is asked of a target. It is a copy: the order may be withdrawn before the call is written, and the
 /// outcomes of an answer belong to the pieces of the call by their place alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PieceAsk {
+pub struct PieceRequest {
     /// The request's id.
     pub request: String,
     /// What the request has in common with other tries of the same call.
@@ -120,13 +120,13 @@
 
 /// A call that is to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PieceCall {
+pub struct BatchCall {
     /// The call.
-    pub call: CallKey,
+    pub call: BatchKey,
     /// The run of the target that is meant.
     pub id: String,
     /// Its address.
     pub address: String,
     /// The pieces; an answer has one outcome for each, in this order.
-    pub asks: Vec<PieceAsk>,
+    pub asks: Vec<PieceRequest>,
 }
--- a/crates/barleyspool_core/src/forward/piece_plan.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -1,7 +1,9 @@
 //! What a pool takes from a newer plan: its targets, and what is lost with those that run again.
 
 use super::piece_queue::{Order, Piece};
-use super::{ColdSpec, OrderEnd, PieceQueue, PoolSpec, PoolTarget, TargetEntry, TargetTable, handle_address};
+use super::{
+    ColdSpec, OrderOutcome, PieceQueue, PoolSpec, PoolTarget, TargetEntry, TargetTable, handle_address,
+};
 use crate::{RateShare, Time};
 
 impl PieceQueue {
@@ -83,6 +85,6 @@
             let inputs = &order.order.inputs;
             order.waiting > 0 && inputs.iter().any(|input| lost(input, order.came))
         };
-        self.end_orders(is_lost, &OrderEnd::InputsGone);
+        self.end_orders(is_lost, &OrderOutcome::InputsGone);
     }
 }
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -5,11 +5,11 @@
 //! the others hand it their orders. Two owners at once, after a cut or a death, cost time and never
 //! correctness: a piece may be made anew.
 
-use super::kept_results::Kept;
-use super::piece_order::PieceItem;
+use super::piece_order::BatchItem;
+use super::result_store::Kept;
 use super::{
-    CallKey, CallOutcome, OrderEnd, OrderKey, PieceAsk, PieceCall, PieceOrder, PieceOutcome, PoolSpec,
-    PoolTarget, TargetRun,
+    BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
+    PoolSpec, PoolTarget, TargetRun,
 };
 use crate::{Span, Time};
 use slotmap::SlotMap;
@@ -53,7 +53,7 @@
     pub(super) target: String,
     /// The run of the target to which it was sent.
     pub(super) run: TargetRun,
-    pub(super) items: Vec<PieceItem>,
+    pub(super) items: Vec<BatchItem>,
     pub(super) started: Time,
     pub(super) expected: Span,
     reserved: u64,
@@ -67,10 +67,10 @@
 pub struct PieceQueue {
     pub(super) spec: PoolSpec,
     pub(super) orders: SlotMap<OrderKey, Order>,
-    pub(super) calls: SlotMap<CallKey, Call>,
+    pub(super) calls: SlotMap<BatchKey, Call>,
     pub(super) targets: BTreeMap<String, PoolTarget>,
     pub(super) kept: HashMap<String, Kept>,
-    pub(super) ended: Vec<(OrderKey, OrderEnd)>,
+    pub(super) ended: Vec<(OrderKey, OrderOutcome)>,
     /// When pieces were made lately.
     pub(super) made: VecDeque<Time>,
     pub(super) unneeded: Vec<String>,
@@ -137,7 +137,7 @@
     /// to the same targets, which hold a fraction of what they hold with full ones.
     pub fn hand_over(&mut self) {
         let untouched = |order: &Order| order.waiting as usize == order.pieces.len();
-        self.end_orders(untouched, &OrderEnd::Moved);
+        self.end_orders(untouched, &OrderOutcome::Moved);
     }
 
     /// What an order asks for.
@@ -149,7 +149,7 @@
     // Calls
 
     /// The calls to make now.
-    pub fn next_calls(&mut self, now: Time) -> Vec<PieceCall> {
+    pub fn next_calls(&mut self, now: Time) -> Vec<BatchCall> {
         self.drop_late(now);
         self.expire_kept(now);
         let mut calls = Vec::new();
@@ -159,10 +159,10 @@
         calls
     }
 
-    pub(super) fn start_call(&mut self, now: Time, target: String, items: Vec<PieceItem>) -> PieceCall {
+    pub(super) fn start_call(&mut self, now: Time, target: String, items: Vec<BatchItem>) -> BatchCall {
         let slowness = self.targets.get(&target).map_or(1.0, |target| target.slowness);
         let expected = self.call_time(items.len() as u32).scale(slowness);
-        let bytes = |item: &PieceItem| self.orders.get(item.order).map_or(0, |order| order.order.bytes);
+        let bytes = |item: &BatchItem| self.orders.get(item.order).map_or(0, |order| order.order.bytes);
         let reserved = items.iter().map(bytes).sum();
         let kept_before = self.targets.get(&target).map_or(0, |target| target.kept);
         let (id, address, run) = match self.targets.get_mut(&target) {
@@ -188,7 +188,7 @@
             kept_before,
             overdue: false,
         });
-        PieceCall {
+        BatchCall {
             call,
             id,
             address,
@@ -196,10 +196,10 @@
         }
     }
 
-    fn ask(&self, now: Time, item: PieceItem) -> PieceAsk {
+    fn ask(&self, now: Time, item: BatchItem) -> PieceRequest {
         // The item was taken from the order a moment ago, so the order is there.
         let order = &self.orders[item.order].order;
-        PieceAsk {
+        PieceRequest {
             request: order.request.clone(),
             print: order.print,
             stage: order.stage,
@@ -213,7 +213,7 @@
 
     /// A call ended. Returns whether its connection is of use again: an answer that is none of this call may be
     /// followed by the one that is.
-    pub fn call_ended(&mut self, now: Time, key: CallKey, outcome: CallOutcome) -> bool {
+    pub fn call_ended(&mut self, now: Time, key: BatchKey, outcome: BatchOutcome) -> bool {
         let Some(call) = self.calls.remove(key) else {
             return false;
         };
@@ -223,28 +223,28 @@
             target.kept = target.kept.saturating_sub(call.reserved);
         }
         match outcome {
-            CallOutcome::Done(outcomes) if self.answers(&call, &outcomes) => {
+            BatchOutcome::Done(outcomes) if self.answers(&call, &outcomes) => {
                 self.call_done(now, &call, outcomes);
                 true
             }
-            CallOutcome::Refused { misdirected: false } => {
+            BatchOutcome::Refused { misdirected: false } => {
                 self.on_target(&call, |target| target.was_full(now));
                 self.requeue(&call, false);
                 true
             }
-            CallOutcome::Refused { misdirected: true } | CallOutcome::Unreachable => {
+            BatchOutcome::Refused { misdirected: true } | BatchOutcome::Unreachable => {
                 self.on_target(&call, |target| target.failed(now));
                 self.requeue(&call, false);
                 false
             }
-            CallOutcome::TargetEnded => {
+            BatchOutcome::TargetEnded => {
                 self.on_target(&call, |target| target.failed(now));
                 self.count_end(&call);
                 self.requeue(&call, true);
                 false
             }
             // An answer that is none of this call says as little of its pieces as none at all.
-            CallOutcome::Done(_) | CallOutcome::BrokenOff => {
+            BatchOutcome::Done(_) | BatchOutcome::BrokenOff => {
                 self.on_target(&call, |target| target.failed(now));
                 self.requeue(&call, true);
                 false
@@ -261,7 +261,7 @@
             };
             order.ends += 1;
             if order.ends >= MOST_ENDS {
-                self.end_order(key, OrderEnd::Failed);
+                self.end_order(key, OrderOutcome::Failed);
             }
         }
     }
@@ -313,7 +313,7 @@
         }
     }
 
-    fn piece_ended(&mut self, now: Time, call: &Call, item: &PieceItem, outcome: PieceOutcome) {
+    fn piece_ended(&mut self, now: Time, call: &Call, item: &BatchItem, outcome: PieceOutcome) {
         let known = self.orders.contains_key(item.order);
         match outcome {
             PieceOutcome::Made(handle) => {
@@ -323,10 +323,10 @@
                     self.unneeded.push(handle);
                 }
             }
-            PieceOutcome::InputsGone => self.end_order(item.order, OrderEnd::InputsGone),
+            PieceOutcome::InputsGone => self.end_order(item.order, OrderOutcome::InputsGone),
             PieceOutcome::Late => {
                 let come_back = self.expected_wait(now, 1);
-                self.end_order(item.order, OrderEnd::TooLate(come_back));
+                self.end_order(item.order, OrderOutcome::TooLate(come_back));
             }
             // That is no fault of the piece: it waits for room elsewhere.
             PieceOutcome::NoRoom => self.requeue_item(item, false),
@@ -335,7 +335,7 @@
     }
 
     /// Notes a result; false when the piece had one already.
-    fn piece_made(&mut self, now: Time, item: &PieceItem, handle: &str) -> bool {
+    fn piece_made(&mut self, now: Time, item: &BatchItem, handle: &str) -> bool {
         let Some(order) = self.orders.get_mut(item.order) else {
             return false;
         };
@@ -355,14 +355,14 @@
                 Piece::Made(handle) => handle.clone(),
                 _ => String::new(),
             });
-            let end = OrderEnd::Made(handles.collect());
+            let end = OrderOutcome::Made(handles.collect());
             self.orders.remove(item.order);
             self.ended.push((item.order, end));
         }
         true
     }
 
-    pub(super) fn end_order(&mut self, key: OrderKey, end: OrderEnd) {
+    pub(super) fn end_order(&mut self, key: OrderKey, end: OrderOutcome) {
         if self.orders.contains_key(key) {
             self.withdraw(key);
             self.ended.push((key, end));
@@ -370,7 +370,7 @@
     }
 
     /// Ends the orders that `ends` names.
-    pub(super) fn end_orders(&mut self, ends: impl Fn(&Order) -> bool, end: &OrderEnd) {
+    pub(super) fn end_orders(&mut self, ends: impl Fn(&Order) -> bool, end: &OrderOutcome) {
         let ended = self.orders.iter().filter(|(_, order)| ends(order));
         let keys: Vec<OrderKey> = ended.map(|(key, _)| key).collect();
         for key in keys {
@@ -388,7 +388,7 @@
         }
     }
 
-    pub(super) fn requeue_item(&mut self, item: &PieceItem, tried: bool) {
+    pub(super) fn requeue_item(&mut self, item: &BatchItem, tried: bool) {
         let Some(order) = self.orders.get_mut(item.order) else {
             return;
         };
@@ -400,12 +400,12 @@
         order.waiting += 1;
         order.tries[place] += u8::from(tried);
         if order.tries[place] >= MOST_TRIES {
-            self.end_order(item.order, OrderEnd::Failed);
+            self.end_order(item.order, OrderOutcome::Failed);
         }
     }
 
     /// Orders that have ended since the last time.
-    pub fn take_ended(&mut self) -> Vec<(OrderKey, OrderEnd)> {
+    pub fn take_ended(&mut self) -> Vec<(OrderKey, OrderOutcome)> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/crates/barleyspool_core/src/forward/piece_time.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -1,7 +1,7 @@
 //! What time does to orders and calls: calls become overdue, orders too late.
 
 use super::piece_queue::Call;
-use super::{CallKey, OrderEnd, OrderKey, PieceQueue};
+use super::{BatchKey, OrderKey, OrderOutcome, PieceQueue};
 use crate::{Span, Time};
 
 /// A call is overdue after this many times its expected time.
@@ -13,7 +13,7 @@
     /// Puts back the pieces of calls that take far too long, and gives their places at the targets to others: the
     /// answer may be lost. Late results still count.
     pub fn tick(&mut self, now: Time) {
-        let overdue: Vec<CallKey> = self
+        let overdue: Vec<BatchKey> = self
             .calls
             .iter()
             .filter(|(_, call)| !call.overdue && now >= overdue_at(call))
@@ -70,7 +70,7 @@
             .collect();
         for key in late {
             let come_back = self.expected_wait(now, 1);
-            self.end_order(key, OrderEnd::TooLate(come_back));
+            self.end_order(key, OrderOutcome::TooLate(come_back));
         }
     }
 }
--- a/crates/barleyspool_core/src/forward/prefix_memory.rs
+++ b/crates/barleyspool_core/src/forward/prefix_tracker.rs
@@ -17,11 +17,11 @@
 /// Prefixes that this node sent to one engine, with when it last did. A hint only: the engine may have
 /// dropped them, or hold others that other nodes sent.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixMemory {
+pub struct PrefixTracker {
     held: HashMap<u64, Held>,
 }
 
-impl PrefixMemory {
+impl PrefixTracker {
     /// Notes that the engine reads `prefix` now.
     pub fn used(&mut self, now: Time, prefix: u64, tokens: u32) {
         if self.held.len() >= MOST {
--- a/crates/barleyspool_core/src/forward/kept_results.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -1,7 +1,7 @@
 //! The results that a pool's targets keep, until somebody gives them up.
 
 use super::PieceQueue;
-use super::pool_wait::RATE_SPAN;
+use super::wait_estimate::RATE_SPAN;
 use crate::Time;
 use std::collections::BTreeMap;
 
--- a/crates/barleyspool_core/src/forward/stage_run.rs
+++ b/crates/barleyspool_core/src/forward/stage_progress.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Progress {
+enum StageState {
     Waiting,
     Running,
     Done(Vec<String>),
@@ -25,15 +25,15 @@
 
 /// The stages of one call.
 #[derive(Clone, Debug)]
-pub struct StageRun {
+pub struct StageProgress {
     specs: Vec<StageSpec>,
     pieces: Vec<u32>,
-    progress: Vec<Progress>,
+    progress: Vec<StageState>,
     freed: Vec<bool>,
     redone: u32,
 }
 
-impl StageRun {
+impl StageProgress {
     /// The stages of a route with the pieces that a call names; a stage that it does not name has one.
     pub fn new(specs: &[StageSpec], pieces: &[u32]) -> Self {
         let pieces: Vec<u32> = (0..specs.len())
@@ -42,8 +42,8 @@
         let progress = pieces
             .iter()
             .map(|count| match count {
-                0 => Progress::Done(Vec::new()),
-                _ => Progress::Waiting,
+                0 => StageState::Done(Vec::new()),
+                _ => StageState::Waiting,
             })
             .collect();
         Self {
@@ -58,14 +58,14 @@
     /// Takes the stages that are to start now; each is named once.
     pub fn start_ready(&mut self) -> Vec<ReadyStage> {
         let ready: Vec<usize> = (0..self.specs.len())
-            .filter(|&stage| self.progress[stage] == Progress::Waiting && self.inputs(stage).is_some())
+            .filter(|&stage| self.progress[stage] == StageState::Waiting && self.inputs(stage).is_some())
             .filter(|&stage| self.is_due(stage))
             .collect();
         ready
             .into_iter()
             .map(|stage| {
                 let inputs = self.inputs(stage).unwrap_or_default();
-                self.progress[stage] = Progress::Running;
+                self.progress[stage] = StageState::Running;
                 ReadyStage {
                     stage,
                     pieces: self.pieces[stage],
@@ -80,7 +80,7 @@
     /// chain takes, and for nothing when that fails. The longest open chain is never held, so this cannot stall.
     fn is_due(&self, stage: usize) -> bool {
         let own = self.depth_after(stage);
-        let open = |other: &usize| !matches!(self.progress[*other], Progress::Done(_));
+        let open = |other: &usize| !matches!(self.progress[*other], StageState::Done(_));
         let mut open = (0..self.specs.len()).filter(open);
         open.all(|other| self.depth_after(other) <= own)
     }
@@ -89,7 +89,7 @@
         let mut inputs = Vec::new();
         for &needed in &self.specs[stage].needs {
             match &self.progress[needed] {
-                Progress::Done(handles) => inputs.extend(handles.iter().cloned()),
+                StageState::Done(handles) => inputs.extend(handles.iter().cloned()),
                 _ => return None,
             }
         }
@@ -98,7 +98,7 @@
 
     /// A stage is complete; returns the results that nobody needs any more.
     pub fn complete(&mut self, stage: usize, handles: Vec<String>) -> Vec<String> {
-        self.progress[stage] = Progress::Done(handles);
+        self.progress[stage] = StageState::Done(handles);
         let mut unneeded = Vec::new();
         for needed in self.specs[stage].needs.clone() {
             if !self.freed[needed] && self.is_used_up(needed) {
@@ -111,7 +111,7 @@
 
     fn is_used_up(&self, stage: usize) -> bool {
         let mut dependents = (0..self.specs.len()).filter(|&other| self.specs[other].needs.contains(&stage));
-        !self.is_last(stage) && dependents.all(|other| matches!(self.progress[other], Progress::Done(_)))
+        !self.is_last(stage) && dependents.all(|other| matches!(self.progress[other], StageState::Done(_)))
     }
 
     /// Inputs of `stage` are gone: everything it rests on is made anew. False when that has happened too
@@ -130,7 +130,7 @@
         while let Some(stage) = again.pop() {
             again.extend(&self.specs[stage].needs);
             if self.pieces[stage] > 0 {
-                self.progress[stage] = Progress::Waiting;
+                self.progress[stage] = StageState::Waiting;
                 self.freed[stage] = false;
             }
         }
@@ -141,7 +141,7 @@
     pub fn is_complete(&self) -> bool {
         self.progress
             .iter()
-            .all(|progress| matches!(progress, Progress::Done(_)))
+            .all(|progress| matches!(progress, StageState::Done(_)))
     }
 
     /// The results that the call itself needs: those of the stages that no other stage comes after.
@@ -176,7 +176,7 @@
 
     fn handles(&self, stage: usize) -> Vec<String> {
         match &self.progress[stage] {
-            Progress::Done(handles) => handles.clone(),
+            StageState::Done(handles) => handles.clone(),
             _ => Vec::new(),
         }
     }
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -1,6 +1,6 @@
 //! What this node has seen of one target that answers forwarded calls.
 
-use super::{PrefixMemory, TargetEntry};
+use super::{PrefixTracker, TargetEntry};
 use crate::chart::Chart;
 use crate::{RunMark, Span, TargetBucket, TargetEvent, TargetPhase, Time, rendezvous};
 
@@ -42,7 +42,7 @@
     /// Prompt tokens that this node sent and that are not read yet, as far as is known.
     pub unread_tokens: f64,
     /// Prefixes that it most likely holds.
-    pub prefixes: PrefixMemory,
+    pub prefixes: PrefixTracker,
     /// Time of an answer relative to what was expected; 1 is as expected.
     pub slowness: f64,
     /// Share of answers that were failures.
@@ -73,7 +73,7 @@
             phase: TargetPhase::Live,
             in_flight: 0,
             unread_tokens: 0.0,
-            prefixes: PrefixMemory::default(),
+            prefixes: PrefixTracker::default(),
             slowness: AS_EXPECTED,
             failing: 0.0,
             full_until: Time(0),
--- a/crates/barleyspool_core/tests/pool_calls/mod.rs
+++ b/crates/barleyspool_core/tests/batch_calls/mod.rs
@@ -1,14 +1,14 @@
 //! What tests of pools share: answers to their calls.
 
-use barleyspool_core::{CallOutcome, PieceAsk, PieceCall, PieceOutcome};
+use barleyspool_core::{BatchCall, BatchOutcome, PieceOutcome, PieceRequest};
 
 /// Every piece of a call was made; each result has another name.
-pub fn made(call: &PieceCall) -> CallOutcome {
-    let handle = |ask: &PieceAsk| {
+pub fn made(call: &BatchCall) -> BatchOutcome {
+    let handle = |ask: &PieceRequest| {
         PieceOutcome::Made(format!(
             "{}/{}-{}-{:?}",
             call.address, ask.request, ask.piece, call.call
         ))
     };
-    CallOutcome::Done(call.asks.iter().map(handle).collect())
+    BatchOutcome::Done(call.asks.iter().map(handle).collect())
 }
--- a/crates/barleyspool_core/tests/forward_admission.rs
+++ b/crates/barleyspool_core/tests/forward_admission.rs
@@ -1,6 +1,6 @@
 //! What decides whether a call is taken.
 
-use barleyspool_core::{Span, StagePace, Time};
+use barleyspool_core::{ForecastCorrection, Span, Time};
 
 const ROUTE: &str = "summary";
 const FORECAST: Span = Span::from_millis(1_000);
@@ -10,7 +10,7 @@
 }
 
 /// Calls that all take `ms`, one every 100 ms; returns when the last one is done.
-fn calls_take(pace: &mut StagePace, from: Time, ms: u64) -> Time {
+fn calls_take(pace: &mut ForecastCorrection, from: Time, ms: u64) -> Time {
     let mut now = from;
     for _ in 0..40 {
         now = now + Span::from_millis(100);
@@ -22,7 +22,7 @@
 /// Forecasts were a half of what calls took while a pool was short of room, and calls were taken that came late.
 #[test]
 fn forecasts_follow_what_the_calls_of_a_route_took() {
-    let mut pace = StagePace::default();
+    let mut pace = ForecastCorrection::default();
     assert_eq!(
         pace.corrected(at(0), ROUTE, FORECAST),
         FORECAST,
@@ -45,7 +45,7 @@
 /// A node that refused every call of a route saw none that could have corrected its forecast (incident 13).
 #[test]
 fn a_correction_that_nothing_confirms_fades() {
-    let mut pace = StagePace::default();
+    let mut pace = ForecastCorrection::default();
     let now = calls_take(&mut pace, at(0), 3_000);
     let corrected = |after: u64| pace.corrected(now + Span::from_secs(after), ROUTE, FORECAST);
     assert_eq!(corrected(1), corrected(0), "it stands for a while");
@@ -56,7 +56,7 @@
 #[test]
 fn one_call_that_was_held_up_says_little_and_one_without_stages_nothing() {
     let forecast = Span::from_millis(100);
-    let mut pace = StagePace::default();
+    let mut pace = ForecastCorrection::default();
     pace.done(at(0), ROUTE, Span::ZERO, Span::from_secs(60));
     assert_eq!(pace.corrected(at(0), ROUTE, forecast), forecast);
     pace.done(at(0), ROUTE, forecast, Span::from_secs(60));
--- a/crates/barleyspool_core/tests/forward_pieces.rs
+++ b/crates/barleyspool_core/tests/forward_pieces.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
-mod pool_calls;
+mod batch_calls;
 
 use barleyspool_core::{
-    CallOutcome, OrderEnd, OrderKey, PieceCall, PieceOrder, PieceOutcome, PieceQueue, PoolSpec, Span,
+    BatchCall, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceQueue, PoolSpec, Span,
     TargetEntry, TargetTable, Time,
 };
-use pool_calls::made;
+use batch_calls::made;
 
 const BATCH: u32 = 8;
 
@@ -80,7 +80,7 @@
     assert_eq!(ended.len(), 2);
     for (key, end) in ended {
         assert!(key == first || key == second);
-        assert!(matches!(end, OrderEnd::Made(handles) if handles.len() == 3));
+        assert!(matches!(end, OrderOutcome::Made(handles) if handles.len() == 3));
     }
 }
 
@@ -126,9 +126,9 @@
 #[test]
 fn a_call_that_did_not_run_or_broke_off_is_made_again_but_not_without_end() {
     for (outcome, ends) in [
-        (CallOutcome::Refused { misdirected: false }, false),
-        (CallOutcome::Unreachable, false),
-        (CallOutcome::BrokenOff, true),
+        (BatchOutcome::Refused { misdirected: false }, false),
+        (BatchOutcome::Unreachable, false),
+        (BatchOutcome::BrokenOff, true),
     ] {
         let mut queue = queue(1);
         submit(
@@ -149,7 +149,7 @@
             }
             now = now + Span::from_millis(10);
         }
-        let failed = matches!(queue.take_ended().as_slice(), [(_, OrderEnd::Failed)]);
+        let failed = matches!(queue.take_ended().as_slice(), [(_, OrderOutcome::Failed)]);
         assert_eq!(failed, ends, "{outcome:?}");
         assert!(
             calls <= 200,
@@ -174,7 +174,7 @@
     assert_eq!(call.asks.len(), 2, "two of 400 bytes fit into 1000");
     queue.call_ended(at(200), call.call, made(&call));
     assert!(queue.next_calls(at(201)).is_empty(), "its room is taken");
-    let CallOutcome::Done(results) = made(&call) else {
+    let BatchOutcome::Done(results) = made(&call) else {
         panic!("it is done")
     };
     let PieceOutcome::Made(first) = &results[0] else {
@@ -206,7 +206,7 @@
     for _ in 0..10 {
         now = now + Span::from_millis(300);
         let call = queue.next_calls(now).remove(0);
-        queue.call_ended(now, call.call, CallOutcome::Done(vec![PieceOutcome::NoRoom]));
+        queue.call_ended(now, call.call, BatchOutcome::Done(vec![PieceOutcome::NoRoom]));
         assert!(queue.next_calls(now).is_empty(), "not at once again");
     }
     assert!(queue.take_ended().is_empty());
@@ -223,11 +223,11 @@
     };
     submit(&mut queue, at(0), large);
     let call = queue.next_calls(at(0)).remove(0);
-    let CallOutcome::Done(mut outcomes) = made(&call) else {
+    let BatchOutcome::Done(mut outcomes) = made(&call) else {
         panic!("they were made")
     };
     outcomes[7] = PieceOutcome::NoRoom;
-    queue.call_ended(at(200), call.call, CallOutcome::Done(outcomes));
+    queue.call_ended(at(200), call.call, BatchOutcome::Done(outcomes));
     submit(&mut queue, at(200), order("small", 8));
     let next = queue.next_calls(at(200)).remove(0);
     let small = next.asks.iter().filter(|ask| ask.request == "small").count();
@@ -302,7 +302,7 @@
         },
     );
     queue.next_calls(at(300));
-    assert!(matches!(queue.take_ended().as_slice(), [(key, OrderEnd::TooLate(_))] if *key == waits));
+    assert!(matches!(queue.take_ended().as_slice(), [(key, OrderOutcome::TooLate(_))] if *key == waits));
     let gone = queue.order(late).is_some();
     assert!(gone, "what is at a target stays");
 }
@@ -353,7 +353,7 @@
     }
     let mut queue = PieceQueue::new(spec());
     queue.take_plan(&spec(), None, &far, |_| true);
-    let asked = |calls: &[PieceCall]| -> Vec<String> { calls.iter().map(|call| call.id.clone()).collect() };
+    let asked = |calls: &[BatchCall]| -> Vec<String> { calls.iter().map(|call| call.id.clone()).collect() };
     let near = |request: &str| PieceOrder {
         zone: "z".to_owned(),
         ..order(request, BATCH)
@@ -419,10 +419,10 @@
     let calls = queue.next_calls(at(0));
     let waiting = submit(&mut queue, at(10), order("b", 2));
     queue.hand_over();
-    assert_eq!(queue.take_ended(), [(waiting, OrderEnd::Moved)]);
+    assert_eq!(queue.take_ended(), [(waiting, OrderOutcome::Moved)]);
     queue.call_ended(at(200), calls[0].call, made(&calls[0]));
     let ended = queue.take_ended();
-    assert!(matches!(&ended[..], [(key, OrderEnd::Made(_))] if *key == begun));
+    assert!(matches!(&ended[..], [(key, OrderOutcome::Made(_))] if *key == begun));
 }
 
 /// Targets whose answers were lost counted as busy until their calls were given up after 8 s; half a pool was idle.
@@ -441,7 +441,7 @@
     for (ms, name) in [(0, "a"), (0, "b"), (500, "c"), (500, "d")] {
         submit(&mut two, at(ms), order(name, BATCH));
     }
-    let slow = |calls: &[PieceCall]| calls.iter().filter(|call| call.id == "i-0").count();
+    let slow = |calls: &[BatchCall]| calls.iter().filter(|call| call.id == "i-0").count();
     for ms in [0, 500] {
         two.tick(at(ms));
         let calls = two.next_calls(at(ms));
@@ -504,7 +504,7 @@
     submit(&mut queue, at(0), order("a", 1));
     submit(&mut queue, at(0), order("b", 1));
     let call = queue.next_calls(at(0)).remove(0);
-    let short = CallOutcome::Done(vec![PieceOutcome::Made("10.0.0.0:80/of-b".to_owned())]);
+    let short = BatchOutcome::Done(vec![PieceOutcome::Made("10.0.0.0:80/of-b".to_owned())]);
     queue.call_ended(at(200), call.call, short);
     assert!(
         queue.take_ended().is_empty(),
@@ -521,7 +521,7 @@
     let first = queue.next_calls(at(0)).remove(0);
     let answer = made(&first);
     queue.call_ended(at(200), first.call, answer.clone());
-    let [(_, OrderEnd::Made(handles))] = &queue.take_ended()[..] else {
+    let [(_, OrderOutcome::Made(handles))] = &queue.take_ended()[..] else {
         panic!("the first order is made")
     };
     queue.give_up(handles.clone());
@@ -559,7 +559,7 @@
             if crashes {
                 assert!(ended_targets == 0 || !mixed, "others are beside it again");
                 ended_targets += 1;
-                queue.call_ended(now + Span::from_millis(50), call.call, CallOutcome::TargetEnded);
+                queue.call_ended(now + Span::from_millis(50), call.call, BatchOutcome::TargetEnded);
             } else {
                 queue.call_ended(now + Span::from_millis(150), call.call, made(&call));
             }
@@ -568,8 +568,8 @@
     }
     assert_eq!(ended_targets, 2);
     let of = |key: OrderKey| ends.iter().find(|(ended, _)| *ended == key).map(|(_, end)| end);
-    assert_eq!(of(bad), Some(&OrderEnd::Failed));
+    assert_eq!(of(bad), Some(&OrderOutcome::Failed));
     for key in others {
-        assert!(matches!(of(key), Some(OrderEnd::Made(_))), "{:?}", of(key));
+        assert!(matches!(of(key), Some(OrderOutcome::Made(_))), "{:?}", of(key));
     }
 }
--- a/crates/barleyspool_core/tests/forward_stages.rs
+++ b/crates/barleyspool_core/tests/forward_stages.rs
@@ -1,6 +1,6 @@
 //! The graph of stages before a call.
 
-use barleyspool_core::{StageRun, StageSpec};
+use barleyspool_core::{StageProgress, StageSpec};
 
 fn spec(needs: &[usize]) -> StageSpec {
     StageSpec {
@@ -14,13 +14,13 @@
     (0..count).map(|piece| format!("{prefix}{piece}")).collect()
 }
 
-fn started(run: &mut StageRun) -> Vec<usize> {
+fn started(run: &mut StageProgress) -> Vec<usize> {
     run.start_ready().into_iter().map(|ready| ready.stage).collect()
 }
 
 #[test]
 fn a_stage_starts_when_what_it_needs_is_made_and_gets_every_piece() {
-    let mut run = StageRun::new(&[spec(&[]), spec(&[]), spec(&[0, 1])], &[2, 1, 3]);
+    let mut run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[0, 1])], &[2, 1, 3]);
     assert_eq!(started(&mut run), [0, 1]);
     assert!(started(&mut run).is_empty(), "each is started once");
     run.complete(0, names("a", 2));
@@ -42,18 +42,18 @@
 
 #[test]
 fn a_stage_without_pieces_is_left_out() {
-    let mut run = StageRun::new(&[spec(&[]), spec(&[])], &[0, 1]);
+    let mut run = StageProgress::new(&[spec(&[]), spec(&[])], &[0, 1]);
     assert_eq!(started(&mut run), [1]);
     run.complete(1, names("b", 1));
     assert!(run.is_complete());
     assert_eq!(run.outputs(), ["b0"]);
-    assert!(StageRun::new(&[], &[]).is_complete());
+    assert!(StageProgress::new(&[], &[]).is_complete());
 }
 
 #[test]
 fn results_that_are_gone_are_made_anew_with_all_they_rest_on_but_not_without_end() {
-    let mut run = StageRun::new(&[spec(&[]), spec(&[0])], &[1, 1]);
-    let make_both = |run: &mut StageRun| {
+    let mut run = StageProgress::new(&[spec(&[]), spec(&[0])], &[1, 1]);
+    let make_both = |run: &mut StageProgress| {
         assert_eq!(started(run), [0]);
         run.complete(0, names("a", 1));
         assert_eq!(started(run), [1]);
@@ -69,7 +69,7 @@
 
 #[test]
 fn the_depth_after_a_stage_counts_what_follows_it_only() {
-    let run = StageRun::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
+    let run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
     let depths: Vec<usize> = (0..4).map(|stage| run.depth_after(stage)).collect();
     assert_eq!(depths, [0, 2, 1, 0]);
 }
@@ -77,13 +77,13 @@
 /// Large results that only the call reads were made at once and filled their makers while a longer chain went on.
 #[test]
 fn a_stage_beside_a_longer_chain_waits_until_as_little_follows_the_chain() {
-    let mut run = StageRun::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
+    let mut run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
     assert_eq!(started(&mut run), [1], "two stages follow it, and none the first");
     run.complete(1, names("b", 1));
     assert_eq!(started(&mut run), [2]);
     run.complete(2, names("c", 1));
     assert_eq!(started(&mut run), [0, 3], "now both are the last before the call");
     // Without the chain there is nothing to wait for.
-    let mut alone = StageRun::new(&[spec(&[]), spec(&[]), spec(&[1])], &[1, 0, 0]);
+    let mut alone = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1])], &[1, 0, 0]);
     assert_eq!(started(&mut alone), [0]);
 }
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -2,14 +2,14 @@
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
-mod pool_calls;
+mod batch_calls;
 
 use barleyspool_core::{
-    CallOutcome, Choose, Evacuations, ForwardPlan, ForwardSettings, Forwarder, Need, OrderEnd, PackedList,
-    PieceOrder, PieceQueue, PoolSpec, Revision, SendEnd, Span, TargetChange, TargetEntry, TargetRun,
-    TargetStore, TargetTable, Time, service_targets,
+    BatchOutcome, Choose, Evacuations, ForwardPlan, ForwardSettings, Forwarder, Need, OrderOutcome,
+    PackedList, PieceOrder, PieceQueue, PoolSpec, Revision, SendEnd, Span, TargetChange, TargetEntry,
+    TargetRun, TargetStore, TargetTable, Time, service_targets,
 };
-use pool_calls::made;
+use batch_calls::made;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -526,7 +526,7 @@
     assert_eq!(queue.waiting(), 2, "what the ended run held is to be made");
     let again = queue.next_calls(at(250)).remove(0);
     assert_eq!(again.asks.len(), 2, "the new run is idle");
-    queue.call_ended(at(260), old.call, CallOutcome::BrokenOff);
+    queue.call_ended(at(260), old.call, BatchOutcome::BrokenOff);
     let usable = queue.targets().all(|target| target.usable(at(260)));
     assert!(usable, "what the ended run did is no fault of the new one");
 }
@@ -545,7 +545,7 @@
     put(&mut makers, at(50), entry("1", 2000, 1));
     let plan = plan(&makers);
     queue.drop_lost(|handle, since| plan.is_lost(handle, since));
-    assert_eq!(queue.take_ended(), [(waits, OrderEnd::InputsGone)]);
+    assert_eq!(queue.take_ended(), [(waits, OrderOutcome::InputsGone)]);
     assert!(queue.order(kept).is_some());
     let later = queue.submit(at(60), order("later", 1, &["10.0.0.1:80/z"]));
     let later = later.expect("there is room");
@@ -560,7 +560,7 @@
     queue.submit(at(0), order("r", 2, &[])).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, made(&call));
-    let Some((_, OrderEnd::Made(handles))) = queue.take_ended().pop() else {
+    let Some((_, OrderOutcome::Made(handles))) = queue.take_ended().pop() else {
         panic!("they were made");
     };
     store.evacuate(at(210), &zones(&["a"]));
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    CallOutcome, Choose, Chosen, ForwardPlan, ForwardSettings, Forwarder, Need, PieceOrder, PieceQueue,
+    BatchOutcome, Choose, Chosen, ForwardPlan, ForwardSettings, Forwarder, Need, PieceOrder, PieceQueue,
     PoolSpec, SendEnd, Shard, Span, TargetEntry, TargetRun, TargetTable, Time, service_targets,
 };
 use std::sync::Arc;
@@ -213,7 +213,7 @@
     queue.take_plan(&spec(), None, &table(1), |_| true);
     let key = queue.submit(at(0), order(at(10_000))).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
-    let refused = CallOutcome::Refused { misdirected: false };
+    let refused = BatchOutcome::Refused { misdirected: false };
     queue.call_ended(at(10), call.call, refused);
     let over = at(10) + REST;
     queue.take_rests(|_| over);
--- a/crates/barleyspool_gateway/src/edges.rs
+++ b/crates/barleyspool_gateway/src/edges.rs
@@ -5,8 +5,8 @@
 
 use crate::CallFailure;
 use barleyspool_core::{
-    CallHead, CatalogDocument, LimitReport, LoadReport, PieceAsk, PieceOutcome, RestReport, Revision, Span,
-    TargetEntry,
+    CallHead, CatalogDocument, LimitReport, LoadReport, PieceOutcome, PieceRequest, RestReport, Revision,
+    Span, TargetEntry,
 };
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
@@ -99,7 +99,7 @@
 #[derive(Clone)]
 pub struct PoolEdge {
     /// The path and body that ask for pieces.
-    pub run: fn(&[PieceAsk]) -> (&'static str, Bytes),
+    pub run: fn(&[PieceRequest]) -> (&'static str, Bytes),
     /// What became of each piece; `None` for an answer that is none.
     pub run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
     /// The path and body that free results.
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -16,8 +16,8 @@
 use super::target_choice::{self, Reserved};
 use crate::failure::CallFailure;
 use barleyspool_core::{
-    CallHead, CallPrint, Catalog, Counter, Need, Reason, Route, SendHistory, Span, StageRun, TargetKey, Time,
-    rendezvous,
+    CallHead, CallPrint, Catalog, Counter, Need, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
+    Time, rendezvous,
 };
 use barleyspool_wire::timer;
 use bytes::Bytes;
@@ -234,7 +234,7 @@
 
 async fn answer(call: Rc<Call>, guard: Rc<CallGuard>) -> Result<Response<AnswerBody>, CallFailure> {
     let mut results = Results::new(&call.traffic);
-    let mut run = StageRun::new(&call.route.stages, &call.head.pieces);
+    let mut run = StageProgress::new(&call.route.stages, &call.head.pieces);
     if !call.route.stages.is_empty() {
         target_choice::reserve(&call, call.stage_forecast.get()).await?;
     }
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -17,7 +17,7 @@
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{
-    Chosen, Counter, NextStep, Reason, RouteKind, SendEnd, SendKey, Span, StageRun, next_step,
+    Chosen, Counter, NextStep, Reason, RouteKind, SendEnd, SendKey, Span, StageProgress, next_step,
 };
 use barleyspool_wire::timer;
 use bytes::Bytes;
@@ -118,7 +118,7 @@
 pub async fn answer(
     call: &Rc<Call>,
     guard: &Rc<CallGuard>,
-    stages: &StageRun,
+    stages: &StageProgress,
     mut results: Results,
 ) -> Result<Outcome, CallFailure> {
     let inputs = stages.outputs();
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -32,7 +32,7 @@
 use crate::edges::Edges;
 use crate::event_log::EventLog;
 use crate::shared::{Shared, Sighting};
-use barleyspool_core::{Counter, Counters, ForwardPlan, Forwarder, StagePace, Time};
+use barleyspool_core::{Counter, Counters, ForecastCorrection, ForwardPlan, Forwarder, Time};
 use barleyspool_wire::process::EssentialTasks;
 use connections::Connections;
 use peers::{Owner, Peers};
@@ -81,7 +81,7 @@
     /// Pieces that calls which were taken here will still bring to each pool.
     pub planned: RefCell<HashMap<String, u64>>,
     /// How much longer stages take than was forecast.
-    pub pace: RefCell<StagePace>,
+    pub pace: RefCell<ForecastCorrection>,
     /// Which calls targets end under.
     pub ends: TargetEnds,
     /// What targets say of themselves in answers.
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -4,7 +4,7 @@
 use super::grants;
 use super::placement;
 use super::pools::PoolId;
-use barleyspool_core::{Grant, NO_ROOM_TTL, OrderEnd, PieceOrder, Span, Time, rendezvous};
+use barleyspool_core::{Grant, NO_ROOM_TTL, OrderOutcome, PieceOrder, Span, Time, rendezvous};
 use barleyspool_wire::net;
 use barleyspool_wire::pieces::{
     self, GrantRequest, Pieces, PiecesClient, PlaceAnswer, PlaceRequest, PlaceStep, RemoteEnd, RemoteOrder,
@@ -68,7 +68,7 @@
 /// What became of an order at another node.
 enum Made {
     /// It ended there.
-    Ended(OrderEnd),
+    Ended(OrderOutcome),
     /// The connection broke.
     Broken,
     /// The node cannot be reached or is silent.
@@ -133,7 +133,7 @@
         address: &str,
         id: &PoolId,
         order: &PieceOrder,
-    ) -> Option<OrderEnd> {
+    ) -> Option<OrderOutcome> {
         let mut made = self.try_make(traffic, address, id, order).await;
         if matches!(made, Made::Broken) {
             // A connection that was reset says nothing of the node: it gets another one at once.
@@ -296,7 +296,7 @@
     async fn make(self, _: Context, order: RemoteOrder) -> RemoteEnd {
         let (reply, end) = oneshot::channel();
         let failed = RemoteEnd {
-            end: OrderEnd::Failed,
+            end: OrderOutcome::Failed,
             wait: Span::ZERO,
         };
         if self.jobs.send(PeerJob::Make(order, reply)).is_err() {
@@ -384,11 +384,11 @@
     };
     if !id.is_current(&traffic.plan()) {
         // The pool is split in another way by now; the other node will hear of it too.
-        let _ = reply.send(ended(OrderEnd::Moved));
+        let _ = reply.send(ended(OrderOutcome::Moved));
         return;
     }
     let Some(pool) = traffic.pools.get(&traffic, &id) else {
-        let _ = reply.send(ended(OrderEnd::Failed));
+        let _ = reply.send(ended(OrderOutcome::Failed));
         return;
     };
     let end = tokio::select! {
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -8,8 +8,8 @@
 use crate::edges::AnswerHead;
 use crate::event_log::Line;
 use barleyspool_core::{
-    CallKey, CallOutcome, Counter, OrderEnd, OrderKey, PieceAsk, PieceCall, PieceOrder, PieceOutcome,
-    PieceQueue, PoolSpec, Span, Time,
+    BatchCall, BatchKey, BatchOutcome, Counter, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceQueue,
+    PieceRequest, PoolSpec, Span, Time,
 };
 use barleyspool_wire::timer;
 use bytes::Bytes;
@@ -37,7 +37,7 @@
     key: u128,
     /// The waiting pieces.
     pub queue: RefCell<PieceQueue>,
-    waiters: RefCell<HashMap<OrderKey, oneshot::Sender<OrderEnd>>>,
+    waiters: RefCell<HashMap<OrderKey, oneshot::Sender<OrderOutcome>>>,
     /// The nodes whose orders wait here, and how many of each.
     askers: RefCell<HashMap<u64, usize>>,
     changed: Notify,
@@ -85,11 +85,11 @@
     }
 
     /// Makes the pieces of an order of the node `asker`.
-    pub async fn make(&self, traffic: &Traffic, order: PieceOrder, asker: u64) -> OrderEnd {
+    pub async fn make(&self, traffic: &Traffic, order: PieceOrder, asker: u64) -> OrderOutcome {
         let submitted = self.queue.borrow_mut().submit(traffic.now(), order);
         let key = match submitted {
             Ok(key) => key,
-            Err(come_back) => return OrderEnd::TooLate(come_back),
+            Err(come_back) => return OrderOutcome::TooLate(come_back),
         };
         let (sender, ended) = oneshot::channel();
         self.waiters.borrow_mut().insert(key, sender);
@@ -100,7 +100,7 @@
         };
         *self.askers.borrow_mut().entry(asker).or_default() += 1;
         self.wake();
-        let end = ended.await.unwrap_or(OrderEnd::Failed);
+        let end = ended.await.unwrap_or(OrderOutcome::Failed);
         guard.key = None;
         end
     }
@@ -189,16 +189,16 @@
     queue.take_rests(|id| forwarder.rest_until(id));
 }
 
-async fn run_call(traffic: Rc<Traffic>, pool: Rc<Pool>, call: PieceCall) {
+async fn run_call(traffic: Rc<Traffic>, pool: Rc<Pool>, call: BatchCall) {
     let (key, target, pieces) = (call.call, call.id.clone(), call.asks.len());
     let far_kb = far_bytes(&traffic, &call) / 1000;
     let began = traffic.now();
     let mut answer = match timer::timeout(CALL_TIMEOUT, send_call(&traffic, &call)).await {
         Ok(answer) => answer,
-        Err(_) => CallAnswer::without(CallOutcome::BrokenOff),
+        Err(_) => CallAnswer::without(BatchOutcome::BrokenOff),
     };
-    if answer.outcome == CallOutcome::BrokenOff && has_ended_under(&traffic, &call).await {
-        answer.outcome = CallOutcome::TargetEnded;
+    if answer.outcome == BatchOutcome::BrokenOff && has_ended_under(&traffic, &call).await {
+        answer.outcome = BatchOutcome::TargetEnded;
     }
     let now = traffic.now();
     let line = Line::PoolCall {
@@ -210,7 +210,7 @@
         end: outcome_name(&answer.outcome),
         took_ms: now.since(began).as_millis(),
     };
-    if matches!(answer.outcome, CallOutcome::Done(_)) {
+    if matches!(answer.outcome, BatchOutcome::Done(_)) {
         traffic.log.write_good(now, &line);
     } else {
         traffic.log.write(now, &line);
@@ -219,7 +219,7 @@
 }
 
 /// Whether the target of a call that was broken off has ended, which is noted for all requests that had pieces there.
-async fn has_ended_under(traffic: &Traffic, call: &PieceCall) -> bool {
+async fn has_ended_under(traffic: &Traffic, call: &BatchCall) -> bool {
     if !traffic.ends.has_ended(traffic, &call.id, &call.address).await {
         return false;
     }
@@ -231,21 +231,21 @@
 }
 
 /// The bytes of inputs that a call's target has to fetch from another zone; each piece fetches its own.
-fn far_bytes(traffic: &Traffic, call: &PieceCall) -> u64 {
+fn far_bytes(traffic: &Traffic, call: &BatchCall) -> u64 {
     let plan = traffic.plan();
     let Some(zone) = plan.targets.get(&call.id).map(|target| &target.zone) else {
         return 0;
     };
-    let far = |ask: &PieceAsk| {
+    let far = |ask: &PieceRequest| {
         let far = plan.made_elsewhere(&ask.inputs, zone) as u64;
         ask.input_bytes * far / ask.inputs.len().max(1) as u64
     };
     call.asks.iter().map(far).sum()
 }
 
-fn made(outcome: &CallOutcome) -> usize {
+fn made(outcome: &BatchOutcome) -> usize {
     match outcome {
-        CallOutcome::Done(pieces) => pieces
+        BatchOutcome::Done(pieces) => pieces
             .iter()
             .filter(|piece| matches!(piece, PieceOutcome::Made(_)))
             .count(),
@@ -253,18 +253,18 @@
     }
 }
 
-fn outcome_name(outcome: &CallOutcome) -> &'static str {
+fn outcome_name(outcome: &BatchOutcome) -> &'static str {
     match outcome {
-        CallOutcome::Done(_) => "answered",
-        CallOutcome::Refused { .. } => "refused",
-        CallOutcome::Unreachable => "unreachable",
-        CallOutcome::BrokenOff => "broken_off",
-        CallOutcome::TargetEnded => "target_ended",
+        BatchOutcome::Done(_) => "answered",
+        BatchOutcome::Refused { .. } => "refused",
+        BatchOutcome::Unreachable => "unreachable",
+        BatchOutcome::BrokenOff => "broken_off",
+        BatchOutcome::TargetEnded => "target_ended",
     }
 }
 
-fn end_call(traffic: &Traffic, pool: &Pool, key: CallKey, answer: CallAnswer) {
-    let done = matches!(answer.outcome, CallOutcome::Done(_));
+fn end_call(traffic: &Traffic, pool: &Pool, key: BatchKey, answer: CallAnswer) {
+    let done = matches!(answer.outcome, BatchOutcome::Done(_));
     let usable = pool
         .queue
         .borrow_mut()
@@ -283,12 +283,12 @@
 
 /// What came of a call, and its connection when a whole answer was read from it.
 struct CallAnswer {
-    outcome: CallOutcome,
+    outcome: BatchOutcome,
     connection: Option<(Connection, Option<Duration>)>,
 }
 
 impl CallAnswer {
-    fn without(outcome: CallOutcome) -> Self {
+    fn without(outcome: BatchOutcome) -> Self {
         Self {
             outcome,
             connection: None,
@@ -304,11 +304,11 @@
     }
 }
 
-async fn send_call(traffic: &Traffic, call: &PieceCall) -> CallAnswer {
+async fn send_call(traffic: &Traffic, call: &BatchCall) -> CallAnswer {
     let sent_at = traffic.now();
     let (path, body) = (traffic.edges.pool.run)(&call.asks);
     let Some(request) = request(traffic, path, &call.address, &call.id, body) else {
-        return CallAnswer::without(CallOutcome::BrokenOff);
+        return CallAnswer::without(BatchOutcome::BrokenOff);
     };
     let sent = traffic
         .connections
@@ -316,13 +316,13 @@
         .await;
     let (connection, response) = match sent {
         Ok(sent) => sent,
-        Err(SendFailure::NotWritten) => return CallAnswer::without(CallOutcome::Unreachable),
-        Err(SendFailure::BrokenOff) => return CallAnswer::without(CallOutcome::BrokenOff),
+        Err(SendFailure::NotWritten) => return CallAnswer::without(BatchOutcome::Unreachable),
+        Err(SendFailure::BrokenOff) => return CallAnswer::without(BatchOutcome::BrokenOff),
     };
     let (parts, body) = response.into_parts();
     let head = target_reports::read_head(traffic, pieces_asked(&call.id, sent_at), &parts);
     let Ok(body) = Limited::new(body, MOST_ANSWER).collect().await else {
-        return CallAnswer::without(CallOutcome::BrokenOff);
+        return CallAnswer::without(BatchOutcome::BrokenOff);
     };
     CallAnswer {
         outcome: outcome(traffic, &head, parts.status, &body.to_bytes()),
@@ -330,18 +330,18 @@
     }
 }
 
-fn outcome(traffic: &Traffic, head: &AnswerHead, status: StatusCode, body: &[u8]) -> CallOutcome {
+fn outcome(traffic: &Traffic, head: &AnswerHead, status: StatusCode, body: &[u8]) -> BatchOutcome {
     if head.not_run || head.misdirected {
-        return CallOutcome::Refused {
+        return BatchOutcome::Refused {
             misdirected: head.misdirected,
         };
     }
     if !status.is_success() {
-        return CallOutcome::BrokenOff;
+        return BatchOutcome::BrokenOff;
     }
     match (traffic.edges.pool.run_answer)(body) {
-        Some(outcomes) => CallOutcome::Done(outcomes),
-        None => CallOutcome::BrokenOff,
+        Some(outcomes) => BatchOutcome::Done(outcomes),
+        None => BatchOutcome::BrokenOff,
     }
 }
 
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -7,7 +7,7 @@
 use super::target_ends;
 use crate::event_log::Line;
 use crate::failure::CallFailure;
-use barleyspool_core::{OrderEnd, PieceOrder, ReadyStage, Reason, Span, StageRun, rendezvous};
+use barleyspool_core::{OrderOutcome, PieceOrder, ReadyStage, Reason, Span, StageProgress, rendezvous};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 struct StageEnd {
     stage: usize,
     pool: PoolId,
-    end: OrderEnd,
+    end: OrderOutcome,
 }
 
 /// Runs all stages of a call that are not complete.
 ///
 /// # Errors
 /// When they cannot be completed in time. Nothing of the call itself has run then.
-pub async fn run(call: &Call, stages: &mut StageRun, results: &mut Results) -> Result<(), CallFailure> {
+pub async fn run(call: &Call, stages: &mut StageProgress, results: &mut Results) -> Result<(), CallFailure> {
     let mut working = FuturesUnordered::new();
     loop {
         let mut again = false;
@@ -60,19 +60,19 @@
             return Err(CallFailure::not_run(Reason::StepFailed));
         };
         match ended.end {
-            OrderEnd::Made(handles) => {
+            OrderOutcome::Made(handles) => {
                 results.add(&ended.pool, &handles);
                 let unneeded = stages.complete(ended.stage, handles);
                 results.release(unneeded);
             }
-            OrderEnd::InputsGone => {
+            OrderOutcome::InputsGone => {
                 redo(stages, Some(ended.stage), &ended.pool.service)?;
             }
-            OrderEnd::TooLate(come_back) => {
+            OrderOutcome::TooLate(come_back) => {
                 let failure = CallFailure::not_run(Reason::PoolBusy);
                 return Err(failure.after(come_back).at(&ended.pool.service, ""));
             }
-            OrderEnd::Moved | OrderEnd::Failed => {
+            OrderOutcome::Moved | OrderOutcome::Failed => {
                 return Err(CallFailure::not_run(Reason::StepFailed).at(&ended.pool.service, ""));
             }
         }
@@ -80,7 +80,7 @@
 }
 
 /// Has what a stage rests on made anew; what the call itself rests on when no stage is named.
-fn redo(stages: &mut StageRun, stage: Option<usize>, service: &str) -> Result<(), CallFailure> {
+fn redo(stages: &mut StageProgress, stage: Option<usize>, service: &str) -> Result<(), CallFailure> {
     let allowed = stages.redo(stage);
     let failure = || CallFailure::not_run(Reason::StepFailed).at(service, "");
     allowed.then_some(()).ok_or_else(failure)
@@ -143,7 +143,7 @@
         end: end_name(&end),
         took_ms: now.since(began).as_millis(),
     };
-    if matches!(end, OrderEnd::Made(_)) {
+    if matches!(end, OrderOutcome::Made(_)) {
         traffic.log.write_good(now, &line);
     } else {
         traffic.log.write(now, &line);
@@ -157,7 +157,7 @@
 
 /// Lets the owner of the pool make an order. Owners that cannot be reached are replaced a few times; one that says
 /// that the pool has moved is asked who owns it for as long as the call has time.
-async fn make_at_owner(call: &Call, order: &PieceOrder) -> (PoolId, Owner, OrderEnd) {
+async fn make_at_owner(call: &Call, order: &PieceOrder) -> (PoolId, Owner, OrderOutcome) {
     let traffic = &call.traffic;
     // The pool may be split in another way when it is asked again.
     let place = || {
@@ -171,13 +171,13 @@
         let made = match &owner {
             Owner::Me => match traffic.pools.get(traffic, &pool) {
                 Some(local) => Some(local.make(traffic, order.clone(), traffic.plan().me).await),
-                None => Some(OrderEnd::Failed),
+                None => Some(OrderOutcome::Failed),
             },
             Owner::Other(address) => traffic.peers.make(traffic, address, &pool, order).await,
         };
         let before = (pool.clone(), owner.clone());
         match made {
-            Some(OrderEnd::Moved) => {
+            Some(OrderOutcome::Moved) => {
                 (pool, owner) = place();
                 if (&pool, &owner) == (&before.0, &before.1) {
                     // This node will hear of the other owner too.
@@ -192,7 +192,7 @@
             }
         }
     }
-    (pool, owner, OrderEnd::Failed)
+    (pool, owner, OrderOutcome::Failed)
 }
 
 fn order(call: &Call, ready: &ReadyStage, depth: usize) -> PieceOrder {
@@ -246,12 +246,12 @@
     }
 }
 
-fn end_name(end: &OrderEnd) -> &'static str {
+fn end_name(end: &OrderOutcome) -> &'static str {
     match end {
-        OrderEnd::Made(_) => "made",
-        OrderEnd::InputsGone => "inputs_gone",
-        OrderEnd::TooLate(_) => "too_late",
-        OrderEnd::Moved => "moved",
-        OrderEnd::Failed => "failed",
+        OrderOutcome::Made(_) => "made",
+        OrderOutcome::InputsGone => "inputs_gone",
+        OrderOutcome::TooLate(_) => "too_late",
+        OrderOutcome::Moved => "moved",
+        OrderOutcome::Failed => "failed",
     }
 }
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -13,7 +13,7 @@
 use super::target_choice;
 use super::target_ends;
 use crate::failure::CallFailure;
-use barleyspool_core::{NextStep, Reason, SendEnd, Span, StageRun, next_step};
+use barleyspool_core::{NextStep, Reason, SendEnd, Span, StageProgress, next_step};
 use barleyspool_wire::timer;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -234,7 +234,7 @@
     if relay.inputs.is_empty() {
         return true;
     }
-    let mut run = StageRun::new(&relay.call.route.stages, &relay.call.head.pieces);
+    let mut run = StageProgress::new(&relay.call.route.stages, &relay.call.head.pieces);
     let made = stages::run(&relay.call, &mut run, &mut relay.results).await;
     relay.inputs = run.outputs();
     made.is_ok()
--- a/crates/barleyspool_wire/src/pieces.rs
+++ b/crates/barleyspool_wire/src/pieces.rs
@@ -4,7 +4,7 @@
 
 use crate::net;
 use crate::peer::{self, PeerTransport};
-use barleyspool_core::{Grant, OrderEnd, PieceOrder, Span};
+use barleyspool_core::{Grant, OrderOutcome, PieceOrder, Span};
 use std::io;
 use tarpc::serde::{Deserialize, Serialize};
 use tarpc::{ClientMessage, Response};
@@ -29,7 +29,7 @@
 #[serde(crate = "tarpc::serde")]
 pub struct RemoteEnd {
     /// What became of it.
-    pub end: OrderEnd,
+    pub end: OrderOutcome,
     /// How long a full call that came now would take, waiting included.
     pub wait: Span,
 }
