--- a/crates/barleyspool_core/src/forward/catalog.rs
+++ b/crates/barleyspool_core/src/forward/catalog.rs
@@ -51,7 +51,8 @@
     /// The longest time a call is held.
     pub timeout: Span,
     /// The time within which an answer is worth most; streams: their first event.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub objective: Span,
     /// The priority; 0 is the most important.
     pub rank: u8,
     /// The services that answer, with their weights.
--- a/crates/barleyspool_core/src/forward/feed_cursor.rs
+++ b/crates/barleyspool_core/src/forward/feed_cursor.rs
@@ -59,7 +59,7 @@
     }
 
     /// Goes on from what another node has told, if that stands at a revision that is known; otherwise everything has to be read. After a failure
-    /// of this node's own too: what lapsed at the source meanwhile can only be seen by a whole read.
+    /// of this node's own too: what expired at the source meanwhile can only be seen by a whole read.
     pub fn resume(&mut self, held: Option<Revision>) {
         self.since = held.filter(|_| self.failures == 0);
     }
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -87,4 +87,4 @@
 pub use target_entry::{TargetEntry, TargetRun, TargetTable, TargetTimes};
 pub use target_record::{TargetKey, TargetRecord};
 pub use target_rest::{LONGEST_REST, RestReport};
-pub use target_store::{LAPSE_GRACE, Lapsing, TargetChange, TargetStore};
+pub use target_store::{EXPIRY_GRACE, ExpiringEntries, TargetChange, TargetStore};
--- a/crates/barleyspool_core/src/forward/packed_list.rs
+++ b/crates/barleyspool_core/src/forward/packed_list.rs
@@ -13,7 +13,7 @@
 const LEAVING: u8 = 1;
 const EVACUATED: u8 = 2;
 const UNREADABLE: u8 = 4;
-const DOUBTED: u8 = 8;
+const UNVERIFIED: u8 = 8;
 
 /// An address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -114,7 +114,7 @@
                 leaving: target.flags & LEAVING != 0,
                 evacuated: target.flags & EVACUATED != 0,
                 unreadable: target.flags & UNREADABLE != 0,
-                doubted: target.flags & DOUBTED != 0,
+                unverified: target.flags & UNVERIFIED != 0,
                 cold: Span(target.cold_us),
                 id: target.id,
                 ..TargetEntry::default()
@@ -149,7 +149,7 @@
     bit(entry.leaving, LEAVING)
         | bit(entry.evacuated, EVACUATED)
         | bit(entry.unreadable, UNREADABLE)
-        | bit(entry.doubted, DOUBTED)
+        | bit(entry.unverified, UNVERIFIED)
 }
 
 /// Packs an address as numbers if these give back the same text.
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -11,7 +11,7 @@
 const SLOW_TRIAL: Span = Span::from_millis(1500);
 /// Pieces of priority r are taken as if they were due this much later, times r.
 const RANK_STEP: Span = Span::from_millis(150);
-/// What an order that can no longer make its aim is put back by.
+/// What an order that can no longer make its objective is put back by.
 const LATE_STEP: Span = Span::from_secs(2);
 /// Work in progress is spread over idle targets down to this share of a full call.
 const LEAST_SHARE: f64 = 0.25;
--- a/crates/barleyspool_core/src/forward/start_hold.rs
+++ b/crates/barleyspool_core/src/forward/start_hold.rs
@@ -9,11 +9,11 @@
 const STARTING: Span = Span::from_millis(2000);
 /// How long a call is held of which not even the route is known.
 const ROUTE_UNKNOWN: Span = Span::from_millis(300);
-/// The part of its aim for which a call is held; the rest is for serving it.
-const AIM_SHARE: f64 = 0.7;
+/// The part of its objective for which a call is held; the rest is for serving it.
+const OBJECTIVE_SHARE: f64 = 0.7;
 
-/// Until when a call is held that arrived at `arrived`, by a node that started at `started`; `aim` is its route's, if that is known.
-pub fn hold_until(started: Time, arrived: Time, aim: Option<Span>) -> Time {
-    let span = aim.map_or(ROUTE_UNKNOWN, |aim| aim.scale(AIM_SHARE));
+/// Until when a call is held that arrived at `arrived`, by a node that started at `started`; `objective` is its route's, if that is known.
+pub fn hold_until(started: Time, arrived: Time, objective: Option<Span>) -> Time {
+    let span = objective.map_or(ROUTE_UNKNOWN, |objective| objective.scale(OBJECTIVE_SHARE));
     (arrived + span).min(started + STARTING)
 }
--- a/crates/barleyspool_core/src/forward/target_counts.rs
+++ b/crates/barleyspool_core/src/forward/target_counts.rs
@@ -15,7 +15,7 @@
     /// With an entry that can't be read.
     pub unreadable: usize,
     /// Not relied on since their entries came back with an older copy of the source.
-    pub doubted: usize,
+    pub unverified: usize,
     /// Seen to run again under their id.
     pub restarted: usize,
 }
@@ -35,7 +35,7 @@
         self.leaving += usize::from(entry.leaving);
         self.evacuated += usize::from(entry.evacuated);
         self.unreadable += usize::from(entry.unreadable);
-        self.doubted += usize::from(entry.doubted);
+        self.unverified += usize::from(entry.unverified);
         self.restarted += usize::from(entry.times.restarted > Time(0));
     }
 }
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -45,7 +45,8 @@
     /// Whether its entry can't be read. The other fields are those of its last readable one.
     pub unreadable: bool,
     /// Whether its entry came back with an older copy of the source after it was gone, so that the target may be.
-    pub doubted: bool,
+    #[serde(rename = "doubted")]
+    pub unverified: bool,
     /// How long it stays slow after its start.
     pub cold: Span,
     /// What this node learnt of its life, and when.
@@ -66,7 +67,7 @@
             && self.leaving == other.leaving
             && self.evacuated == other.evacuated
             && self.unreadable == other.unreadable
-            && self.doubted == other.doubted
+            && self.unverified == other.unverified
             && self.cold == other.cold
     }
 }
@@ -89,13 +90,13 @@
     /// Whether new work may go there. Every decision asks this and keeps no opinion of its own, so that a target that is
     /// taken out gets nothing by any way. What it is working on ends by itself.
     pub fn takes_work(&self) -> bool {
-        !self.leaving && !self.evacuated && !self.unreadable && !self.doubted
+        !self.leaving && !self.evacuated && !self.unreadable && !self.unverified
     }
 
     /// Whether it may be asked to drop results. One in an evacuated zone, or whose entry can't be read or relied on, gets nothing at all;
     /// results go by themselves after their time.
     pub fn takes_frees(&self) -> bool {
-        !self.evacuated && !self.unreadable && !self.doubted
+        !self.evacuated && !self.unreadable && !self.unverified
     }
 
     /// Until when it may be cold, for a service whose targets are cold for `start` after they have started.
--- a/crates/barleyspool_core/src/forward/target_memory.rs
+++ b/crates/barleyspool_core/src/forward/target_memory.rs
@@ -13,7 +13,7 @@
 
 /// How long a target that was gone is not used when it is listed in a copy from which the source came back. The entry of one that is gone lapses within
 /// three heartbeats, or is removed again when what was written is written again.
-const DOUBT: Span = Span::from_secs(10);
+const UNVERIFIED_FOR: Span = Span::from_secs(10);
 
 /// How far reports of targets can be relied on.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// Targets of which more is known than the source has reported since it came back from a copy.
     kept: BTreeSet<String>,
     /// Entries that came back although their targets were gone, and until when they are not relied on.
-    doubted: BTreeMap<String, Time>,
+    unverified: BTreeMap<String, Time>,
     /// Targets that are gone, by id.
     past: BTreeMap<String, Past>,
 }
@@ -68,7 +68,7 @@
     /// A target is gone from the list.
     pub(super) fn gone(&mut self, now: Time, entry: &TargetEntry) {
         self.kept.remove(&entry.id);
-        self.doubted.remove(&entry.id);
+        self.unverified.remove(&entry.id);
         self.past.retain(|_, past| now.since(past.at) < GONE_KEPT);
         let past = Past {
             report: (entry.run, entry.sequence),
@@ -95,7 +95,7 @@
     /// Whether what is known of a target holds against a report of it: the report stands in a copy from which the source came back, and the target wrote what is
     /// known later. That is so also when the copy is read again, until something newer is written.
     pub(super) fn keeps(&mut self, known: &TargetEntry, report: &TargetEntry, fresh: Freshness) -> bool {
-        let may_be_old = fresh == Freshness::Copied || known.doubted || self.kept.contains(&report.id);
+        let may_be_old = fresh == Freshness::Copied || known.unverified || self.kept.contains(&report.id);
         if !may_be_old {
             return false;
         }
@@ -108,20 +108,22 @@
     }
 
     /// Notes whether an entry that is listed now is relied on.
-    pub(super) fn note_doubt(&mut self, now: Time, entry: &TargetEntry) {
-        if entry.doubted {
-            self.doubted.entry(entry.id.clone()).or_insert(now + DOUBT);
+    pub(super) fn note_verification(&mut self, now: Time, entry: &TargetEntry) {
+        if entry.unverified {
+            self.unverified
+                .entry(entry.id.clone())
+                .or_insert(now + UNVERIFIED_FOR);
         } else {
-            self.doubted.remove(&entry.id);
+            self.unverified.remove(&entry.id);
         }
     }
 
     /// Takes the targets that are relied on again, since they have stayed listed.
     pub(super) fn take_confirmed(&mut self, now: Time) -> Vec<String> {
-        let over = self.doubted.iter().filter(|(_, until)| now >= **until);
+        let over = self.unverified.iter().filter(|(_, until)| now >= **until);
         let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
         for id in &over {
-            self.doubted.remove(id);
+            self.unverified.remove(id);
         }
         over
     }
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -17,9 +17,9 @@
     Gone(String),
 }
 
-/// How long an entry that lapsed while the source was away is still reckoned with: a target that lives writes it
+/// How long an entry that expired while the source was away is still reckoned with: a target that lives writes it
 /// again within about this time (docs/PLATFORM.md).
-pub const LAPSE_GRACE: Span = Span::from_secs(2);
+pub const EXPIRY_GRACE: Span = Span::from_secs(2);
 
 /// The list of targets at one revision of the platform.
 #[derive(Clone, Debug, Default)]
@@ -38,8 +38,8 @@
     /// platform raises the other, and would have them ask for a list that they have.
     pub changed_at: Revision,
     /// Entries that were missing when the source came back, and when they are taken as gone.
-    pub lapsed: BTreeMap<String, Time>,
-    /// Until when what goes may have lapsed while the source was away.
+    pub expired: BTreeMap<String, Time>,
+    /// Until when what goes may have expired while the source was away.
     back_until: Time,
     /// The zones that are evacuated.
     evacuated: BTreeSet<String>,
@@ -51,12 +51,12 @@
 
 /// Entries that are missing at the source and may come back, with the time that they still have. A node that tells
 /// another of its list tells these too, since only it knows that the source was away.
-pub type Lapsing = Vec<(String, Span)>;
+pub type ExpiringEntries = Vec<(String, Span)>;
 
 impl TargetStore {
     /// The source answers again after it was away.
     pub fn source_back(&mut self, now: Time) {
-        self.back_until = now + LAPSE_GRACE;
+        self.back_until = now + EXPIRY_GRACE;
     }
 
     /// Takes a list that was read whole; false when it is older than what is known.
@@ -66,7 +66,7 @@
         }
         let first = self.at == Revision(0);
         let fresh = self.enter(now, at);
-        self.lapsed.retain(|id, _| !table.contains_key(id));
+        self.expired.retain(|id, _| !table.contains_key(id));
         let before = Arc::clone(&self.table);
         let reports = table.into_values();
         let mut table: TargetTable = reports
@@ -74,7 +74,7 @@
             .map(|entry| (entry.id.clone(), entry))
             .collect();
         for entry in table.values() {
-            self.memory.note_doubt(now, entry);
+            self.memory.note_verification(now, entry);
         }
         if first {
             self.log.restart(at);
@@ -177,45 +177,45 @@
     }
 
     /// The entries that are missing at the source and may come back.
-    pub fn lapsing(&self, now: Time) -> Lapsing {
+    pub fn expiring(&self, now: Time) -> ExpiringEntries {
         let left = |(id, until): (&String, &Time)| (id.clone(), until.since(now));
-        self.lapsed.iter().map(left).collect()
+        self.expired.iter().map(left).collect()
     }
 
     /// Notes which entries of another node's list, which stands at `at`, are missing at the source. It comes before what
     /// that node told of its list.
-    pub fn note_lapsing(&mut self, now: Time, at: Revision, lapsing: Lapsing) {
+    pub fn note_expiring(&mut self, now: Time, at: Revision, expiring: ExpiringEntries) {
         if at < self.at {
-            // What has lapsed there may be back by what is known here.
+            // What has expired there may be back by what is known here.
             return;
         }
-        for (id, left) in lapsing {
-            self.lapsed.entry(id).or_insert(now + left);
+        for (id, left) in expiring {
+            self.expired.entry(id).or_insert(now + left);
         }
     }
 
     /// Takes entries as gone whose time to come back is over; true when the list is another one afterwards.
     pub fn expire(&mut self, now: Time) -> bool {
         let over: Vec<String> = self
-            .lapsed
+            .expired
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &over {
-            self.lapsed.remove(id);
+            self.expired.remove(id);
             self.remove(now, id);
         }
-        let lapsed = self.changed(!over.is_empty());
-        self.expire_doubts(now) || lapsed
+        let expired = self.changed(!over.is_empty());
+        self.expire_unverified(now) || expired
     }
 
     /// Relies again on entries that came back and are still listed. Each node does so by itself, so others have nothing to ask for.
-    fn expire_doubts(&mut self, now: Time) -> bool {
+    fn expire_unverified(&mut self, now: Time) -> bool {
         let confirmed = self.memory.take_confirmed(now);
         for id in &confirmed {
             if let Some(entry) = Arc::make_mut(&mut self.table).get_mut(id) {
-                entry.doubted = false;
+                entry.unverified = false;
             }
         }
         if !confirmed.is_empty() {
@@ -225,11 +225,11 @@
     }
 
     fn put(&mut self, now: Time, entry: TargetEntry, fresh: Freshness) -> bool {
-        self.lapsed.remove(&entry.id);
+        self.expired.remove(&entry.id);
         let Some(entry) = self.newest(now, entry, fresh) else {
             return false;
         };
-        self.memory.note_doubt(now, &entry);
+        self.memory.note_verification(now, &entry);
         Arc::make_mut(&mut self.table).insert(entry.id.clone(), entry.clone()) != Some(entry)
     }
 
@@ -251,9 +251,10 @@
             return Some(known.clone());
         }
         if fresh == Freshness::Copied && known.is_none() {
-            report.doubted |= self.memory.is_of_gone(&report);
+            report.unverified |= self.memory.is_of_gone(&report);
         }
-        if let Some(known) = known.filter(|known| report.doubted && !known.doubted && report.run == known.run)
+        if let Some(known) =
+            known.filter(|known| report.unverified && !known.unverified && report.run == known.run)
         {
             // Another node knew it to be gone, but the source has listed it here since.
             return Some(known.clone());
@@ -296,12 +297,12 @@
         Some(report)
     }
 
-    /// Whether an entry that is missing now is kept for a while, because it may have lapsed.
+    /// Whether an entry that is missing now is kept for a while, because it may have expired.
     fn keeps(&mut self, now: Time, id: &str) -> bool {
         if now < self.back_until {
-            self.lapsed.entry(id.to_owned()).or_insert(self.back_until);
+            self.expired.entry(id.to_owned()).or_insert(self.back_until);
         }
-        self.lapsed.get(id).is_some_and(|until| now < *until)
+        self.expired.get(id).is_some_and(|until| now < *until)
     }
 
     fn changed(&mut self, changed: bool) -> bool {
--- a/crates/barleyspool_core/tests/forward_catalog.rs
+++ b/crates/barleyspool_core/tests/forward_catalog.rs
@@ -163,7 +163,7 @@
     store.source_back(at(10_000));
     assert!(
         !store.replace(at(10_000), Revision(5), table(&["d"])),
-        "three lapsed"
+        "three expired"
     );
     assert_eq!(ids(&store), ["a", "b", "c", "d"]);
     store.apply(at(10_500), Revision(6), vec![TargetChange::Put(entry("a"))]);
--- a/crates/barleyspool_core/tests/source_reading/changes.rs
+++ b/crates/barleyspool_core/tests/source_reading/changes.rs
@@ -171,7 +171,7 @@
     assert!(store.table["t1"].leaving);
 }
 
-/// An entry that lapsed while the source was away is kept for a while by those who know of the outage. A node that has
+/// An entry that expired while the source was away is kept for a while by those who know of the outage. A node that has
 /// the list from one of them would otherwise keep it for ever, since nothing newer tells that it is gone.
 #[test]
 fn whoever_has_the_list_from_another_node_drops_what_lapsed_as_soon_as_that_one() {
@@ -183,14 +183,14 @@
     teller.source_back(at(1000));
     teller.replace(at(1000), Revision(5), table(&[(1, false)]));
     assert_eq!(teller.table.len(), 2, "it may come back");
-    taker.note_lapsing(at(1500), teller.at, teller.lapsing(at(1500)));
+    taker.note_expiring(at(1500), teller.at, teller.expiring(at(1500)));
     let changes = teller.changes_since(taker.at).expect("known");
     taker.apply(at(1500), teller.at, changes);
     assert_eq!(taker.table.len(), 2);
     assert!(!taker.expire(at(2900)));
     assert!(taker.expire(at(3000)));
     assert_eq!(taker.table.len(), 1);
-    assert_eq!(teller.lapsing(at(2000)), [("t2".to_owned(), Span::from_secs(1))]);
+    assert_eq!(teller.expiring(at(2000)), [("t2".to_owned(), Span::from_secs(1))]);
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -95,7 +95,7 @@
         assert!(!store.table["1"].takes_work());
         store.apply(at(40), Revision(91), vec![TargetChange::Gone("1".to_owned())]);
         put(&mut store, at(50), ready(8));
-        assert!(!store.table["1"].takes_work(), "its entry had lapsed");
+        assert!(!store.table["1"].takes_work(), "its entry had expired");
         assert!(store.table["2"].takes_work());
     }
 }
@@ -302,7 +302,7 @@
     assert_eq!(ids(&store), ["1", "2"]);
 }
 
-/// Guards against a live target that is never used again because its entry had lapsed before the source came back from a copy.
+/// Guards against a live target that is never used again because its entry had expired before the source came back from a copy.
 #[test]
 fn a_target_that_came_back_with_a_copy_is_used_again_when_it_stays_listed() {
     let mut store = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
@@ -320,17 +320,21 @@
 /// Guards against a node that takes a list from another one and uses what that one does not rely on, or for ever distrusts it.
 #[test]
 fn what_one_node_does_not_rely_on_another_does_not_either_but_for_what_it_knows_itself() {
-    let doubted = |id: &str| TargetEntry {
-        doubted: true,
+    let unverified = |id: &str| TargetEntry {
+        unverified: true,
         ..entry(id, 0, 25)
     };
     let mut new = TargetStore::default();
-    new.replace(at(0), in_later_era(20), table(&[entry("1", 0, 25), doubted("2")]));
+    new.replace(
+        at(0),
+        in_later_era(20),
+        table(&[entry("1", 0, 25), unverified("2")]),
+    );
     assert_eq!(ids(&new), ["1"]);
     assert!(new.expire(at(10_000)));
     assert_eq!(ids(&new), ["1", "2"]);
     let mut knows = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
-    let list = table(&[entry("1", 0, 25), doubted("2")]);
+    let list = table(&[entry("1", 0, 25), unverified("2")]);
     let packed = PackedList::pack(&list).unpack().expect("it was packed here");
     knows.replace(at(0), in_later_era(20), packed);
     assert_eq!(ids(&knows), ["1", "2"]);
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -183,13 +183,13 @@
 
 #[test]
 fn a_call_is_held_for_most_of_its_aim_and_for_the_first_two_seconds_of_its_node() {
-    let aim = Some(Span::from_millis(1000));
-    assert_eq!(hold_until(START, at(500), aim), at(1200));
+    let objective = Some(Span::from_millis(1000));
+    assert_eq!(hold_until(START, at(500), objective), at(1200));
     assert_eq!(
         hold_until(START, at(500), None),
         at(800),
         "its route is not known"
     );
-    assert_eq!(hold_until(START, at(1900), aim), at(2000));
-    assert!(hold_until(START, at(9000), aim) < at(9000), "not at all");
+    assert_eq!(hold_until(START, at(1900), objective), at(2000));
+    assert!(hold_until(START, at(9000), objective) < at(9000), "not at all");
 }
--- a/crates/barleyspool_gateway/src/control/follow.rs
+++ b/crates/barleyspool_gateway/src/control/follow.rs
@@ -168,7 +168,7 @@
         state.overtaken(Feed::Configuration);
     }
     let at = known.at;
-    state.note_lapsing(at, known.lapsing);
+    state.note_expiring(at, known.expiring);
     let changed = match known.targets {
         Part::Same => false,
         Part::Changes(changes) => state.apply_targets(at, changes, from),
--- a/crates/barleyspool_gateway/src/control/reading.rs
+++ b/crates/barleyspool_gateway/src/control/reading.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How long a feed may be silent after an error before what is missing in it counts as lapsed.
+/// How long a feed may be silent after an error before what is missing in it counts as expired.
 const SOURCE_LOST: Span = Span::from_millis(300);
 /// The feeds.
 const FEEDS: [Feed; 2] = [Feed::Configuration, Feed::Targets];
@@ -207,7 +207,7 @@
         self.source_moved(false);
     }
 
-    /// A feed is about to be taken after it failed: what is missing in it now may only have lapsed.
+    /// A feed is about to be taken after it failed: what is missing in it now may only have expired.
     pub fn feed_back(&self, feed: Feed) {
         let since = self.reading.failing.borrow()[feed as usize]
             .as_ref()
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -4,7 +4,7 @@
 use super::state::ControlState;
 use crate::metrics::Metrics;
 use barleyspool_core::{
-    CatalogChange, CatalogDocument, Evacuations, HandoutKey, Held, Lapsing, PackedList, Revision,
+    CatalogChange, CatalogDocument, Evacuations, ExpiringEntries, HandoutKey, Held, PackedList, Revision,
     TargetChange,
 };
 use bytes::Bytes;
@@ -48,7 +48,8 @@
     /// The list; as a whole it is a [`PackedList`].
     pub targets: Part<ByteBuf, TargetChange>,
     /// Entries of the list that are missing at the source and may come back.
-    pub lapsing: Lapsing,
+    #[serde(rename = "lapsing")]
+    pub expiring: ExpiringEntries,
 }
 
 /// The question for what is newer than `held`; `whole` when the configuration may come as a whole.
@@ -95,7 +96,7 @@
         evacuations: state.evacuations.borrow().clone(),
         at: state.targets.borrow().at,
         targets: targets(state, held, handed_out),
-        lapsing: state.targets.borrow().lapsing(state.now()),
+        expiring: state.targets.borrow().expiring(state.now()),
     };
     rmp_serde::to_vec(&known).unwrap_or_default()
 }
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -4,7 +4,7 @@
 use crate::edges::{Feed, SourceChange};
 use crate::event_log::Line;
 use barleyspool_core::{
-    CatalogChange, CatalogDocument, CatalogStore, Evacuations, Lapsing, Offered, Revision, RunMark,
+    CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, Offered, Revision, RunMark,
     TargetChange, TargetCounts, TargetEntry, TargetTable,
 };
 use std::collections::BTreeSet;
@@ -98,9 +98,9 @@
     }
 
     /// Notes which entries of a list that stands at `at` are missing at the source and may come back.
-    pub fn note_lapsing(&self, at: Revision, lapsing: Lapsing) {
+    pub fn note_expiring(&self, at: Revision, expiring: ExpiringEntries) {
         let now = self.now();
-        self.targets.borrow_mut().note_lapsing(now, at, lapsing);
+        self.targets.borrow_mut().note_expiring(now, at, expiring);
     }
 
     /// Takes the zones that were evacuated at revision `at`.
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Takes entries as gone that lapsed while the source was away and did not come back, and relies again on what is still listed after the source came back
+    /// Takes entries as gone that expired while the source was away and did not come back, and relies again on what is still listed after the source came back
     /// from a copy.
     pub fn expire_targets(&self) {
         if self.evacuations.borrow_mut().expire(self.now()) {
-            self.evacuations_changed(Origin::Lapse);
+            self.evacuations_changed(Origin::Expiry);
         }
         if self.targets.borrow_mut().expire(self.now()) {
-            self.targets_changed(Origin::Lapse);
+            self.targets_changed(Origin::Expiry);
         }
     }
 
@@ -219,7 +219,7 @@
             evacuated: counts.evacuated,
             unreadable: counts.unreadable,
             restarted: counts.restarted,
-            doubted: counts.doubted,
+            doubted: counts.unverified,
             at,
             from: from.name(),
         };
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -28,7 +28,7 @@
     /// Targets themselves, in their answers to this node or another one.
     Answers,
     /// Time: entries did not come back after an outage of the source.
-    Lapse,
+    Expiry,
 }
 
 impl<'a> Origin<'a> {
@@ -38,7 +38,7 @@
             Self::Source => "source",
             Self::Node(address) => address,
             Self::Answers => "answers",
-            Self::Lapse => "lapsed",
+            Self::Expiry => "lapsed",
         }
     }
 }
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -124,7 +124,7 @@
         counts(shared).unreadable as u64
     });
     gauge(meter, shared, "targets_doubted", |shared| {
-        counts(shared).doubted as u64
+        counts(shared).unverified as u64
     });
     gauge(meter, shared, "targets_restarted", |shared| {
         counts(shared).restarted as u64
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -12,10 +12,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A queue shorter than this share of the aim is no reason to turn a call away.
+/// A queue shorter than this share of the objective is no reason to turn a call away.
 const WAIT_SHARE: f64 = 0.2;
-/// Calls are turned away when they are expected to take this many times their aim.
-const AIM_MARGIN: f64 = 1.1;
+/// Calls are turned away when they are expected to take this many times their objective.
+const OBJECTIVE_MARGIN: f64 = 1.1;
 
 /// When to come back while a service has no target that may get work: within this time a target that comes back has
 /// written its entry (about a second) or is listed (some hundred milliseconds).
@@ -41,8 +41,8 @@
     }
     let forecast = forecast(call);
     let expected = forecast.total();
-    let aim = call.route.aim;
-    let late = expected > aim.scale(AIM_MARGIN) && forecast.wait > aim.scale(WAIT_SHARE);
+    let objective = call.route.objective;
+    let late = expected > objective.scale(OBJECTIVE_MARGIN) && forecast.wait > objective.scale(WAIT_SHARE);
     let hopeless = now + expected > call.deadline && forecast.wait > Span::ZERO;
     if call.traffic.shared.stop_reached(StopPhase::Leaving) && now + expected > call.deadline {
         return Err(stopping::refusal());
@@ -52,7 +52,7 @@
             id: &call.head.id,
             route: &call.route.name,
             rank: call.rank,
-            aim_ms: aim.as_millis(),
+            aim_ms: objective.as_millis(),
             expected_ms: expected.as_millis(),
             wait_ms: forecast.wait.as_millis(),
             slowest: &forecast.slowest,
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -34,7 +34,7 @@
 const TIMEOUT: f64 = 5.0;
 /// But never before this.
 const MAX_WAIT_LEAST: Span = Span::from_millis(250);
-/// Nor before this share of its aim: a busy target is no silent one.
+/// Nor before this share of its objective: a busy target is no silent one.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
 /// What became of a call that was sent.
@@ -350,6 +350,6 @@
         return duration(left + left + MAX_WAIT_LEAST);
     }
     let usual = call.first_time().scale(TIMEOUT).max(MAX_WAIT_LEAST);
-    let usual = usual.max(call.route.aim.scale(MAX_WAIT_SHARE));
+    let usual = usual.max(call.route.objective.scale(MAX_WAIT_SHARE));
     duration(usual.min(left))
 }
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -212,7 +212,7 @@
         },
         inputs: ready.inputs.clone(),
         deadline: call.deadline,
-        due: (call.arrived + call.route.aim) - later,
+        due: (call.arrived + call.route.objective) - later,
         rank: call.rank,
         bytes: spec.bytes,
         input_bytes: piece_input_bytes(call, ready),
--- a/crates/barleyspool_gateway/src/traffic/starting.rs
+++ b/crates/barleyspool_gateway/src/traffic/starting.rs
@@ -13,7 +13,7 @@
         if traffic.plan().is_complete() {
             return;
         }
-        let until = hold_until(traffic.shared.clock.started(), arrived, aim(traffic, parts));
+        let until = hold_until(traffic.shared.clock.started(), arrived, objective(traffic, parts));
         let left = until.since(traffic.now());
         if left == Span::ZERO {
             return;
@@ -25,9 +25,9 @@
     }
 }
 
-fn aim(traffic: &Traffic, parts: &Parts) -> Option<Span> {
+fn objective(traffic: &Traffic, parts: &Parts) -> Option<Span> {
     let head = (traffic.edges.caller.read)(parts).ok()?;
     let plan = traffic.plan();
     let route = plan.catalog.as_ref()?.route(&head.host, &head.path)?;
-    Some(route.aim)
+    Some(route.objective)
 }
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -10,7 +10,7 @@
 use barleyspool_wire::timer;
 use std::time::Duration;
 
-/// How long a call may wait for a target that is full, as a share of its aim.
+/// How long a call may wait for a target that is full, as a share of its objective.
 const FULL_SHARE: f64 = 0.15;
 /// How often it looks meanwhile.
 const FULL_LOOK: Duration = Duration::from_millis(15);
@@ -52,7 +52,7 @@
     if let Some(found) = use_reserved(call).await {
         return Ok(found);
     }
-    let until = traffic.now() + call.route.aim.scale(FULL_SHARE);
+    let until = traffic.now() + call.route.objective.scale(FULL_SHARE);
     let mut ask_at = traffic.now();
     loop {
         let now = traffic.now();
@@ -84,7 +84,7 @@
 /// When there will be no room.
 pub async fn reserve(call: &Call, ahead: Span) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
-    let max_wait = ahead + call.route.aim.scale(FULL_SHARE);
+    let max_wait = ahead + call.route.objective.scale(FULL_SHARE);
     let rest = traffic.forwarder.borrow().all_rest(traffic.now(), &call.need());
     if rest > max_wait {
         return Err(at_rest(call, Span(rest.0.saturating_sub(ahead.0))));
