--- a/crates/barleyspool_core/src/forward/bounded_targets.rs
+++ b/crates/barleyspool_core/src/forward/bounded_targets.rs
@@ -111,7 +111,7 @@
         let owner = rendezvous::pick(shard, self.members.iter().map(|member| member.key));
         let owns = owner == Some(self.me);
         let ownership = self.owned.entry(shard).or_default();
-        if self.settled {
+        if self.converged {
             ownership.update(self.members_since, owns);
         }
         // Also before this node knows the others: who asks now and waits does not ask again.
@@ -121,7 +121,7 @@
 
     /// The same without another question.
     pub fn known_share(&self, now: Time, shard: u128) -> RateShare {
-        let ownership = self.owned.get(&shard).filter(|_| self.settled);
+        let ownership = self.owned.get(&shard).filter(|_| self.converged);
         ownership.map_or(RateShare::default(), |ownership| {
             ownership.share(now, self.reach, self.members.len())
         })
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -98,7 +98,7 @@
     /// This node's key among the members.
     pub(super) me: u64,
     /// Whether the members are likely to be all there are.
-    pub(super) settled: bool,
+    pub(super) converged: bool,
     /// How the targets of each service are split.
     pub(super) services: Arc<HashMap<String, ServiceTargets>>,
     pub(super) reach: Reach,
@@ -134,7 +134,7 @@
             members: Arc::default(),
             members_since: Time(0),
             me: 0,
-            settled: false,
+            converged: false,
             services: Arc::default(),
             reach: Reach::default(),
             limits: LimitTable::default(),
@@ -153,7 +153,7 @@
         }
         self.members = Arc::clone(&plan.members);
         self.me = plan.me;
-        self.settled = plan.settled;
+        self.converged = plan.converged;
         self.services = Arc::clone(&plan.services);
         self.reach = plan.reach;
         self.limits.merge(plan.made, &plan.limits);
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -39,7 +39,7 @@
     pub me: u64,
     /// Whether the nodes are likely to be all there are. A node that has just started knows a few at first and
     /// would take pools for its own that others own.
-    pub settled: bool,
+    pub converged: bool,
     /// How many of the nodes this one hears.
     pub reach: Reach,
     /// What targets have said of their limits.
--- a/crates/barleyspool_core/tests/cold_targets.rs
+++ b/crates/barleyspool_core/tests/cold_targets.rs
@@ -83,15 +83,15 @@
         placing: Some(Shard::WHOLE),
         ..alone.clone()
     };
-    let mut settled = node(&owner_plan(&cold(), true), 1);
+    let mut converged = node(&owner_plan(&cold(), true), 1);
     // Long enough that the owner before, if there was one, knows of this one.
     let later = Time::from_millis(2500);
-    assert!(matches!(settled.choose(later, &alone), Choose::Busy(_)));
+    assert!(matches!(converged.choose(later, &alone), Choose::Busy(_)));
     assert!(matches!(
-        settled.place(Time::from_millis(2000), &placing, 1),
+        converged.place(Time::from_millis(2000), &placing, 1),
         Choose::Busy(_) | Choose::NoRoom(_)
     ));
-    assert!(matches!(settled.place(later, &placing, 1), Choose::Send(_)));
+    assert!(matches!(converged.place(later, &placing, 1), Choose::Send(_)));
     let mut new = node(&owner_plan(&cold(), false), 1);
     assert!(matches!(new.place(later, &placing, 1), Choose::Busy(_)));
     let warm = Time(0) + COLD;
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -82,17 +82,17 @@
         services: Arc::new(service_targets(&targets)),
         targets: Arc::new(targets),
         members: Arc::new(members.to_vec()),
-        settled: true,
+        converged: true,
         ..ForwardPlan::default()
     }
 }
 
 /// The plan of the node among three that owns the targets.
-pub fn owner_plan(rates: &Rates, settled: bool) -> ForwardPlan {
+pub fn owner_plan(rates: &Rates, converged: bool) -> ForwardPlan {
     let members = members(3);
     let owner = rendezvous::pick(shard_key("s", 0), members.iter().map(|member| member.key));
     ForwardPlan {
-        settled,
+        converged,
         me: owner.expect("there are members"),
         ..plan(rates, &members)
     }
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -59,7 +59,7 @@
         targets: Arc::clone(&store.table),
         restarts: Arc::clone(&store.restarts),
         services: Arc::clone(&store.services),
-        settled: true,
+        converged: true,
         ..ForwardPlan::default()
     }
 }
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -38,7 +38,7 @@
     ForwardPlan {
         services: Arc::new(service_targets(&table)),
         targets: Arc::new(table),
-        settled: true,
+        converged: true,
         me: ME,
         ..ForwardPlan::default()
     }
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -265,7 +265,7 @@
             targets: Arc::clone(&self.targets.borrow().table),
             members: Arc::new(members),
             me: self.key(),
-            settled: self.settled.get(),
+            converged: self.settled.get(),
             reach: membership.reach(self.now()),
             limits: Arc::new(membership.limits().clone()),
             last_answers: self.last_answers.get(),
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -153,7 +153,7 @@
             queue.tick(now);
             take_reports(&traffic, &pool, &mut queue);
             // Until it is clear who owns the pool, orders gather: most of them go to another node.
-            let calls = if traffic.plan().settled {
+            let calls = if traffic.plan().converged {
                 queue.next_calls(now)
             } else {
                 Vec::new()
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -76,7 +76,7 @@
             _ => false,
         };
         if same_catalog && Arc::ptr_eq(&before.0, &plan.targets) {
-            // Only members have changed; a pool may be settled now.
+            // Only members have changed; a pool may be converged now.
             self.pools.borrow().values().for_each(|pool| pool.wake());
             return;
         }
