--- a/crates/barleyspool_core/src/limit.rs
+++ b/crates/barleyspool_core/src/concurrency_limit.rs
@@ -27,7 +27,7 @@
 
 /// A limit that grows while the target keeps up and shrinks when it does not.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     /// The present limit; at least one.
     pub value: f64,
     /// The highest that the limit may grow to.
@@ -38,7 +38,7 @@
     shrunk: Time,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// A limit that starts at `share` and never exceeds `ceiling`.
     pub fn new(share: f64, ceiling: f64) -> Self {
         let ceiling = ceiling.max(1.0);
@@ -58,7 +58,7 @@
     }
 
     /// Takes an answer that took `took`; `full` says that the limit was in use to the last place.
-    pub fn answered(&mut self, now: Time, took: Span, full: bool, report: Option<LoadReport>) {
+    pub fn record_answer(&mut self, now: Time, took: Span, full: bool, report: Option<LoadReport>) {
         let took = took.0.max(1) as f64;
         if self.latency == 0.0 {
             (self.latency, self.best) = (took, took);
--- a/crates/barleyspool_core/src/config/resolved.rs
+++ b/crates/barleyspool_core/src/config/resolved.rs
@@ -71,7 +71,7 @@
         guards: Guards,
     ) -> Result<Self, Vec<ConfigFault>> {
         let faults = check(document);
-        let good = faults.is_empty() || !guards.hold(Guard::WholeCheck);
+        let good = faults.is_empty() || !guards.enforces(Guard::ConfigAllOrNothing);
         if good {
             Ok(Self::resolve(document, before))
         } else {
--- a/crates/barleyspool_core/src/control/config_store.rs
+++ b/crates/barleyspool_core/src/control/config_store.rs
@@ -23,7 +23,7 @@
     }
     /// Offers a whole document; true when it is now in force.
     pub fn offer(&mut self, document: &ConfigDocument, counters: &mut ControlCounters) -> bool {
-        if document.revision <= self.revision() && self.guards.hold(Guard::RevisionUp) {
+        if document.revision <= self.revision() && self.guards.enforces(Guard::RevisionMonotonic) {
             counters.stale += u64::from(document.revision < self.revision());
             return false;
         }
--- a/crates/barleyspool_core/src/control/gossip.rs
+++ b/crates/barleyspool_core/src/control/gossip.rs
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn known_leaving(&self) -> Vec<LeavingTarget> {
-        if !self.settings.guards.hold(Guard::LeavingSpread) {
+        if !self.settings.guards.enforces(Guard::LeavingGossip) {
             return Vec::new();
         }
         self.leaving.iter().rev().take(MAX_LEAVING).copied().collect()
@@ -53,7 +53,7 @@
         self.counters.replied += 1;
         self.take_gossip(now, &reply.gossip);
         if reply.gossip.rules == self.settings.rules {
-            self.lease.heard(now, reply.gossip.from, asked, reply.word);
+            self.lease.apply_vote(now, reply.gossip.from, asked, reply.vote);
         } else {
             self.counters.foreign_rules += 1;
         }
@@ -99,7 +99,7 @@
 
     /// Control addresses to ask now: the cell, a few others, and the seeds while there is no list.
     pub(super) fn questioned(&mut self) -> Vec<String> {
-        let wanted = self.lease.wanted();
+        let wanted = self.lease.voters();
         let mut addresses: Vec<String> = wanted
             .iter()
             .filter_map(|node| self.peers.control(*node))
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -19,8 +19,8 @@
 
 use crate::chart::{Chart, ChartError, symbol};
 use crate::{
-    Epoch, Fleet, Gossip, Incarnation, Lease, LeavingTarget, PeerReply, PlanTarget, RequestKey, Revision,
-    Snapshot, Span, TargetId, Time, Word,
+    Epoch, Fleet, Gossip, Incarnation, Lease, LeaseVote, LeavingTarget, PeerReply, PlanTarget, RequestKey,
+    Revision, Snapshot, Span, TargetId, Time,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -147,15 +147,15 @@
     /// Answers a peer's question.
     pub fn answer(&mut self, now: Time, gossip: &Gossip) -> PeerReply {
         self.take_gossip(now, gossip);
-        let word = if gossip.rules == self.settings.rules {
-            self.lease.word(gossip.from, gossip.run)
+        let vote = if gossip.rules == self.settings.rules {
+            self.lease.vote_for(gossip.from, gossip.run)
         } else {
             self.counters.foreign_rules += 1;
-            Word::default()
+            LeaseVote::default()
         };
         PeerReply {
             gossip: self.gossip(now),
-            word,
+            vote,
         }
     }
 
--- a/crates/barleyspool_core/src/control/planning.rs
+++ b/crates/barleyspool_core/src/control/planning.rs
@@ -17,7 +17,7 @@
     pub(super) fn leave_when_done(&mut self, now: Time) {
         let Some(stop_at) = self.stop_at else { return };
         let done = self.live == 0 && now.since(stop_at) >= self.settings.keep;
-        if done || !self.settings.guards.hold(Guard::StopWaits) {
+        if done || !self.settings.guards.enforces(Guard::DrainBeforeStop) {
             self.actions.push(ControlAction::Exit);
         }
     }
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -29,7 +29,7 @@
         }
         self.fleet = Arc::new(fleet);
         if let Some(cell) = self.fleet.cell(self.settings.cell) {
-            self.lease.list(now, cell);
+            self.lease.apply_cell(now, cell);
         }
         self.leaving.retain(|leaving| {
             let listed = self
@@ -134,7 +134,7 @@
         if self.phase != NodePhase::CatchingUp {
             return;
         }
-        let wait = if self.settings.guards.hold(Guard::AskFirst) {
+        let wait = if self.settings.guards.enforces(Guard::PeersBeforeServing) {
             self.settings.start_wait
         } else {
             Span::ZERO
--- a/crates/barleyspool_core/src/fleet.rs
+++ b/crates/barleyspool_core/src/fleet.rs
@@ -107,8 +107,8 @@
     pub truncated: bool,
     /// The platform's own word that every node which was in the cell only up to this epoch is switched
     /// off. Without it a cell that loses more than half of its nodes at once takes no unrepeatable work.
-    #[serde(default)]
-    pub sealed: Epoch,
+    #[serde(rename = "sealed", default)]
+    pub closed: Epoch,
 }
 
 /// The whole list at one revision.
--- a/crates/barleyspool_core/src/guard.rs
+++ b/crates/barleyspool_core/src/guard.rs
@@ -1,7 +1,7 @@
 //! The guards on which the promises rest, by name, so that a proof can take one out and see itself fail.
 //!
 //! Only builds with the feature `proofs`, which the tests of this crate turn on, can take a guard out. In
-//! every other build [`Guards::hold`] is the constant `true`. docs/PROOFS.md lists which proof each one has.
+//! every other build [`Guards::enforces`] is the constant `true`. docs/PROOFS.md lists which proof each one has.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,33 +9,46 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Guard {
     /// Lease: a peer's word counts only while it is fresh.
-    WordFresh,
+    #[serde(rename = "WordFresh")]
+    VoteFresh,
     /// Lease: a peer's word counts only at exactly the node's own epoch.
-    WordEpoch,
+    #[serde(rename = "WordEpoch")]
+    VoteEpoch,
     /// Lease: a node's word to itself does not count.
-    OthersOnly,
+    #[serde(rename = "OthersOnly")]
+    NoSelfVote,
     /// Lease: a peer's word counts only for the newest run of the asking node.
-    WordRun,
+    #[serde(rename = "WordRun")]
+    VoteIncarnation,
     /// Lease: a node that has just started gives no word before it has caught up.
-    WordJoined,
+    #[serde(rename = "WordJoined")]
+    VoteJoined,
     /// Lease: a majority of every earlier era has to have left it before settling begins.
-    EarlierSealed,
+    #[serde(rename = "EarlierSealed")]
+    EarlierEpochsClosed,
     /// Lease: a node stays silent while it settles.
-    Settling,
+    #[serde(rename = "Settling")]
+    TakeoverWait,
     /// Lease: the settling time holds the freshness as well as the horizon.
-    SettlingMargin,
+    #[serde(rename = "SettlingMargin")]
+    TakeoverFreshness,
     /// Router: an answer must name its own request, step and attempt.
     EchoMatch,
     /// Router: an unrepeatable step that may have run is not sent again.
-    UnknownFinal,
+    #[serde(rename = "UnknownFinal")]
+    NoUnsafeRetry,
     /// Router: "not run" is said only when no step of the request ran or may have run.
-    RequestUntouched,
+    #[serde(rename = "RequestUntouched")]
+    NotRunProven,
     /// Router: "not run" is not said to a caller that is unsure of an earlier send.
-    EarlierSends,
+    #[serde(rename = "EarlierSends")]
+    EarlierSendsUnknown,
     /// Router: a part that leaves a gap is never passed on.
-    PartOffset,
+    #[serde(rename = "PartOffset")]
+    NoStreamGap,
     /// Router: an end marker counts only when its length is what came.
-    EndLength,
+    #[serde(rename = "EndLength")]
+    StreamLength,
     /// Router: the home remembers unrepeatable keys.
     KeyMemory,
     /// Router: a plan that the control thread has not vouched for lately is not acted on.
@@ -49,40 +62,47 @@
     /// Router: a caller that has seen a newer configuration is not served under an older one.
     SeenRevision,
     /// Control: the revision in force only moves up.
-    RevisionUp,
+    #[serde(rename = "RevisionUp")]
+    RevisionMonotonic,
     /// Control: a faulty configuration is refused whole.
-    WholeCheck,
+    #[serde(rename = "WholeCheck")]
+    ConfigAllOrNothing,
     /// Control: a node that starts asks its peers before it serves.
-    AskFirst,
+    #[serde(rename = "AskFirst")]
+    PeersBeforeServing,
     /// Control: what a target said of its leaving is passed on to peers.
-    LeavingSpread,
+    #[serde(rename = "LeavingSpread")]
+    LeavingGossip,
     /// Control: a stopping node stays until nothing is in flight and no caller holds its address.
-    StopWaits,
+    #[serde(rename = "StopWaits")]
+    DrainBeforeStop,
 }
 
 /// Which guards are in force: all, but for the one that a proof has taken out.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Guards {
     #[cfg(feature = "proofs")]
-    out: Option<Guard>,
+    disabled: Option<Guard>,
 }
 
 impl Guards {
     /// All guards but this one.
     #[cfg(feature = "proofs")]
     pub fn without(guard: Guard) -> Self {
-        Self { out: Some(guard) }
+        Self {
+            disabled: Some(guard),
+        }
     }
 
     /// Whether `guard` is in force.
     #[cfg(feature = "proofs")]
-    pub fn hold(self, guard: Guard) -> bool {
-        self.out != Some(guard)
+    pub fn enforces(self, guard: Guard) -> bool {
+        self.disabled != Some(guard)
     }
 
     /// Whether `guard` is in force: always, in a build without the proofs.
     #[cfg(not(feature = "proofs"))]
-    pub const fn hold(self, _guard: Guard) -> bool {
+    pub const fn enforces(self, _guard: Guard) -> bool {
         true
     }
 }
--- a/crates/barleyspool_core/src/key_memory.rs
+++ b/crates/barleyspool_core/src/key_memory.rs
@@ -5,9 +5,9 @@
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Known {
+pub enum KeyState {
     /// It is being worked on.
-    Live(RequestId),
+    Running(RequestId),
     /// It has ended, with this answer.
     Ended {
         /// The answer's bytes, as far as there are any.
@@ -19,13 +19,13 @@
 
 /// A remembered key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Remembered {
+pub struct KeyRecord {
     /// The deadline that came with it.
     pub deadline: Time,
     /// A hash of what was asked, so that another request under the same key is noticed.
-    pub content: u128,
+    pub content_hash: u128,
     /// What is known of it.
-    pub known: Known,
+    pub state: KeyState,
 }
 
 /// The keys that this node is or was the home of.
@@ -34,31 +34,31 @@
 /// are refused instead.
 #[derive(Debug)]
 pub struct KeyMemory {
-    keys: HashMap<RequestKey, Remembered>,
+    keys: HashMap<RequestKey, KeyRecord>,
     expiry: BTreeSet<(Time, RequestKey)>,
-    most: usize,
+    capacity: usize,
     skew: Span,
 }
 
 impl KeyMemory {
-    /// A memory for at most `most` keys.
-    pub fn new(most: usize, skew: Span) -> Self {
+    /// A memory for at most `capacity` keys.
+    pub fn new(capacity: usize, skew: Span) -> Self {
         Self {
             keys: HashMap::new(),
             expiry: BTreeSet::new(),
-            most,
+            capacity,
             skew,
         }
     }
 
     /// What is remembered of `key`.
-    pub fn get(&self, key: RequestKey) -> Option<&Remembered> {
+    pub fn get(&self, key: RequestKey) -> Option<&KeyRecord> {
         self.keys.get(&key)
     }
 
     /// Whether no more keys can be taken.
     pub fn full(&self) -> bool {
-        self.keys.len() >= self.most
+        self.keys.len() >= self.capacity
     }
 
     /// How many keys are remembered.
@@ -72,13 +72,13 @@
     }
 
     /// Remembers that `request` is the one run of `key`.
-    pub fn begin(&mut self, key: RequestKey, deadline: Time, content: u128, request: RequestId) {
+    pub fn begin(&mut self, key: RequestKey, deadline: Time, content_hash: u128, request: RequestId) {
         self.keys.insert(
             key,
-            Remembered {
+            KeyRecord {
                 deadline,
-                content,
-                known: Known::Live(request),
+                content_hash,
+                state: KeyState::Running(request),
             },
         );
         self.expiry.insert((deadline + self.skew, key));
@@ -87,7 +87,7 @@
     /// Remembers how the run of `key` ended.
     pub fn end(&mut self, key: RequestKey, answer: Payload, outcome: Outcome) {
         if let Some(remembered) = self.keys.get_mut(&key) {
-            remembered.known = Known::Ended { answer, outcome };
+            remembered.state = KeyState::Ended { answer, outcome };
         }
     }
 
--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -35,18 +35,19 @@
     ///
     /// The horizon alone is not enough: the home before may take a key until the last word it was given
     /// runs out, which is up to `freshness` later. See docs/DESIGN.md, "At most once".
-    pub fn settling(&self) -> Span {
+    pub fn takeover_wait(&self) -> Span {
         self.freshness + self.horizon + self.skew + self.skew
     }
 }
 
 /// What a node says of itself to a peer that asked. See [`Lease::word`].
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct LeaseVote {
     /// The epoch it is at.
     pub epoch: Epoch,
     /// Every epoch at or below this one has been left by a majority of its set.
-    pub sealed: Epoch,
+    #[serde(rename = "sealed")]
+    pub closed: Epoch,
     /// The newest run of the asking node that it knows.
     pub asker: Incarnation,
     /// Whether it has caught up since it started, so that its word counts.
@@ -55,14 +56,14 @@
 
 /// What is kept of a peer.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Heard {
-    word: Word,
+struct PeerRecord {
+    vote: LeaseVote,
     /// When the word was asked for: the earliest time at which it can have been given.
-    asked: Time,
+    requested_at: Time,
     /// Whether anything was heard at all.
-    any: bool,
+    received: bool,
     /// The highest epoch ever heard from it.
-    highest: Epoch,
+    highest_epoch: Epoch,
     /// The newest run of it that asked this node.
     incarnation: Incarnation,
 }
@@ -72,7 +73,7 @@
 struct KnownEra {
     era: Era,
     /// When a majority had confirmed this node in this era and all earlier ones were sealed.
-    ready: Option<Time>,
+    confirmed_at: Option<Time>,
 }
 
 /// Why a node does not take an unrepeatable key.
@@ -81,7 +82,8 @@
     /// Another node is the home; `None` when the list names none.
     NotHome(Option<NodeId>),
     /// It is the home, but too recently.
-    Settling(Span),
+    #[serde(rename = "Settling")]
+    TakeoverWait(Span),
     /// It is the home, but no majority confirmed it lately.
     Unconfirmed,
 }
@@ -94,9 +96,9 @@
     incarnation: Incarnation,
     eras: Vec<KnownEra>,
     /// Whether eras before the oldest known one have been left out of the list.
-    gap: bool,
-    sealed: Epoch,
-    heard: BTreeMap<NodeId, Heard>,
+    truncated: bool,
+    closed: Epoch,
+    peers: BTreeMap<NodeId, PeerRecord>,
     joined: bool,
     guards: Guards,
 }
@@ -120,9 +122,9 @@
             me,
             incarnation,
             eras: Vec::new(),
-            gap: false,
-            sealed: Epoch(0),
-            heard: BTreeMap::new(),
+            truncated: false,
+            closed: Epoch(0),
+            peers: BTreeMap::new(),
             joined: false,
             guards: Guards::default(),
         }
@@ -153,122 +155,124 @@
     // What is learnt
 
     /// Takes the eras of the node's cell from a newer list. An older list changes nothing.
-    pub fn list(&mut self, now: Time, cell: &Cell) {
+    pub fn apply_cell(&mut self, now: Time, cell: &Cell) {
         let Some(newest) = cell.eras.last() else { return };
         if newest.epoch <= self.epoch() {
             return;
         }
         if !cell.eras.iter().any(|era| era.epoch == self.epoch()) {
             self.eras.clear();
-            self.gap = cell.truncated;
+            self.truncated = cell.truncated;
         }
         let present = self.epoch();
         let newer = cell.eras.iter().filter(|era| era.epoch > present);
         self.eras.extend(newer.map(|era| KnownEra {
             era: era.clone(),
-            ready: None,
+            confirmed_at: None,
         }));
-        self.sealed = self.sealed.max(cell.sealed);
-        self.progress(now);
+        self.closed = self.closed.max(cell.closed);
+        self.advance(now);
     }
 
     /// Hears that `peer` asked as its run `incarnation`, and gives this node's word in return.
-    pub fn word(&mut self, peer: NodeId, incarnation: Incarnation) -> Word {
-        let heard = self.heard.entry(peer).or_default();
-        heard.incarnation = heard.incarnation.max(incarnation);
-        let asker = heard.incarnation;
-        let joined = self.joined || !self.guards.hold(Guard::WordJoined);
-        Word {
+    pub fn vote_for(&mut self, peer: NodeId, incarnation: Incarnation) -> LeaseVote {
+        let peer = self.peers.entry(peer).or_default();
+        peer.incarnation = peer.incarnation.max(incarnation);
+        let asker = peer.incarnation;
+        let joined = self.joined || !self.guards.enforces(Guard::VoteJoined);
+        LeaseVote {
             epoch: self.epoch(),
-            sealed: self.sealed,
+            closed: self.closed,
             asker,
             joined,
         }
     }
 
     /// Takes the word that `peer` gave to a question of this node, asked at `asked`.
-    pub fn heard(&mut self, now: Time, peer: NodeId, asked: Time, word: Word) {
-        let heard = self.heard.entry(peer).or_default();
-        if heard.any && asked < heard.asked {
+    pub fn apply_vote(&mut self, now: Time, peer: NodeId, requested_at: Time, vote: LeaseVote) {
+        let peer = self.peers.entry(peer).or_default();
+        if peer.received && requested_at < peer.requested_at {
             return;
         }
-        heard.any = true;
-        heard.asked = asked;
-        heard.word = word;
-        if word.joined {
-            heard.highest = heard.highest.max(word.epoch);
-            self.sealed = self.sealed.max(word.sealed);
+        peer.received = true;
+        peer.requested_at = requested_at;
+        peer.vote = vote;
+        if vote.joined {
+            peer.highest_epoch = peer.highest_epoch.max(vote.epoch);
+            self.closed = self.closed.max(vote.closed);
         }
-        self.progress(now);
+        self.advance(now);
     }
 
     /// Moves on whatever can move on with what is known.
-    fn progress(&mut self, now: Time) {
-        self.join();
-        self.seal();
-        let confirmed = self.confirmed_majority();
-        let sealed = !self.guards.hold(Guard::EarlierSealed) || self.earlier_sealed();
+    fn advance(&mut self, now: Time) {
+        self.update_joined();
+        self.close_epochs();
+        let confirmed = self.has_majority();
+        let closed = !self.guards.enforces(Guard::EarlierEpochsClosed) || self.earlier_epochs_closed();
         if let Some(last) = self.eras.last_mut()
-            && last.ready.is_none()
+            && last.confirmed_at.is_none()
             && confirmed
-            && sealed
+            && closed
         {
-            last.ready = Some(now);
+            last.confirmed_at = Some(now);
         }
     }
 
     /// Joined: heard from a majority of the present set, none of which knows a later epoch.
-    fn join(&mut self) {
+    fn update_joined(&mut self) {
         let Some(known) = self.eras.last() else { return };
-        let heard = |node: &&NodeId| **node == self.me || self.heard.get(node).is_some_and(|heard| heard.any);
-        let count = known.era.members.iter().filter(heard).count();
-        let behind = self
-            .heard
-            .values()
-            .any(|heard| heard.word.epoch > known.era.epoch);
-        if count >= known.era.majority() && !behind {
+        let heard =
+            |node: &&NodeId| **node == self.me || self.peers.get(node).is_some_and(|peer| peer.received);
+        let received = known.era.members.iter().filter(heard).count();
+        let behind = self.peers.values().any(|peer| peer.vote.epoch > known.era.epoch);
+        if received >= known.era.majority() && !behind {
             self.joined = true;
         }
     }
 
     /// Seals each epoch, oldest first, whose set has been left by a majority.
-    fn seal(&mut self) {
+    fn close_epochs(&mut self) {
         let present = self.epoch();
         let oldest = self.eras.first().map_or(present, |known| known.era.epoch);
-        if self.gap && self.sealed < oldest {
+        if self.truncated && self.closed < oldest {
             // What came before the oldest known era can only be sealed by somebody who knows it.
             return;
         }
         for known in &self.eras {
             let epoch = known.era.epoch;
-            if epoch <= self.sealed {
+            if epoch <= self.closed {
                 continue;
             }
             let left = |node: &&NodeId| {
-                **node == self.me || self.heard.get(node).is_some_and(|heard| heard.highest > epoch)
+                **node == self.me
+                    || self
+                        .peers
+                        .get(node)
+                        .is_some_and(|peer| peer.highest_epoch > epoch)
             };
             if epoch >= present || known.era.members.iter().filter(left).count() < known.era.majority() {
                 return;
             }
-            self.sealed = epoch;
+            self.closed = epoch;
         }
     }
 
-    fn earlier_sealed(&self) -> bool {
+    fn earlier_epochs_closed(&self) -> bool {
         match self.eras.len() {
             0 => false,
-            1 => !self.gap,
-            eras => self.eras[eras - 2].era.epoch <= self.sealed,
+            1 => !self.truncated,
+            eras => self.eras[eras - 2].era.epoch <= self.closed,
         }
     }
 
     /// The nodes whose word this node needs: its cell's present set and every set not yet sealed.
-    pub fn wanted(&self) -> BTreeSet<NodeId> {
+    pub fn voters(&self) -> BTreeSet<NodeId> {
         let present = self.epoch();
         let needed = self
             .eras
             .iter()
-            .filter(|known| known.era.epoch == present || known.era.epoch > self.sealed);
+            .filter(|known| known.era.epoch == present || known.era.epoch > self.closed);
         needed
             .flat_map(|known| known.era.members.iter().copied())
             .filter(|node| *node != self.me)
@@ -278,46 +282,46 @@
     // ------------------------------------------------------------------------
     // What is decided
 
-    fn vouches(&self, heard: &Heard) -> bool {
-        let epoch = !self.guards.hold(Guard::WordEpoch) || heard.word.epoch == self.epoch();
-        let run = !self.guards.hold(Guard::WordRun) || heard.word.asker == self.incarnation;
-        heard.any && heard.word.joined && epoch && run
+    fn counts(&self, peer: &PeerRecord) -> bool {
+        let epoch = !self.guards.enforces(Guard::VoteEpoch) || peer.vote.epoch == self.epoch();
+        let run = !self.guards.enforces(Guard::VoteIncarnation) || peer.vote.asker == self.incarnation;
+        peer.received && peer.vote.joined && epoch && run
     }
 
     /// Whether a majority has said, at any time, that it is at this epoch and knows this run.
-    fn confirmed_majority(&self) -> bool {
-        self.nth_vouching().is_some()
+    fn has_majority(&self) -> bool {
+        self.majority_requested_at().is_some()
     }
 
     /// When the word was asked for that completes a majority; `None` without one.
-    fn nth_vouching(&self) -> Option<Time> {
+    fn majority_requested_at(&self) -> Option<Time> {
         let era = &self.eras.last()?.era;
         if !era.members.contains(&self.me) {
             return None;
         }
         let others = era.members.iter().filter(|node| **node != self.me);
-        let mut asked: Vec<Time> = others
-            .filter_map(|node| self.heard.get(node))
-            .filter(|heard| self.vouches(heard))
-            .map(|heard| heard.asked)
+        let mut requested_at: Vec<Time> = others
+            .filter_map(|node| self.peers.get(node))
+            .filter(|peer| self.counts(peer))
+            .map(|peer| peer.requested_at)
             .collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = if self.guards.hold(Guard::OthersOnly) {
+        requested_at.sort_unstable_by(|a, b| b.cmp(a));
+        let needed = if self.guards.enforces(Guard::NoSelfVote) {
             era.confirming()
         } else {
             era.majority() - 1
         };
         match needed {
             0 => Some(Time(u64::MAX)),
-            needed => asked.get(needed - 1).copied(),
+            needed => requested_at.get(needed - 1).copied(),
         }
     }
 
     /// Until when a majority's word holds; zero without one.
     pub fn confirmed_until(&self) -> Time {
-        match self.nth_vouching() {
-            Some(_) if !self.guards.hold(Guard::WordFresh) => Time(u64::MAX),
-            Some(asked) => asked + self.rules.freshness,
+        match self.majority_requested_at() {
+            Some(_) if !self.guards.enforces(Guard::VoteFresh) => Time(u64::MAX),
+            Some(requested_at) => requested_at + self.rules.freshness,
             None => Time(0),
         }
     }
@@ -325,17 +329,17 @@
     /// A copy for the traffic threads.
     pub fn view(&self) -> LeaseView {
         let wait = match (
-            self.guards.hold(Guard::Settling),
-            self.guards.hold(Guard::SettlingMargin),
+            self.guards.enforces(Guard::TakeoverWait),
+            self.guards.enforces(Guard::TakeoverFreshness),
         ) {
             (false, _) => Span::ZERO,
             (_, false) => self.rules.horizon + self.rules.skew + self.rules.skew,
-            _ => self.rules.settling(),
+            _ => self.rules.takeover_wait(),
         };
         let eras = self
             .eras
             .iter()
-            .map(|known| (known.era.clone(), known.ready.map(|at| at + wait)))
+            .map(|known| (known.era.clone(), known.confirmed_at.map(|at| at + wait)))
             .collect();
         LeaseView {
             confirmed_until: self.confirmed_until(),
@@ -371,11 +375,11 @@
             .iter()
             .rev()
             .take_while(|(era, _)| era.home(key) == Some(self.me));
-        let Some(settled) = held.filter_map(|(_, settled)| *settled).min() else {
+        let Some(owned_from) = held.filter_map(|(_, owned_from)| *owned_from).min() else {
             return Err(LeaseRefusal::Unconfirmed);
         };
-        if now < settled {
-            return Err(LeaseRefusal::Settling(settled.since(now)));
+        if now < owned_from {
+            return Err(LeaseRefusal::TakeoverWait(owned_from.since(now)));
         }
         Ok(())
     }
--- a/crates/barleyspool_core/src/lib.rs
+++ b/crates/barleyspool_core/src/lib.rs
@@ -9,6 +9,7 @@
 
 mod backlog;
 pub mod chart;
+mod concurrency_limit;
 mod config;
 mod control;
 mod counters;
@@ -20,7 +21,6 @@
 mod ids;
 mod key_memory;
 mod lease;
-mod limit;
 mod membership;
 mod orders;
 mod outcome;
@@ -39,6 +39,7 @@
 mod traffic;
 
 pub use backlog::*;
+pub use concurrency_limit::*;
 pub use config::*;
 pub use control::*;
 pub use counters::*;
@@ -50,7 +51,6 @@
 pub use ids::*;
 pub use key_memory::*;
 pub use lease::*;
-pub use limit::*;
 pub use membership::*;
 pub use orders::*;
 pub use outcome::*;
--- a/crates/barleyspool_core/src/outcome.rs
+++ b/crates/barleyspool_core/src/outcome.rs
@@ -86,7 +86,8 @@
     /// Another node is the home of this unrepeatable request.
     NotHome => "not_home",
     /// This node is the home, but has not been for long enough.
-    Settling => "settling",
+    #[serde(rename = "Settling")]
+    TakeoverWait => "settling",
     /// This node is the home, but a majority has not confirmed it lately.
     Unconfirmed => "unconfirmed",
     /// The memory of unrepeatable keys is full.
--- a/crates/barleyspool_core/src/peer_message.rs
+++ b/crates/barleyspool_core/src/peer_message.rs
@@ -1,6 +1,6 @@
 //! What entry nodes say to each other: small, and the same size however large the fleet is.
 
-use crate::{ConfigDocument, Epoch, Fleet, Incarnation, LeaseRules, NodeId, Revision, TargetId, Word};
+use crate::{ConfigDocument, Epoch, Fleet, Incarnation, LeaseRules, LeaseVote, NodeId, Revision, TargetId};
 use serde::{Deserialize, Serialize};
 
 /// A run of a target that is on its way out.
@@ -42,8 +42,9 @@
 pub struct PeerReply {
     /// What it says of itself.
     pub gossip: Gossip,
-    /// Its word for the asking node's lease.
-    pub word: Word,
+    /// Its vote for the lease of the asking node.
+    #[serde(rename = "word")]
+    pub vote: LeaseVote,
 }
 
 /// What a node that is behind fetches from a peer.
--- a/crates/barleyspool_core/src/policy.rs
+++ b/crates/barleyspool_core/src/policy.rs
@@ -5,7 +5,7 @@
 /// How a target is chosen among those with a free place.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Choice {
+pub enum LoadBalancing {
     /// The better of two random ones by expected latency.
     #[default]
     TwoChoices,
@@ -18,8 +18,8 @@
 /// How the number of calls in flight at a target is bounded.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Bound {
-    /// Adapted to what the target shows. See [`crate::Limit`].
+pub enum LimitMode {
+    /// Adapted to what the target shows. See [`crate::ConcurrencyLimit`].
     #[default]
     Adaptive,
     /// This many.
@@ -34,26 +34,31 @@
     /// Whether requests that cannot make their deadline are refused.
     pub admission: bool,
     /// How targets are chosen.
-    pub choice: Choice,
+    #[serde(rename = "choice")]
+    pub balancing: LoadBalancing,
     /// How calls in flight are bounded.
-    pub bound: Bound,
+    #[serde(rename = "bound")]
+    pub limit_mode: LimitMode,
     /// Whether retries come out of a budget; otherwise each step is sent up to three times.
-    pub budget: bool,
+    #[serde(rename = "budget")]
+    pub use_retry_budget: bool,
     /// Whether an attempt that takes far too long is given up and sent elsewhere.
-    pub max_wait: bool,
+    #[serde(rename = "max_wait")]
+    pub attempt_timeouts: bool,
     /// What expected time is multiplied with when a request is admitted.
-    pub margin: f64,
+    #[serde(rename = "margin")]
+    pub admission_margin: f64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
             admission: true,
-            choice: Choice::TwoChoices,
-            bound: Bound::Adaptive,
-            budget: true,
-            max_wait: true,
-            margin: 1.25,
+            balancing: LoadBalancing::TwoChoices,
+            limit_mode: LimitMode::Adaptive,
+            use_retry_budget: true,
+            attempt_timeouts: true,
+            admission_margin: 1.25,
         }
     }
 }
@@ -63,19 +68,19 @@
     pub fn round_robin() -> Self {
         Self {
             admission: false,
-            choice: Choice::RoundRobin,
-            bound: Bound::Unbounded,
-            budget: false,
-            max_wait: false,
-            margin: 1.25,
+            balancing: LoadBalancing::RoundRobin,
+            limit_mode: LimitMode::Unbounded,
+            use_retry_budget: false,
+            attempt_timeouts: false,
+            admission_margin: 1.25,
         }
     }
 
     /// Baseline: least in flight with a fixed limit.
     pub fn least_in_flight() -> Self {
         Self {
-            choice: Choice::LeastInFlight,
-            bound: Bound::Fixed(8),
+            balancing: LoadBalancing::LeastInFlight,
+            limit_mode: LimitMode::Fixed(8),
             ..Self::round_robin()
         }
     }
--- a/crates/barleyspool_core/src/retry_budget.rs
+++ b/crates/barleyspool_core/src/retry_budget.rs
@@ -25,12 +25,12 @@
 
 impl RetryBudget {
     /// A step succeeded.
-    pub fn success(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.earn).min(self.cap);
     }
 
     /// Takes a retry out of the budget; false when it is used up.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
             self.tokens -= 1.0;
--- a/crates/barleyspool_core/src/router/arrive.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -2,9 +2,10 @@
 
 use super::Router;
 use crate::{
-    Call, CallerId, Config, Counter, Earlier, Guard, Known, LeaseRefusal, ListState, Listener, NodeId, OrgIx,
-    OrgKey, Outcome, Peer, PipelineIx, PlanPeer, Reason, Refusal, Request, RequestId, RequestKey, Revision,
-    ServiceIx, Serving, Span, StagePlan, TargetId, TargetState, Time, TrafficAction, Verdict, rendezvous,
+    Call, CallerId, Config, Counter, Earlier, Guard, KeyState, LeaseRefusal, ListState, Listener, NodeId,
+    OrgIx, OrgKey, Outcome, Peer, PipelineIx, PlanPeer, Reason, Refusal, Request, RequestId, RequestKey,
+    Revision, ServiceIx, Serving, Span, StagePlan, TargetId, TargetState, Time, TrafficAction, Verdict,
+    rendezvous,
 };
 use rand::Rng;
 use std::sync::Arc;
@@ -104,7 +105,7 @@
         if plan.serving == Serving::CatchingUp {
             return Err(Turned::after(Reason::NoConfiguration, CATCH_UP_WAIT));
         }
-        if call.seen > config.revision && self.holds(Guard::SeenRevision) {
+        if call.seen > config.revision && self.enforces(Guard::SeenRevision) {
             self.actions.push(TrafficAction::NotifyBehind);
             return Err(Turned::after(Reason::ConfigurationBehind, CATCH_UP_WAIT));
         }
@@ -130,20 +131,20 @@
 
     /// Answers a repeat of a remembered key; false when the key is not remembered.
     fn repeat(&mut self, caller: CallerId, call: &Call, key: RequestKey) -> bool {
-        let Some(remembered) = self.memory.get(key).filter(|_| self.holds(Guard::KeyMemory)) else {
+        let Some(remembered) = self.memory.get(key).filter(|_| self.enforces(Guard::KeyMemory)) else {
             return false;
         };
-        if remembered.deadline != call.deadline || remembered.content != content_hash(call) {
+        if remembered.deadline != call.deadline || remembered.content_hash != content_hash(call) {
             self.turn_away(caller, call, &Turned::new(Reason::KeyReused));
             return true;
         }
-        match remembered.known.clone() {
-            Known::Live(request) => {
+        match remembered.state.clone() {
+            KeyState::Running(request) => {
                 self.count(Counter::Joined);
                 self.listen(request, caller);
                 self.forward(request);
             }
-            Known::Ended { answer, outcome } => {
+            KeyState::Ended { answer, outcome } => {
                 self.count(Counter::Remembered);
                 if !answer.is_empty() {
                     self.actions.push(TrafficAction::Part {
@@ -198,7 +199,7 @@
             Ok(()) if self.memory.full() => Err(Turned::after(Reason::MemoryFull, CONFIRM_WAIT)),
             Ok(()) => Ok(()),
             Err(LeaseRefusal::NotHome(home)) => Err(self.not_home(home)),
-            Err(LeaseRefusal::Settling(wait)) => Err(Turned::after(Reason::Settling, wait)),
+            Err(LeaseRefusal::TakeoverWait(wait)) => Err(Turned::after(Reason::TakeoverWait, wait)),
             Err(LeaseRefusal::Unconfirmed) => Err(Turned::after(Reason::Unconfirmed, CONFIRM_WAIT)),
         }
     }
@@ -207,7 +208,7 @@
     fn not_home(&self, home: Option<NodeId>) -> Turned {
         let leaving = |peer: &&PlanPeer| Some(peer.id) == home && peer.state == ListState::Leaving;
         if self.plan.peers.iter().any(|peer| leaving(&peer)) {
-            return Turned::after(Reason::Leaving, self.plan.rules.settling());
+            return Turned::after(Reason::Leaving, self.plan.rules.takeover_wait());
         }
         Turned {
             home,
@@ -251,7 +252,7 @@
         ) {
             return full(Reason::QueueFull);
         }
-        if now + expected.scale(self.settings.policy.margin) > deadline {
+        if now + expected.scale(self.settings.policy.admission_margin) > deadline {
             return full(Reason::DeadlineUnreachable);
         }
         Ok(())
@@ -396,7 +397,9 @@
     /// "Not run" speaks of the request, not of this send of it: when an earlier send may have run
     /// elsewhere, only the settled home of an unrepeatable key knows better, and says so by taking it.
     fn turn_away(&mut self, caller: CallerId, call: &Call, turned: &Turned) {
-        let unsure = call.earlier == Earlier::Uncertain && !turned.certain && self.holds(Guard::EarlierSends);
+        let unsure = call.earlier == Earlier::Uncertain
+            && !turned.certain
+            && self.enforces(Guard::EarlierSendsUnknown);
         let may_have_run = unsure || turned.reason == Reason::KeyReused;
         let verdict = if may_have_run {
             Verdict::Unknown
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -17,7 +17,7 @@
         let Some(state) = self.attempts.get_mut(attempt) else {
             return self.count(Counter::Late);
         };
-        if state.echo != echo && self.settings.guards.hold(Guard::EchoMatch) {
+        if state.echo != echo && self.settings.guards.enforces(Guard::EchoMatch) {
             self.count(Counter::Misdirected);
             return self.break_off(now, attempt);
         }
@@ -30,7 +30,7 @@
         };
         request.touched = true;
         let have = request.answer.len() as u64;
-        if offset > have && self.settings.guards.hold(Guard::PartOffset) {
+        if offset > have && self.settings.guards.enforces(Guard::NoStreamGap) {
             self.count(Counter::Gap);
             return self.break_off(now, attempt);
         }
@@ -92,7 +92,7 @@
         if let Some(report) = report {
             target.report = Some((report, now));
         }
-        let leaving = leaving && self.settings.guards.hold(Guard::TargetLeaving);
+        let leaving = leaving && self.settings.guards.enforces(Guard::TargetLeaving);
         if leaving
             && self
                 .target_chart
@@ -131,7 +131,7 @@
         let Some(state) = self.attempts.get(attempt) else {
             return self.count(Counter::Late);
         };
-        let stray = echo.is_some_and(|echo| echo != state.echo) && self.holds(Guard::EchoMatch);
+        let stray = echo.is_some_and(|echo| echo != state.echo) && self.enforces(Guard::EchoMatch);
         if stray {
             self.count(Counter::Misdirected);
         }
@@ -153,7 +153,7 @@
             AttemptEnd::Done { output, .. } => {
                 request.spent.push((service, took));
                 self.services[usize::from(service.0)].measured(took);
-                self.budget.success();
+                self.retry_budget.record_success();
                 self.step_done(now, id, &output);
             }
             AttemptEnd::Refused { .. } => self.again(now, id, target, RetryReason::Refused),
@@ -166,7 +166,7 @@
                 } else {
                     RetryReason::BrokenOff
                 };
-                if request.repeatable() || !self.settings.guards.hold(Guard::UnknownFinal) {
+                if request.repeatable() || !self.settings.guards.enforces(Guard::NoUnsafeRetry) {
                     self.again(now, id, target, reason);
                 } else {
                     self.give_up(now, id, Reason::StepFailed, Some(Peer::Target(target)));
@@ -186,7 +186,7 @@
             .get(&attempt)
             .and_then(|id| self.requests.get(*id));
         let streamed = request.map_or(0, |request| request.answer.len() as u64);
-        if streamed + output.len() as u64 == *length || !self.holds(Guard::EndLength) {
+        if streamed + output.len() as u64 == *length || !self.enforces(Guard::StreamLength) {
             return end;
         }
         self.count(Counter::Gap);
@@ -214,7 +214,7 @@
             AttemptEnd::Done { .. } => {
                 let full = !target.limit.allows(target.in_flight + 1);
                 let report = target.report.map(|(report, _)| report);
-                target.limit.answered(now, took, full, report);
+                target.limit.record_answer(now, took, full, report);
                 target.succeeded(&self.target_chart);
             }
             AttemptEnd::Refused { leaving: true, .. } => {
@@ -264,7 +264,7 @@
         let service = usize::from(target.plan.service.0);
         let all = &self.services[service].targets;
         let out = |id: &&TargetId| self.targets.get(id).is_none_or(|target| !target.usable());
-        if (all.iter().filter(out).count() + 1) * 2 > all.len() && self.holds(Guard::QuarantineCap) {
+        if (all.iter().filter(out).count() + 1) * 2 > all.len() && self.enforces(Guard::QuarantineCap) {
             return self.count(Counter::QuarantineCapped);
         }
         self.count(Counter::Quarantined);
@@ -316,11 +316,12 @@
         if late {
             return self.give_up(now, id, Reason::DeadlineMissed, peer);
         }
-        let plain = !self.settings.policy.budget || !self.settings.guards.hold(Guard::RetryBudget);
+        let plain =
+            !self.settings.policy.use_retry_budget || !self.settings.guards.enforces(Guard::RetryBudget);
         let allowed = if plain {
             request.sends < PLAIN_SENDS
         } else {
-            self.budget.spend()
+            self.retry_budget.try_spend()
         };
         if !allowed {
             self.count(Counter::RetryDenied);
--- a/crates/barleyspool_core/src/router/end.rs
+++ b/crates/barleyspool_core/src/router/completion.rs
@@ -43,7 +43,7 @@
             return;
         };
         self.request_chart.step(&mut request.phase, RequestEvent::GivenUp);
-        let touched = request.touched && self.settings.guards.hold(Guard::RequestUntouched);
+        let touched = request.touched && self.settings.guards.enforces(Guard::NotRunProven);
         let ran = touched || request.earlier == Earlier::Uncertain;
         let verdict = if ran { Verdict::Unknown } else { Verdict::NotRun };
         let step = Some(request.stage().service);
--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::{
-    Attempt, Choice, Counter, Echo, Place, Reason, RequestEvent, RequestId, ServiceIx, Span, StagePlan,
-    StepOrder, TargetId, TargetState, Time, TrafficAction, Waiting, rendezvous,
+    Attempt, Counter, Echo, LoadBalancing, Place, Reason, RequestEvent, RequestId, ServiceIx, Span,
+    StagePlan, StepOrder, TargetId, TargetState, Time, TrafficAction, Waiting, rendezvous,
 };
 use rand::Rng;
 use slotmap::Key;
@@ -130,22 +130,22 @@
         if free.is_empty() {
             return None;
         }
-        if prefix != 0 && self.settings.policy.choice == Choice::TwoChoices {
+        if prefix != 0 && self.settings.policy.balancing == LoadBalancing::TwoChoices {
             let holder = self.prefix_holder(service, prefix, &free);
             if holder.is_some() {
                 return holder;
             }
         }
-        match self.settings.policy.choice {
-            Choice::TwoChoices => {
+        match self.settings.policy.balancing {
+            LoadBalancing::TwoChoices => {
                 let a = free[self.random.random_range(0..free.len())];
                 let b = free[self.random.random_range(0..free.len())];
                 Some(self.better(now, service, a, b))
             }
-            Choice::LeastInFlight => free
+            LoadBalancing::LeastInFlight => free
                 .into_iter()
                 .min_by_key(|id| self.targets.get(id).map_or(0, |target| target.in_flight)),
-            Choice::RoundRobin => {
+            LoadBalancing::RoundRobin => {
                 let state = &mut self.services[usize::from(service.0)];
                 state.turn = state.turn.wrapping_add(1);
                 Some(free[state.turn % free.len()])
@@ -266,7 +266,7 @@
         let Some(request) = self.requests.get(id) else {
             return Time(0);
         };
-        if !self.settings.policy.max_wait || !request.repeatable() {
+        if !self.settings.policy.attempt_timeouts || !request.repeatable() {
             return request.deadline;
         }
         let took = |stage: &StagePlan| self.services[usize::from(stage.service.0)].took;
--- a/crates/barleyspool_core/src/router/mod.rs
+++ b/crates/barleyspool_core/src/router/mod.rs
@@ -3,12 +3,12 @@
 //! A router is stepped with the time and what happened, and says what to do. It owns no clock, socket or
 //! thread, so tests and replays drive it exactly as the daemon does.
 
+mod admission;
 mod answer;
-mod arrive;
+mod completion;
 mod dispatch;
-mod end;
 
-pub use arrive::Forecast;
+pub use admission::Forecast;
 
 use crate::chart::{Chart, ChartError};
 use crate::{
@@ -81,7 +81,7 @@
     services: Vec<ServiceState>,
     targets: BTreeMap<TargetId, TargetState>,
     memory: KeyMemory,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     waiting: BTreeMap<u8, u32>,
     counters: Counters,
     random: SmallRng,
@@ -91,7 +91,7 @@
 }
 
 impl Router {
-    /// A router with no plan yet: it refuses everything until [`Router::take_plan`].
+    /// A router with no plan yet: it refuses everything until [`Router::apply_plan`].
     ///
     /// # Errors
     /// When a chart file does not fit the code; the daemons find that at start.
@@ -110,7 +110,7 @@
             timers: BTreeSet::new(),
             services: Vec::new(),
             targets: BTreeMap::new(),
-            budget: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             waiting: BTreeMap::new(),
             counters: Counters::default(),
             actions: Vec::new(),
@@ -164,7 +164,7 @@
     // The plan
 
     /// Takes a newer plan from the control thread, and what it lets go on.
-    pub fn take_plan(&mut self, now: Time, plan: Arc<Plan>) -> Vec<TrafficAction> {
+    pub fn apply_plan(&mut self, now: Time, plan: Arc<Plan>) -> Vec<TrafficAction> {
         let targets_changed = !Arc::ptr_eq(&plan.targets, &self.plan.targets);
         self.plan = plan;
         if let Some(config) = self.plan.config.clone() {
@@ -217,7 +217,7 @@
         }
         target.update(&listed, policy);
         target.rest(listed.rest_until, &self.target_chart);
-        if listed.leaving && self.settings.guards.hold(Guard::TargetLeaving) {
+        if listed.leaving && self.settings.guards.enforces(Guard::TargetLeaving) {
             self.target_chart
                 .step(&mut target.phase, TargetEvent::ReportedLeaving);
         }
@@ -320,13 +320,13 @@
         other.map(|peer| peer.address.clone())
     }
 
-    fn holds(&self, guard: Guard) -> bool {
-        self.settings.guards.hold(guard)
+    fn enforces(&self, guard: Guard) -> bool {
+        self.settings.guards.enforces(guard)
     }
 
     /// Whether the plan is too old to be acted on: the control thread hangs, or the process slept.
     fn plan_stale(&self, now: Time) -> bool {
-        !self.plan.fresh(now, self.settings.plan_age) && self.holds(Guard::PlanAge)
+        !self.plan.fresh(now, self.settings.plan_age) && self.enforces(Guard::PlanAge)
     }
 
     fn count(&mut self, counter: Counter) {
--- a/crates/barleyspool_core/src/target_state.rs
+++ b/crates/barleyspool_core/src/target_state.rs
@@ -1,7 +1,7 @@
 //! What this node believes of one target.
 
 use crate::chart::{Chart, symbol};
-use crate::{Bound, Limit, LoadReport, PlanTarget, Policy, Span, Time};
+use crate::{ConcurrencyLimit, LimitMode, LoadReport, PlanTarget, Policy, Span, Time};
 
 symbol! {
     /// A target as this node sees it.
@@ -59,7 +59,7 @@
     /// Calls of this node that it is working on.
     pub in_flight: u32,
     /// How many there may be.
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
     /// Its last load report, and when it came.
     pub report: Option<(LoadReport, Time)>,
     /// When to probe it, while it is in quarantine and no probe is under way.
@@ -73,7 +73,7 @@
 impl TargetState {
     /// A target that has just come into the plan.
     pub fn new(plan: PlanTarget, policy: &Policy) -> Self {
-        let limit = Limit::new(plan.share.ceil(), ceiling(&plan, policy));
+        let limit = ConcurrencyLimit::new(plan.share.ceil(), ceiling(&plan, policy));
         Self {
             plan,
             phase: TargetPhase::Live,
@@ -182,9 +182,9 @@
 
 /// The highest limit that the policy allows at this target.
 fn ceiling(plan: &PlanTarget, policy: &Policy) -> f64 {
-    match policy.bound {
-        Bound::Adaptive => f64::from(plan.slots),
-        Bound::Fixed(most) => f64::from(most),
-        Bound::Unbounded => f64::from(u32::MAX),
+    match policy.limit_mode {
+        LimitMode::Adaptive => f64::from(plan.slots),
+        LimitMode::Fixed(most) => f64::from(most),
+        LimitMode::Unbounded => f64::from(u32::MAX),
     }
 }
--- a/crates/barleyspool_core/tests/control.rs
+++ b/crates/barleyspool_core/tests/control.rs
@@ -158,7 +158,7 @@
         node.control.revision()
     };
     assert_eq!(
-        outcome(Guards::without(Guard::RevisionUp)),
+        outcome(Guards::without(Guard::RevisionMonotonic)),
         Revision(3),
         "without the guard it goes back"
     );
@@ -178,7 +178,7 @@
         (between, node.control.revision())
     };
     assert_eq!(
-        outcome(Guards::without(Guard::WholeCheck)).0,
+        outcome(Guards::without(Guard::ConfigAllOrNothing)).0,
         Revision(6),
         "without the guard it is taken"
     );
@@ -233,7 +233,7 @@
         lowest.unwrap_or_else(|| node.control.revision())
     };
     assert_eq!(
-        served_under(Guards::without(Guard::AskFirst)),
+        served_under(Guards::without(Guard::PeersBeforeServing)),
         Revision(2),
         "without the guard it serves an old one"
     );
@@ -394,7 +394,7 @@
         a.leaving(1)
     };
     assert!(
-        !knows(Guards::without(Guard::LeavingSpread)),
+        !knows(Guards::without(Guard::LeavingGossip)),
         "without the guard nobody is told"
     );
     assert!(knows(Guards::default()));
@@ -461,7 +461,7 @@
         at.since(START)
     };
     assert!(
-        left_at(Guards::without(Guard::StopWaits)) < ms(7000),
+        left_at(Guards::without(Guard::DrainBeforeStop)) < ms(7000),
         "without the guard it cuts off what runs"
     );
     assert_eq!(left_at(Guards::default()), ms(7000));
@@ -499,6 +499,6 @@
         rules,
         ..Gossip::default()
     };
-    assert_eq!(node.control.answer(START, &gossip).word, Word::default());
+    assert_eq!(node.control.answer(START, &gossip).vote, LeaseVote::default());
     assert!(node.control.counters().foreign_rules > 0);
 }
--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -570,22 +570,22 @@
 
 #[test]
 fn the_matrix_needs_unknown_to_be_final_for_unrepeatable_steps() {
-    is_needed(Guard::UnknownFinal);
+    is_needed(Guard::NoUnsafeRetry);
 }
 
 #[test]
 fn the_matrix_needs_not_run_to_speak_of_the_whole_request() {
-    is_needed(Guard::RequestUntouched);
+    is_needed(Guard::NotRunProven);
 }
 
 #[test]
 fn the_matrix_needs_part_offsets() {
-    is_needed(Guard::PartOffset);
+    is_needed(Guard::NoStreamGap);
 }
 
 #[test]
 fn the_matrix_needs_the_length_at_the_end() {
-    is_needed(Guard::EndLength);
+    is_needed(Guard::StreamLength);
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/lease_model.rs
+++ b/crates/barleyspool_core/tests/lease_model.rs
@@ -42,8 +42,8 @@
 struct Pending {
     from: u32,
     to: u32,
-    asked: Time,
-    word: Option<Word>,
+    requested_at: Time,
+    vote: Option<LeaseVote>,
 }
 
 /// A node: its lease, and whether it remembers the key.
@@ -132,7 +132,7 @@
             })
             .collect();
         for id in first {
-            nodes[*id as usize - 1].lease.list(at, &self.list(1));
+            nodes[*id as usize - 1].lease.apply_cell(at, &self.list(1));
         }
         let mut state = State {
             now: at,
@@ -155,7 +155,7 @@
         // Twice, since the word of a node counts only once it has heard others; again when settled.
         everybody(&mut state);
         everybody(&mut state);
-        state.now = at + rules().settling();
+        state.now = at + rules().takeover_wait();
         everybody(&mut state);
         state
     }
@@ -166,7 +166,7 @@
             // Nobody takes the key any more.
             return moves;
         }
-        if state.now < Time(100) + rules().settling() + Span(self.ticks) {
+        if state.now < Time(100) + rules().takeover_wait() + Span(self.ticks) {
             moves.push(Tick);
         }
         if let Some(a) = self.replace.filter(|_| !state.replaced) {
@@ -191,8 +191,8 @@
             }
         }
         match &state.pending {
-            Some(Pending { word: None, .. }) => moves.push(Give),
-            Some(Pending { word: Some(_), .. }) => moves.push(Hear),
+            Some(Pending { vote: None, .. }) => moves.push(Give),
+            Some(Pending { vote: Some(_), .. }) => moves.push(Hear),
             None => {}
         }
         moves
@@ -212,8 +212,8 @@
                 next.pending = Some(Pending {
                     from: *a,
                     to: *b,
-                    asked: next.now,
-                    word: None,
+                    requested_at: next.now,
+                    vote: None,
                 });
             }
             Give => {
@@ -221,14 +221,14 @@
                 let from = &next.nodes[pending.from as usize - 1];
                 let (id, run) = (NodeId(from.id), from.lease.incarnation());
                 let lease = &mut next.nodes[pending.to as usize - 1].lease;
-                pending.word = Some(lease.word(id, run));
+                pending.vote = Some(lease.vote_for(id, run));
                 next.pending = Some(pending);
             }
             Hear => {
                 let pending = next.pending.take()?;
-                let (now, word) = (next.now, pending.word?);
+                let (now, vote) = (next.now, pending.vote?);
                 let lease = &mut next.nodes[pending.from as usize - 1].lease;
-                lease.heard(now, NodeId(pending.to), pending.asked, word);
+                lease.apply_vote(now, NodeId(pending.to), pending.requested_at, vote);
             }
 
             List(a) => {
@@ -239,14 +239,14 @@
                     .position(|(epoch, _)| Epoch(*epoch) > lease.epoch())?
                     + 1;
                 let now = next.now;
-                lease.list(now, &self.list(upto));
+                lease.apply_cell(now, &self.list(upto));
             }
             Restart(a) => {
                 next.restarts += 1;
                 let old = next.nodes[*a as usize - 1].lease.incarnation();
                 let mut lease = self.fresh(*a, old.0 + 1);
                 // It starts with the oldest list there is: the service may be stale.
-                lease.list(next.now, &self.list(1));
+                lease.apply_cell(next.now, &self.list(1));
                 next.nodes[*a as usize - 1] = Node {
                     id: *a,
                     lease,
@@ -261,7 +261,7 @@
                 next.replaced = true;
                 let old = next.nodes[*a as usize - 1].lease.incarnation();
                 let mut lease = self.fresh(*a, old.0 + 1);
-                lease.list(next.now, &self.list(1));
+                lease.apply_cell(next.now, &self.list(1));
                 next.nodes.push(Node {
                     id: *a,
                     lease,
@@ -333,9 +333,11 @@
 fn exchange(state: &mut State, a: u32, b: u32) {
     let asker = &state.nodes[a as usize - 1];
     let (id, run) = (NodeId(asker.id), asker.lease.incarnation());
-    let word = state.nodes[b as usize - 1].lease.word(id, run);
+    let vote = state.nodes[b as usize - 1].lease.vote_for(id, run);
     let (now, asked) = (state.now, NodeId(state.nodes[b as usize - 1].id));
-    state.nodes[a as usize - 1].lease.heard(now, asked, now, word);
+    state.nodes[a as usize - 1]
+        .lease
+        .apply_vote(now, asked, now, vote);
 }
 
 /// Two hashes of a state, so that the seen states need little memory.
@@ -561,7 +563,7 @@
 /// The walks go deep enough to meet a double run when a guard is out.
 #[test]
 fn random_walks_find_a_guard_missing() {
-    for guard in [Guard::WordFresh, Guard::Settling, Guard::OthersOnly] {
+    for guard in [Guard::VoteFresh, Guard::TakeoverWait, Guard::NoSelfVote] {
         let mut seeds = (0..20_000).flat_map(|seed| SCENARIOS.iter().map(move |scenario| (seed, scenario.1)));
         let found = seeds.find(|(seed, scenario)| walk(*scenario, Guards::without(guard), *seed).is_some());
         println!(
@@ -601,14 +603,14 @@
 fn the_model_needs_fresh_words() {
     let begin = [List(2), List(3), Exchange(2, 3)];
     let moves = [&begin[..], &SETTLE, &[Send(1), Exchange(2, 3), Send(2)]].concat();
-    is_needed(Guard::WordFresh, removed, &moves);
+    is_needed(Guard::VoteFresh, removed, &moves);
 }
 
 #[test]
 fn the_model_needs_words_at_the_same_epoch() {
     let begin = [List(2), List(3), Exchange(2, 3)];
     let end = [Exchange(1, 2), Exchange(1, 3), Send(1), Exchange(2, 3), Send(2)];
-    is_needed(Guard::WordEpoch, removed, &[&begin[..], &SETTLE, &end].concat());
+    is_needed(Guard::VoteEpoch, removed, &[&begin[..], &SETTLE, &end].concat());
 }
 
 #[test]
@@ -616,7 +618,7 @@
     let begin = [List(4), List(4), List(4)];
     let end = [Exchange(1, 2), Exchange(1, 3), Send(1), Send(4)];
     is_needed(
-        Guard::EarlierSealed,
+        Guard::EarlierEpochsClosed,
         skipped,
         &[&begin[..], &SETTLE, &end].concat(),
     );
@@ -625,7 +627,7 @@
 #[test]
 fn the_model_needs_settling() {
     is_needed(
-        Guard::Settling,
+        Guard::TakeoverWait,
         removed,
         &[List(2), List(3), Exchange(2, 3), Send(1), Send(2)],
     );
@@ -645,7 +647,7 @@
         Exchange(2, 3),
         Send(2),
     ];
-    is_needed(Guard::SettlingMargin, removed, &moves);
+    is_needed(Guard::TakeoverFreshness, removed, &moves);
 }
 
 #[test]
@@ -659,7 +661,11 @@
         Exchange(4, 3),
         Send(4),
     ];
-    is_needed(Guard::WordRun, replaced, &[&begin[..], &SETTLE, &end].concat());
+    is_needed(
+        Guard::VoteIncarnation,
+        replaced,
+        &[&begin[..], &SETTLE, &end].concat(),
+    );
 }
 
 /// Found by the search: an old run and a new one each counted itself, and each found one other node.
@@ -667,7 +673,7 @@
 fn the_model_needs_a_node_not_to_confirm_itself() {
     let begin = [Replace(1), Exchange(4, 2)];
     let end = [Exchange(1, 3), Send(1), Exchange(4, 2), Send(4)];
-    is_needed(Guard::OthersOnly, replaced, &[&begin[..], &SETTLE, &end].concat());
+    is_needed(Guard::NoSelfVote, replaced, &[&begin[..], &SETTLE, &end].concat());
 }
 
 #[test]
@@ -676,5 +682,5 @@
     let middle = [Exchange(2, 3), Exchange(2, 4), Send(2), Restart(3), Restart(4)];
     let end = [Exchange(1, 3), Exchange(1, 4), Send(1)];
     let moves = [&begin[..], &SETTLE, &middle, &end].concat();
-    is_needed(Guard::WordJoined, restarted, &moves);
+    is_needed(Guard::VoteJoined, restarted, &moves);
 }
--- a/crates/barleyspool_core/tests/router.rs
+++ b/crates/barleyspool_core/tests/router.rs
@@ -123,7 +123,7 @@
         bench.refusal(caller).unwrap().verdict
     };
     assert_eq!(
-        verdict(Guards::without(Guard::EarlierSends)),
+        verdict(Guards::without(Guard::EarlierSendsUnknown)),
         Verdict::NotRun,
         "without the guard it is told so"
     );
@@ -219,7 +219,7 @@
         (lease(Time(u64::MAX), None), Reason::Unconfirmed, ms(500)),
         (
             lease(Time(u64::MAX), Some(START + ms(700))),
-            Reason::Settling,
+            Reason::TakeoverWait,
             ms(700),
         ),
     ];
@@ -577,23 +577,23 @@
 /// found when one entry carried 642 requests/s before a target that had 936 of its 1000 slots free.
 #[test]
 fn a_fast_target_with_free_slots_keeps_its_limit() {
-    let mut limit = Limit::new(64.0, 1000.0);
+    let mut limit = ConcurrencyLimit::new(64.0, 1000.0);
     let report = LoadReport {
         running: 64,
         queued: 0,
         slots: 1000,
     };
     for nth in 0..1000 {
-        limit.answered(START + ms(nth), Span(1300), false, Some(report));
-        limit.answered(START + ms(nth), Span(6000), false, Some(report));
-        limit.answered(START + ms(nth), Span(6000), false, None);
+        limit.record_answer(START + ms(nth), Span(1300), false, Some(report));
+        limit.record_answer(START + ms(nth), Span(6000), false, Some(report));
+        limit.record_answer(START + ms(nth), Span(6000), false, None);
     }
     assert!(limit.value >= 64.0, "{}", limit.value);
     // One whose calls wait, or that has become far slower and says nothing, is spared.
     for (report, took) in [(Some(LoadReport { queued: 5, ..report }), 1300), (None, 90_000)] {
         let mut limit = limit.clone();
         for nth in 1000..3000 {
-            limit.answered(START + ms(nth), Span(took), false, report);
+            limit.record_answer(START + ms(nth), Span(took), false, report);
         }
         assert!(limit.value < 32.0, "{}", limit.value);
     }
--- a/crates/barleyspool_core/tests/support/mod.rs
+++ b/crates/barleyspool_core/tests/support/mod.rs
@@ -245,7 +245,7 @@
     }
 
     pub fn take_plan(&mut self, plan: Plan) {
-        let actions = self.router.take_plan(self.now, Arc::new(plan));
+        let actions = self.router.apply_plan(self.now, Arc::new(plan));
         self.execute(actions);
     }
 
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -112,7 +112,7 @@
                 },
                 Some(event) = events.recv() => self.step(event),
                 Ok(()) = plans.changed() => {
-                    let actions = self.router.take_plan(self.shared.clock.now(), self.shared.plan.load_full());
+                    let actions = self.router.apply_plan(self.shared.clock.now(), self.shared.plan.load_full());
                     self.execute(actions);
                 }
                 () = tokio::time::sleep(wake) => self.step(TrafficEvent::Tick),
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -172,7 +172,7 @@
             Happening::Fault(fault) => self.fake.fault(&fault),
             Happening::Beat => {
                 self.plan.made = now;
-                let actions = self.router.take_plan(now, Arc::new(self.plan.clone()));
+                let actions = self.router.apply_plan(now, Arc::new(self.plan.clone()));
                 self.execute(now, actions);
                 self.schedule(now + BEAT, Happening::Beat);
             }
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -376,7 +376,7 @@
             node: NodeId(1),
             ..RouterSettings::default()
         })?;
-        router.take_plan(now, Arc::new(plan));
+        router.apply_plan(now, Arc::new(plan));
         Ok(Self {
             router,
             sent: Vec::new(),
