--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -1,9 +1,9 @@
 //! Which target answers a forwarded call, and whether a call may be sent again.
 
-use super::choice::own_tokens;
+use super::target_choice::own_tokens;
 use super::{
-    Catalog, Chosen, ForwardPlan, MemberView, Need, RetryWindow, SendEnd, ServiceTargets, TargetEntry,
-    TargetKey, TargetRecord, TargetTable,
+    Catalog, ForwardPlan, MemberView, RetryWindow, SendEnd, ServiceTargets, TargetChoice, TargetEntry,
+    TargetKey, TargetQuery, TargetRecord, TargetTable,
 };
 use crate::chart::{Chart, ChartError};
 use crate::{LimitTable, Ownership, Reach, RunMark, Span, TARGET_CHART, TargetEvent, TargetPhase, Time};
@@ -205,11 +205,11 @@
     }
 
     /// The target of that id, when this node may use it now.
-    pub fn usable(&mut self, now: Time, id: &str) -> Option<Chosen> {
+    pub fn usable(&mut self, now: Time, id: &str) -> Option<TargetChoice> {
         let key = *self.by_id.get(id)?;
         let record = self.targets.get_mut(key)?;
         let usable = record.usable(now, &self.chart) && record.rest(now) == Span::ZERO;
-        usable.then(|| Chosen {
+        usable.then(|| TargetChoice {
             target: key,
             id: record.entry.id.clone(),
             address: record.entry.address.clone(),
@@ -240,7 +240,7 @@
     // Sends
 
     /// A call goes out to `target`.
-    pub fn begin(&mut self, now: Time, need: &Need, target: TargetKey) -> SendKey {
+    pub fn begin(&mut self, now: Time, need: &TargetQuery, target: TargetKey) -> SendKey {
         let (expected, unread, queue_tokens) = match need.engine_memory {
             Some(memory) => {
                 let unread = own_tokens(need) + self.unread_prefix(now, need, memory, target, None);
@@ -279,7 +279,7 @@
     }
 
     /// The expected time until a call of this need yields its first output, once it is sent.
-    pub fn expected_first(&self, need: &Need) -> Span {
+    pub fn expected_first(&self, need: &TargetQuery) -> Span {
         let Some(_) = need.engine_memory else {
             return Span(self.expected_answer(&need.service) as u64);
         };
--- a/crates/barleyspool_core/src/forward/first_list.rs
+++ b/crates/barleyspool_core/src/forward/initial_list_read.rs
@@ -32,13 +32,13 @@
 
 /// When a node without a list of targets reads it at the source.
 #[derive(Copy, Clone, Debug)]
-pub struct FirstList {
+pub struct InitialListRead {
     started: Time,
     /// This node's place in the order in which nodes fall back; 0 to 1.
     place: f64,
 }
 
-impl FirstList {
+impl InitialListRead {
     /// A node that starts at `now`; `place` is drawn evenly from 0 to 1.
     pub fn new(now: Time, place: f64) -> Self {
         Self { started: now, place }
--- a/crates/barleyspool_core/src/forward/leaving_runs.rs
+++ b/crates/barleyspool_core/src/forward/leaving_incarnations.rs
@@ -21,11 +21,11 @@
 /// A run that leaves never takes that back, so whatever node reads it, the others can rely on it. The list of targets shows it
 /// later, and not at all while the source is away.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingRuns {
+pub struct LeavingIncarnations {
     read_at: HashMap<RunMark, Time>,
 }
 
-impl LeavingRuns {
+impl LeavingIncarnations {
     /// Notes that a run leaves; false when that was known.
     pub fn note(&mut self, now: Time, run: RunMark) -> bool {
         self.insert(run, now)
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -6,20 +6,17 @@
 //! this crate: [`Forwarder`] chooses targets and rations retries, [`StageProgress`] walks the graph of stages,
 //! [`PieceQueue`] lets pieces of many requests share the calls of a stage pool.
 
-mod bounded_targets;
 mod call_head;
 mod catalog;
 mod catalog_change;
 mod catalog_store;
-mod choice;
 mod evacuations;
 mod feed_cursor;
-mod first_list;
 mod forecast_correction;
 mod forwarder;
-mod leaving_runs;
+mod initial_list_read;
+mod leaving_incarnations;
 mod list_holder;
-mod need;
 mod packed_list;
 mod piece_batching;
 mod piece_order;
@@ -31,6 +28,7 @@
 mod pool_shards;
 mod pool_target;
 mod prefix_tracker;
+mod rate_limited_targets;
 mod result_store;
 mod retry_window;
 mod send_end;
@@ -40,16 +38,17 @@
 mod source_watch;
 mod stage_progress;
 mod start_hold;
+mod target_choice;
+mod target_cooldown;
 mod target_counts;
 mod target_entry;
+mod target_history;
 mod target_log;
-mod target_memory;
+mod target_query;
 mod target_record;
-mod target_rest;
 mod target_store;
 mod wait_estimate;
 
-pub use bounded_targets::{Grant, NO_ROOM_TTL, ReportedLimit};
 pub use call_head::{CallHead, PromptPart};
 pub use catalog::{
     CallerLimits, Catalog, CatalogDocument, CatalogFault, KeyHolder, Route, RouteKind, Share, StageSpec,
@@ -58,12 +57,11 @@
 pub use catalog_store::{CatalogStore, Offered};
 pub use evacuations::Evacuations;
 pub use feed_cursor::{FeedCursor, FeedStep, WATCH_MARGIN, poll_wait};
-pub use first_list::{FirstList, FleetView};
 pub use forecast_correction::ForecastCorrection;
 pub use forwarder::{ForwardSettings, Forwarder, SendKey};
-pub use leaving_runs::{LeavingRuns, LeavingUpdate};
+pub use initial_list_read::{FleetView, InitialListRead};
+pub use leaving_incarnations::{LeavingIncarnations, LeavingUpdate};
 pub use list_holder::{HandoutKey, ListHandout, ListHolder, ListTaker, choose_holder};
-pub use need::{Choose, Chosen, Need, Shard, shard_key};
 pub use packed_list::{PackedList, UnpackError};
 pub use piece_order::{
     BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
@@ -74,6 +72,7 @@
 pub use pool_shards::PoolShards;
 pub use pool_target::PoolTarget;
 pub use prefix_tracker::PrefixTracker;
+pub use rate_limited_targets::{Grant, NO_CAPACITY_TTL, ReportedLimit};
 pub use result_store::handle_address;
 pub use retry_window::RetryWindow;
 pub use send_end::{NextStep, SendEnd, SendHistory, next_step};
@@ -83,8 +82,9 @@
 pub use source_watch::{Held, SourceWatch};
 pub use stage_progress::{ReadyStage, StageProgress};
 pub use start_hold::hold_until;
+pub use target_cooldown::{CooldownReport, MAX_COOLDOWN};
 pub use target_counts::TargetCounts;
-pub use target_entry::{TargetEntry, TargetRun, TargetTable, TargetTimes};
+pub use target_entry::{TargetEntry, TargetIncarnation, TargetTable, TargetTimes};
+pub use target_query::{ChooseResult, Shard, TargetChoice, TargetQuery, shard_key};
 pub use target_record::{TargetKey, TargetRecord};
-pub use target_rest::{LONGEST_REST, RestReport};
 pub use target_store::{EXPIRY_GRACE, ExpiringEntries, TargetChange, TargetStore};
--- a/crates/barleyspool_core/src/forward/packed_list.rs
+++ b/crates/barleyspool_core/src/forward/packed_list.rs
@@ -3,7 +3,7 @@
 //! Names of services and zones stand once, addresses as numbers: some 35 bytes a target in place of 75 as a [`TargetTable`], and of 370 at the
 //! source. On a link of 20 Mbit/s, a list of 6,000 takes 90 ms.
 
-use super::{TargetEntry, TargetRun, TargetTable};
+use super::{TargetEntry, TargetIncarnation, TargetTable};
 use crate::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
         let mut zones = Names::default();
         let pack = |entry: &TargetEntry| PackedTarget {
             id: entry.id.clone(),
-            run: (entry.run != TargetRun(0)).then(|| entry.run.0 - run_base),
+            run: (entry.run != TargetIncarnation(0)).then(|| entry.run.0 - run_base),
             sequence: entry.sequence,
             service: services.place(&entry.service),
             zone: zones.place(&entry.zone),
@@ -105,7 +105,7 @@
             let service = self.services.get(target.service);
             let zone = self.zones.get(target.zone);
             let entry = TargetEntry {
-                run: TargetRun(target.run.map_or(0, |run| run.saturating_add(self.run_base))),
+                run: TargetIncarnation(target.run.map_or(0, |run| run.saturating_add(self.run_base))),
                 sequence: target.sequence,
                 service: service.cloned().ok_or(UnpackError::Service(place))?,
                 address: unpack_address(target.address),
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -9,7 +9,7 @@
 use super::result_store::Kept;
 use super::{
     BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
-    PoolSpec, PoolTarget, TargetRun,
+    PoolSpec, PoolTarget, TargetIncarnation,
 };
 use crate::{Span, Time};
 use slotmap::SlotMap;
@@ -52,7 +52,7 @@
 pub(super) struct Call {
     pub(super) target: String,
     /// The run of the target to which it was sent.
-    pub(super) run: TargetRun,
+    pub(super) run: TargetIncarnation,
     pub(super) items: Vec<BatchItem>,
     pub(super) started: Time,
     pub(super) expected: Span,
@@ -175,7 +175,7 @@
                     target.entry.run,
                 )
             }
-            None => (String::new(), String::new(), TargetRun::default()),
+            None => (String::new(), String::new(), TargetIncarnation::default()),
         };
         let asks = items.iter().map(|item| self.ask(now, *item)).collect();
         let call = self.calls.insert(Call {
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -1,6 +1,6 @@
 //! What the owner of a pool has seen of one of its targets.
 
-use super::bounded_targets::{Bound, least_bound};
+use super::rate_limited_targets::{RateLimit, lowest_rate_limit};
 use super::{ColdSpec, TargetEntry};
 use crate::{RateShare, Span, TargetBucket, Time, rendezvous};
 
@@ -88,8 +88,8 @@
     }
 
     /// What bounds it now; `None` when nothing does.
-    fn bound(&self, now: Time) -> Option<Bound> {
-        least_bound(now, &self.entry, self.cold, self.limit)
+    fn bound(&self, now: Time) -> Option<RateLimit> {
+        lowest_rate_limit(now, &self.entry, self.cold, self.limit)
     }
 
     /// The calls a second that it may get from here; `None` when nothing bounds it.
@@ -99,7 +99,7 @@
 
     /// How long until its rate allows it another call.
     pub(super) fn room_in(&self, now: Time) -> Span {
-        let wait = |bound: Bound| bound.wait(now, self.bucket.wait(now, bound.per_s, self.share));
+        let wait = |bound: RateLimit| bound.wait(now, self.bucket.wait(now, bound.per_s, self.share));
         self.bound(now).map_or(Span::ZERO, wait)
     }
 
--- a/crates/barleyspool_core/src/forward/bounded_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How long it is believed that a target has no room, however much later it was told to have any: it may name a higher limit meanwhile.
-pub const NO_ROOM_TTL: Span = Span::from_millis(1000);
+pub const NO_CAPACITY_TTL: Span = Span::from_millis(1000);
 
 /// An answer to the question whether a call may go to a target.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -15,7 +15,8 @@
     /// It may, after this wait.
     After(Span),
     /// The target has been given all that it takes; when there is room again.
-    NoRoom(Span),
+    #[serde(rename = "NoRoom")]
+    NoCapacity(Span),
 }
 
 impl Forwarder {
@@ -25,10 +26,10 @@
     }
 
     /// What bounds a target now; `None` when nothing does.
-    pub(super) fn bound(&self, now: Time, key: TargetKey, cold: Option<ColdSpec>) -> Option<Bound> {
+    pub(super) fn bound(&self, now: Time, key: TargetKey, cold: Option<ColdSpec>) -> Option<RateLimit> {
         let record = &self.targets[key];
         let limit = self.limits.per_s(record.mark);
-        least_bound(now, &record.entry, cold, limit)
+        lowest_rate_limit(now, &record.entry, cold, limit)
     }
 
     /// Whether any target of a service takes so many calls a second and no more now.
@@ -48,7 +49,7 @@
         &self,
         now: Time,
         service: &str,
-    ) -> impl Iterator<Item = (&TargetRecord, Option<Bound>)> {
+    ) -> impl Iterator<Item = (&TargetRecord, Option<RateLimit>)> {
         let cold = self.cold_spec(service);
         let keys = self.by_service.get(service).into_iter().flatten();
         let targets = keys.map(move |key| (&self.targets[*key], self.bound(now, *key, cold)));
@@ -131,7 +132,7 @@
     /// is counted.
     pub fn grant(&mut self, now: Time, id: &str, asker: u64, max_wait: Span) -> Grant {
         let Some(key) = self.by_id.get(id).copied() else {
-            return Grant::NoRoom(max_wait);
+            return Grant::NoCapacity(max_wait);
         };
         let service = self.targets[key].entry.service.clone();
         let cold = self.cold_spec(&service);
@@ -141,14 +142,14 @@
         let share = self.rate_share(now, self.shard_of(key), asker);
         let wait = self.room_in(now, key, bound, share);
         if wait > max_wait || bound.ends_within(now, wait) {
-            return Grant::NoRoom(share.ask_again(bound.wait(now, wait)));
+            return Grant::NoCapacity(share.ask_again(bound.wait(now, wait)));
         }
         self.targets[key].bucket.take(now, bound.per_s, share);
         Grant::After(wait)
     }
 
     /// How long until the rate of a target allows one more call.
-    pub(super) fn room_in(&mut self, now: Time, key: TargetKey, bound: Bound, share: RateShare) -> Span {
+    pub(super) fn room_in(&mut self, now: Time, key: TargetKey, bound: RateLimit, share: RateShare) -> Span {
         let record = &mut self.targets[key];
         record.bucket.begin(now, share, (record.hash, self.me));
         record.bucket.wait(now, bound.per_s, share)
@@ -195,14 +196,14 @@
 
 /// What bounds a target.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub(super) struct Bound {
+pub(super) struct RateLimit {
     /// The calls a second that it takes from all nodes together.
     pub(super) per_s: f64,
     /// When it ends, if that is known: a cold target that names no limit is warm then.
     until: Option<Time>,
 }
 
-impl Bound {
+impl RateLimit {
     /// Whether it ends before a wait of `wait` is over.
     pub(super) fn ends_within(&self, now: Time, wait: Span) -> bool {
         self.until.is_some_and(|until| now + wait >= until)
@@ -215,12 +216,12 @@
 }
 
 /// The least of what bounds a target: it is cold, or it named a limit.
-pub(super) fn least_bound(
+pub(super) fn lowest_rate_limit(
     now: Time,
     entry: &TargetEntry,
     cold: Option<ColdSpec>,
     limit: Option<f64>,
-) -> Option<Bound> {
+) -> Option<RateLimit> {
     let cold = cold.map(|spec| (spec.per_s, entry.cold_until(spec.start)));
     let cold = cold.filter(|(_, until)| now < *until);
     let (per_s, until) = match (cold, limit) {
@@ -228,5 +229,5 @@
         (Some((cold, until)), None) => (cold, Some(until)),
         (None, limit) => (limit?, None),
     };
-    Some(Bound { per_s, until })
+    Some(RateLimit { per_s, until })
 }
--- a/crates/barleyspool_core/src/forward/choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -1,7 +1,9 @@
 //! The choice of a target for a call.
 
 use super::target_record::AS_EXPECTED;
-use super::{Choose, Chosen, Forwarder, NO_ROOM_TTL, Need, TargetKey, TargetRecord, shard_key};
+use super::{
+    ChooseResult, Forwarder, NO_CAPACITY_TTL, TargetChoice, TargetKey, TargetQuery, TargetRecord, shard_key,
+};
 use crate::{Span, Time, rendezvous};
 use rand::Rng;
 
@@ -39,9 +41,9 @@
 
 impl Forwarder {
     /// The target for a call.
-    pub fn choose(&mut self, now: Time, need: &Need) -> Choose {
+    pub fn choose(&mut self, now: Time, need: &TargetQuery) -> ChooseResult {
         let Some(keys) = self.by_service.get(&need.service).cloned() else {
-            return Choose::Busy(BUSY_WAIT);
+            return ChooseResult::Busy(BUSY_WAIT);
         };
         let mut usable: Vec<TargetKey> = Vec::with_capacity(keys.len());
         for key in &keys {
@@ -74,7 +76,7 @@
 
     /// The target for a call that this node places for another one, or for itself. When the target takes so many calls a
     /// second and no more, this one is counted.
-    pub fn place(&mut self, now: Time, need: &Need, asker: u64) -> Choose {
+    pub fn place(&mut self, now: Time, need: &TargetQuery, asker: u64) -> ChooseResult {
         // Other nodes may name a service or a shard that there is not, or not any more; nothing is kept for those.
         let known = self.by_service.contains_key(&need.service);
         let placing = need.placing.filter(|shard| known && shard.number < shard.of);
@@ -83,7 +85,7 @@
             self.rate_share(now, shard, asker)
         });
         let choice = self.choose(now, need);
-        if let (Choose::Send(chosen), Some(share)) = (&choice, share) {
+        if let (ChooseResult::Send(chosen), Some(share)) = (&choice, share) {
             let bound = self.bound(now, chosen.target, self.cold_spec(&need.service));
             if let (Some(bound), Some(record)) = (bound, self.targets.get_mut(chosen.target)) {
                 record.bucket.take(now, bound.per_s, share);
@@ -93,7 +95,7 @@
     }
 
     /// Takes those out of `usable` that have been given all that they take. Returns when one of them has room again.
-    fn with_room(&mut self, now: Time, need: &Need, usable: &mut Vec<TargetKey>) -> Room {
+    fn with_room(&mut self, now: Time, need: &TargetQuery, usable: &mut Vec<TargetKey>) -> Room {
         let mut room = Room::default();
         let cold = self.cold_spec(&need.service);
         if cold.is_none() && self.limits.is_empty() {
@@ -123,7 +125,7 @@
                 None => {
                     let record = &self.targets[*key];
                     let wait = record.no_room_until.since(now);
-                    let old = now.since(record.no_room_at) >= NO_ROOM_TTL;
+                    let old = now.since(record.no_room_at) >= NO_CAPACITY_TTL;
                     if old || wait <= need.max_wait {
                         Span::ZERO
                     } else {
@@ -138,10 +140,10 @@
     }
 
     /// The answer when no target can be used at once.
-    fn when_room(&self, now: Time, need: &Need, room: &Room) -> Choose {
+    fn when_room(&self, now: Time, need: &TargetQuery, room: &Room) -> ChooseResult {
         let rest = self.all_rest(now, need);
         if rest > need.max_wait {
-            return Choose::Resting(rest);
+            return ChooseResult::Resting(rest);
         }
         if let Some((key, wait)) = room.first
             && wait <= need.max_wait
@@ -150,24 +152,26 @@
         }
         match room.wait {
             // One that is only full for a moment, or warm in a moment, is worth waiting for.
-            Some(wait) if wait > need.max_wait && !self.has_unbounded(now, need) => Choose::NoRoom(wait),
-            _ => Choose::Busy(BUSY_WAIT),
+            Some(wait) if wait > need.max_wait && !self.has_unbounded(now, need) => {
+                ChooseResult::NoCapacity(wait)
+            }
+            _ => ChooseResult::Busy(BUSY_WAIT),
         }
     }
 
     /// Whether any target that nothing bounds and that does not rest may get work, if not at this moment.
-    fn has_unbounded(&self, now: Time, need: &Need) -> bool {
+    fn has_unbounded(&self, now: Time, need: &TargetQuery) -> bool {
         let rests = |record: &TargetRecord| !need.for_other && record.rest(now) > Span::ZERO;
         let placed_here = |hash| need.placing.is_none_or(|shard| shard.holds(hash));
         self.working_bounds(now, &need.service)
             .any(|(record, bound)| bound.is_none() && !rests(record) && placed_here(record.hash))
     }
 
-    fn send_to(&self, target: TargetKey, source: Option<String>, bounded: bool, wait: Span) -> Choose {
+    fn send_to(&self, target: TargetKey, source: Option<String>, bounded: bool, wait: Span) -> ChooseResult {
         let Some(record) = self.targets.get(target) else {
-            return Choose::Busy(BUSY_WAIT);
+            return ChooseResult::Busy(BUSY_WAIT);
         };
-        Choose::Send(Chosen {
+        ChooseResult::Send(TargetChoice {
             target,
             id: record.entry.id.clone(),
             address: record.entry.address.clone(),
@@ -178,15 +182,15 @@
     }
 
     /// The zone of the target that a call would go to now.
-    pub fn likely_zone(&mut self, now: Time, need: &Need) -> Option<String> {
+    pub fn likely_zone(&mut self, now: Time, need: &TargetQuery) -> Option<String> {
         match self.choose(now, need) {
-            Choose::Send(chosen) => Some(self.targets.get(chosen.target)?.entry.zone.clone()),
-            Choose::NoRoom(_) | Choose::Resting(_) | Choose::Busy(_) => None,
+            ChooseResult::Send(chosen) => Some(self.targets.get(chosen.target)?.entry.zone.clone()),
+            ChooseResult::NoCapacity(_) | ChooseResult::Resting(_) | ChooseResult::Busy(_) => None,
         }
     }
 
     /// The zone in which a call should be answered.
-    fn zone<'a>(&'a self, need: &'a Need) -> &'a str {
+    fn zone<'a>(&'a self, need: &'a TargetQuery) -> &'a str {
         if need.zone.is_empty() {
             &self.settings.zone
         } else {
@@ -194,7 +198,7 @@
         }
     }
 
-    fn choose_plain(&mut self, now: Time, need: &Need, usable: &[TargetKey]) -> TargetKey {
+    fn choose_plain(&mut self, now: Time, need: &TargetQuery, usable: &[TargetKey]) -> TargetKey {
         let zone = self.zone(need).to_owned();
         let failing = |key: &TargetKey| self.targets[*key].failing_now(now);
         let least_failing = usable.iter().map(failing).fold(1.0, f64::min);
@@ -213,7 +217,13 @@
         self.least(usable, &scores)
     }
 
-    fn choose_engine(&mut self, now: Time, need: &Need, memory: u64, usable: &[TargetKey]) -> TargetKey {
+    fn choose_engine(
+        &mut self,
+        now: Time,
+        need: &TargetQuery,
+        memory: u64,
+        usable: &[TargetKey],
+    ) -> TargetKey {
         let zone = self.zone(need).to_owned();
         let home = self.prefix_home(need.prefix, usable);
         let own = own_tokens(need);
@@ -241,7 +251,7 @@
     pub(super) fn unread_prefix(
         &self,
         now: Time,
-        need: &Need,
+        need: &TargetQuery,
         memory: u64,
         key: TargetKey,
         home: Option<TargetKey>,
@@ -266,7 +276,7 @@
     fn prefix_source(
         &self,
         now: Time,
-        need: &Need,
+        need: &TargetQuery,
         memory: u64,
         usable: &[TargetKey],
         chosen: TargetKey,
@@ -310,6 +320,6 @@
 }
 
 /// The tokens of a call's prompt that no other call shares.
-pub(super) fn own_tokens(need: &Need) -> f64 {
+pub(super) fn own_tokens(need: &TargetQuery) -> f64 {
     f64::from(need.prompt_tokens.saturating_sub(need.prefix_tokens))
 }
--- a/crates/barleyspool_core/src/forward/target_rest.rs
+++ b/crates/barleyspool_core/src/forward/target_cooldown.rs
@@ -2,15 +2,15 @@
 //!
 //! A target asks that in a refusal, of the node that it refuses and of no other.
 
-use super::{Forwarder, Need, TargetKey};
+use super::{Forwarder, TargetKey, TargetQuery};
 use crate::{Span, Time};
 
 /// The longest rest that is kept to: a target that names more is tried again after it.
-pub const LONGEST_REST: Span = Span::from_secs(600);
+pub const MAX_COOLDOWN: Span = Span::from_secs(600);
 
 /// What a refusal says of rest.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
-pub enum RestReport {
+pub enum CooldownReport {
     /// It asks for none.
     #[default]
     None,
@@ -36,7 +36,7 @@
         if sent < record.entry.times.restarted || rest == Span::ZERO {
             return false;
         }
-        record.rest_until = record.rest_until.max(now + rest.min(LONGEST_REST));
+        record.rest_until = record.rest_until.max(now + rest.min(MAX_COOLDOWN));
         let begins = !self.resting.contains(&key);
         if begins {
             self.resting.push(key);
@@ -60,7 +60,7 @@
     }
 
     /// How long all targets of a call's service that may get work still rest; zero when one of them does not.
-    pub fn all_rest(&self, now: Time, need: &Need) -> Span {
+    pub fn all_rest(&self, now: Time, need: &TargetQuery) -> Span {
         if self.resting.is_empty() || need.for_other {
             return Span::ZERO;
         }
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -7,7 +7,7 @@
 /// Which start of a target is meant: when it started by its own clock, in milliseconds since 1970. Zero when it does not
 /// tell; then a restart has another id.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TargetRun(pub u64);
+pub struct TargetIncarnation(pub u64);
 
 /// What this node learnt, by its own clock, of a target's life. It is not told to other nodes, whose clocks differ.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// Its name.
     pub id: String,
     /// Which start of it this is.
-    pub run: TargetRun,
+    pub run: TargetIncarnation,
     /// Counts what this run of the target has written into its entry.
     pub sequence: u64,
     /// Its service.
@@ -113,8 +113,8 @@
 
     /// Whether this is an older word of the target than `known`: of an earlier run, or one that the same run wrote before.
     /// Words arrive late, and by way of other nodes.
-    pub fn is_older(&self, known: (TargetRun, u64)) -> bool {
-        let numbered = self.run != TargetRun(0) && known.0 != TargetRun(0);
+    pub fn is_older(&self, known: (TargetIncarnation, u64)) -> bool {
+        let numbered = self.run != TargetIncarnation(0) && known.0 != TargetIncarnation(0);
         numbered && (self.run, self.sequence) < known
     }
 }
--- a/crates/barleyspool_core/src/forward/target_memory.rs
+++ b/crates/barleyspool_core/src/forward/target_history.rs
@@ -1,6 +1,6 @@
 //! What a node knows of targets beside their entries in the list.
 
-use super::{LeavingRuns, TargetEntry, TargetRun, TargetTable};
+use super::{LeavingIncarnations, TargetEntry, TargetIncarnation, TargetTable};
 use crate::{RunMark, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -29,15 +29,15 @@
 /// The last report of a target that is gone from the list.
 #[derive(Copy, Clone, Debug)]
 struct Past {
-    report: (TargetRun, u64),
+    report: (TargetIncarnation, u64),
     at: Time,
 }
 
 /// What a node knows of targets beside their entries in the list.
 #[derive(Clone, Debug, Default)]
-pub(super) struct TargetMemory {
+pub(super) struct TargetHistory {
     /// Runs that have said in an answer that they leave.
-    said_leaving: LeavingRuns,
+    said_leaving: LeavingIncarnations,
     /// Targets of which more is known than the source has reported since it came back from a copy.
     kept: BTreeSet<String>,
     /// Entries that came back although their targets were gone, and until when they are not relied on.
@@ -46,7 +46,7 @@
     past: BTreeMap<String, Past>,
 }
 
-impl TargetMemory {
+impl TargetHistory {
     // ------------------------------------------------------------------------
     // Targets that leave
 
@@ -78,7 +78,7 @@
     }
 
     /// The last report of a target that went a short while ago.
-    pub(super) fn last_report(&self, now: Time, id: &str) -> Option<(TargetRun, u64)> {
+    pub(super) fn last_report(&self, now: Time, id: &str) -> Option<(TargetIncarnation, u64)> {
         let past = self.past.get(id)?;
         (now.since(past.at) < PAST_KEPT).then_some(past.report)
     }
--- a/crates/barleyspool_core/src/forward/need.rs
+++ b/crates/barleyspool_core/src/forward/target_query.rs
@@ -5,7 +5,7 @@
 
 /// What a call needs of its target.
 #[derive(Clone, Debug, Default)]
-pub struct Need {
+pub struct TargetQuery {
     /// The service.
     pub service: String,
     /// The route, whose calls resemble each other.
@@ -60,7 +60,7 @@
 
 /// The target of a send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct TargetChoice {
     /// The target.
     pub target: TargetKey,
     /// The run of it that is meant.
@@ -82,11 +82,11 @@
 
 /// An answer of [`crate::Forwarder::choose`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Choose {
+pub enum ChooseResult {
     /// Send it there.
-    Send(Chosen),
+    Send(TargetChoice),
     /// Every target that is usable has been given all that it takes; when there is room again.
-    NoRoom(Span),
+    NoCapacity(Span),
     /// All targets that may get work have asked this node for rest; when the first one's is over.
     Resting(Span),
     /// No target is usable now; when to come back.
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -1,8 +1,8 @@
 //! The list of targets that the platform last told, itself or by way of other nodes.
 
+use super::target_history::{Freshness, TargetHistory};
 use super::target_log::TargetLog;
-use super::target_memory::{Freshness, TargetMemory};
-use super::{ForwardPlan, ServiceTargets, TargetEntry, TargetRun, TargetTable, service_targets};
+use super::{ForwardPlan, ServiceTargets, TargetEntry, TargetIncarnation, TargetTable, service_targets};
 use crate::{Revision, RunMark, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -44,7 +44,7 @@
     /// The zones that are evacuated.
     evacuated: BTreeSet<String>,
     /// What is known of targets beside the list.
-    memory: TargetMemory,
+    memory: TargetHistory,
     /// How it came to be, for nodes that know an older one.
     log: TargetLog,
 }
@@ -263,7 +263,8 @@
             .map(|known| (known.run, known.sequence))
             .or_else(|| self.memory.last_report(now, &report.id));
         // A target that ever told which start of it this is always does.
-        let run_missing = report.run == TargetRun(0) && last.is_some_and(|(run, _)| run != TargetRun(0));
+        let run_missing =
+            report.run == TargetIncarnation(0) && last.is_some_and(|(run, _)| run != TargetIncarnation(0));
         if (report.unreadable || run_missing)
             && let Some(known) = known
         {
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -6,7 +6,7 @@
 use super::table::Membership;
 use super::turn::Turn;
 use super::{MemberAction, MemberQuestion};
-use crate::{LeavingRuns, LeavingUpdate, RunMark, Time};
+use crate::{LeavingIncarnations, LeavingUpdate, RunMark, Time};
 
 /// Nodes that are notified at once by the one that reads an answer.
 const NOTIFIED_FIRST: usize = 16;
@@ -18,14 +18,14 @@
 /// What this node knows and passes on of targets that leave.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    runs: LeavingRuns,
+    runs: LeavingIncarnations,
     /// The runs in the order in which they are passed on; each in turn.
     turn: Turn<RunMark>,
 }
 
 impl Membership {
     /// Runs of targets that have said in an answer, here or at another node, that they leave.
-    pub fn leaving_runs(&self) -> &LeavingRuns {
+    pub fn leaving_runs(&self) -> &LeavingIncarnations {
         &self.leaving.runs
     }
 
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use crate::{
-    AttemptEnd, AttemptId, Counter, Echo, Fate, Guard, LONGEST_REST, LoadReport, Payload, Peer, Reason,
+    AttemptEnd, AttemptId, Counter, Echo, Fate, Guard, LoadReport, MAX_COOLDOWN, Payload, Peer, Reason,
     RequestEvent, RequestId, RetryReason, ServiceIx, Span, TargetEvent, TargetId, TargetPhase, TargetRest,
     Time, TrafficAction,
 };
@@ -236,7 +236,7 @@
         let rest = TargetRest {
             target: id,
             incarnation: target.plan.incarnation,
-            until: now + rest.min(LONGEST_REST),
+            until: now + rest.min(MAX_COOLDOWN),
         };
         target.rest(rest.until, &self.target_chart);
         self.count(Counter::AskedRest);
--- a/crates/barleyspool_core/tests/cold_targets.rs
+++ b/crates/barleyspool_core/tests/cold_targets.rs
@@ -9,8 +9,8 @@
 mod rated_fleet;
 
 use barleyspool_core::{
-    Choose, Need, Ownership, Rate, RateShare, Reach, Shard, Span, Standing, TargetBucket, TargetEntry, Time,
-    TokenBucket,
+    ChooseResult, Ownership, Rate, RateShare, Reach, Shard, Span, Standing, TargetBucket, TargetEntry,
+    TargetQuery, Time, TokenBucket,
 };
 use rated_fleet::{ENGINES, Fleet, Rates, need, node, owner_plan};
 
@@ -75,28 +75,31 @@
 
 #[test]
 fn a_node_that_chooses_alone_or_has_just_started_sends_nothing_to_a_cold_engine() {
-    let alone = Need {
+    let alone = TargetQuery {
         engine_memory: Some(600_000),
         ..need()
     };
-    let placing = Need {
+    let placing = TargetQuery {
         placing: Some(Shard::WHOLE),
         ..alone.clone()
     };
     let mut converged = node(&owner_plan(&cold(), true), 1);
     // Long enough that the owner before, if there was one, knows of this one.
     let later = Time::from_millis(2500);
-    assert!(matches!(converged.choose(later, &alone), Choose::Busy(_)));
+    assert!(matches!(converged.choose(later, &alone), ChooseResult::Busy(_)));
     assert!(matches!(
         converged.place(Time::from_millis(2000), &placing, 1),
-        Choose::Busy(_) | Choose::NoRoom(_)
+        ChooseResult::Busy(_) | ChooseResult::NoCapacity(_)
+    ));
+    assert!(matches!(
+        converged.place(later, &placing, 1),
+        ChooseResult::Send(_)
     ));
-    assert!(matches!(converged.place(later, &placing, 1), Choose::Send(_)));
     let mut new = node(&owner_plan(&cold(), false), 1);
-    assert!(matches!(new.place(later, &placing, 1), Choose::Busy(_)));
+    assert!(matches!(new.place(later, &placing, 1), ChooseResult::Busy(_)));
     let warm = Time(0) + COLD;
     assert!(
-        matches!(new.choose(warm, &alone), Choose::Send(_)),
+        matches!(new.choose(warm, &alone), ChooseResult::Send(_)),
         "time warms them"
     );
 }
@@ -179,7 +182,7 @@
 fn a_call_that_finds_all_cold_is_told_to_come_back_when_one_is_warm() {
     const SLOW: f64 = 0.2;
     let mut owner = node(&owner_plan(&Rates::Cold(SLOW, COLD), true), 1);
-    let need = Need {
+    let need = TargetQuery {
         engine_memory: Some(600_000),
         max_wait: Span::from_millis(75),
         placing: Some(Shard::WHOLE),
@@ -188,15 +191,15 @@
     // Within its first interval of 5 s it has nothing to give out.
     let at = |ms| Time::from_millis(ms);
     assert!(
-        matches!(owner.place(at(2400), &need, 1), Choose::NoRoom(_)),
+        matches!(owner.place(at(2400), &need, 1), ChooseResult::NoCapacity(_)),
         "it gives out parts"
     );
-    let Choose::NoRoom(wait) = owner.place(at(2500), &need, 1) else {
+    let ChooseResult::NoCapacity(wait) = owner.place(at(2500), &need, 1) else {
         panic!("there is no room");
     };
     assert_eq!(at(2500) + wait, Time(0) + COLD);
-    assert!(matches!(owner.place(at(2950), &need, 1), Choose::Busy(_)));
-    assert!(matches!(owner.place(at(3000), &need, 1), Choose::Send(_)));
+    assert!(matches!(owner.place(at(2950), &need, 1), ChooseResult::Busy(_)));
+    assert!(matches!(owner.place(at(3000), &need, 1), ChooseResult::Send(_)));
 }
 
 /// One target is cold, the others are full for a moment: that is no reason to turn a call away.
@@ -211,14 +214,14 @@
     }
     plan.targets = std::sync::Arc::new(targets);
     let mut owner = node(&plan, 1);
-    let need = Need {
+    let need = TargetQuery {
         engine_memory: Some(600_000),
         placing: Some(Shard::WHOLE),
         ..need()
     };
     let now = Time::from_millis(2500);
     let mut sends = 0;
-    while let Choose::Send(chosen) = owner.place(now, &need, 1) {
+    while let ChooseResult::Send(chosen) = owner.place(now, &need, 1) {
         let send = owner.begin(now, &need, chosen.target);
         let refused = barleyspool_core::SendEnd::Refused {
             misdirected: false,
@@ -228,5 +231,5 @@
         sends += 1;
         assert!(sends < 100, "each is full after one call");
     }
-    assert!(matches!(owner.place(now, &need, 1), Choose::Busy(_)));
+    assert!(matches!(owner.place(now, &need, 1), ChooseResult::Busy(_)));
 }
--- a/crates/barleyspool_core/tests/forward_choice.rs
+++ b/crates/barleyspool_core/tests/forward_choice.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    Choose, Chosen, ForwardPlan, ForwardSettings, Forwarder, Need, SendEnd, Shard, TargetEntry, TargetTable,
-    Time, rendezvous,
+    ChooseResult, ForwardPlan, ForwardSettings, Forwarder, SendEnd, Shard, TargetChoice, TargetEntry,
+    TargetQuery, TargetTable, Time, rendezvous,
 };
 use std::sync::Arc;
 
@@ -44,15 +44,15 @@
     forwarder
 }
 
-fn need() -> Need {
-    Need {
+fn need() -> TargetQuery {
+    TargetQuery {
         service: "s".to_owned(),
-        ..Need::default()
+        ..TargetQuery::default()
     }
 }
 
-fn engine_need(prefix: u64) -> Need {
-    Need {
+fn engine_need(prefix: u64) -> TargetQuery {
+    TargetQuery {
         engine_memory: Some(600_000),
         prefix,
         prefix_tokens: 13_000,
@@ -61,10 +61,12 @@
     }
 }
 
-fn choose(forwarder: &mut Forwarder, now: Time, need: &Need) -> Chosen {
+fn choose(forwarder: &mut Forwarder, now: Time, need: &TargetQuery) -> TargetChoice {
     match forwarder.choose(now, need) {
-        Choose::Send(chosen) => chosen,
-        Choose::NoRoom(_) | Choose::Resting(_) | Choose::Busy(_) => panic!("a target is free"),
+        ChooseResult::Send(chosen) => chosen,
+        ChooseResult::NoCapacity(_) | ChooseResult::Resting(_) | ChooseResult::Busy(_) => {
+            panic!("a target is free")
+        }
     }
 }
 
@@ -120,7 +122,7 @@
         let send = forwarder.begin(at(ms), &need(), chosen.target);
         forwarder.end(at(ms), send, SendEnd::Unreachable);
     }
-    assert!(matches!(forwarder.choose(at(41), &need()), Choose::Send(_)));
+    assert!(matches!(forwarder.choose(at(41), &need()), ChooseResult::Send(_)));
 }
 
 #[test]
@@ -132,14 +134,14 @@
         entry.leaving = true;
     }
     forwarder.take_plan(&plan(listed));
-    assert!(matches!(forwarder.choose(at(0), &need()), Choose::Busy(_)));
+    assert!(matches!(forwarder.choose(at(0), &need()), ChooseResult::Busy(_)));
 }
 
 #[test]
 fn a_target_that_failed_this_call_is_not_chosen_for_it_again_while_there_are_others() {
     let mut forwarder = forwarder(1, 3);
     let first = choose(&mut forwarder, at(0), &need());
-    let avoiding = Need {
+    let avoiding = TargetQuery {
         avoid: vec![first.target],
         ..need()
     };
@@ -181,8 +183,8 @@
     assert!(slow * 4 < counts["i-2"], "{counts:?}");
 }
 
-fn placing(prefix: u64) -> Need {
-    Need {
+fn placing(prefix: u64) -> TargetQuery {
+    TargetQuery {
         placing: Some(Shard { number: 0, of: 1 }),
         ..engine_need(prefix)
     }
@@ -241,7 +243,7 @@
 #[test]
 fn an_engine_that_does_not_hold_a_prefix_is_told_which_one_does() {
     let mut forwarder = forwarder(1, 6);
-    let need = Need {
+    let need = TargetQuery {
         copies: true,
         ..engine_need(7)
     };
@@ -263,7 +265,7 @@
         held.push(chosen.address);
     }
     assert!(told > 0, "all eight went to one engine");
-    let alone = Need {
+    let alone = TargetQuery {
         copies: false,
         avoid: vec![first.target],
         ..need
--- a/crates/barleyspool_core/tests/source_reading/first_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/first_list.rs
@@ -4,8 +4,8 @@
 
 use crate::net::Net;
 use barleyspool_core::{
-    FirstList, FleetView, HandoutKey, ListHandout, ListHolder, ListTaker, MemberEvent, MemberHealth,
-    PackedList, ReaderCandidate, Revision, SourceRole, SourceState, Span, TargetEntry, TargetRun,
+    FleetView, HandoutKey, InitialListRead, ListHandout, ListHolder, ListTaker, MemberEvent, MemberHealth,
+    PackedList, ReaderCandidate, Revision, SourceRole, SourceState, Span, TargetEntry, TargetIncarnation,
     TargetTable, Time, choose_holder, rendezvous, source_role,
 };
 use rand::rngs::SmallRng;
@@ -55,7 +55,7 @@
     zone: &'static str,
     link_mbps: u32,
     starts: Time,
-    first: FirstList,
+    first: InitialListRead,
     role: SourceRole,
     view: FleetView,
     /// Since when it knows that others have the list.
@@ -87,7 +87,7 @@
             "i-{:010x}",
             rendezvous::place(7, place as u64) as u64 & 0xff_ffff_ffff
         ),
-        run: TargetRun(1_700_000_000_000 + place as u64 * 17),
+        run: TargetIncarnation(1_700_000_000_000 + place as u64 * 17),
         sequence: 40,
         service: format!("service-{}", place % 5),
         address: format!("10.{}.{}.{}:8080", place % 5, place / 250, place % 250),
@@ -118,7 +118,7 @@
                 zone: ZONES[place / one_in % ZONES.len()],
                 link_mbps,
                 starts,
-                first: FirstList::new(starts, random.random()),
+                first: InitialListRead::new(starts, random.random()),
                 role: SourceRole::default(),
                 view: FleetView::default(),
                 knew: None,
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use barleyspool_core::{
-    Catalog, CatalogDocument, Choose, ColdSpec, ForwardPlan, ForwardService, ForwardSettings, Forwarder,
-    Grant, LimitReport, MemberView, Need, Reach, Shard, Span, TargetEntry, TargetTable, Time, rendezvous,
-    service_targets, shard_key,
+    Catalog, CatalogDocument, ChooseResult, ColdSpec, ForwardPlan, ForwardService, ForwardSettings,
+    Forwarder, Grant, LimitReport, MemberView, Reach, Shard, Span, TargetEntry, TargetQuery, TargetTable,
+    Time, rendezvous, service_targets, shard_key,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -206,7 +206,7 @@
             of: shards as u32,
         };
         let owner = self.asked(&part, shard_key("s", shard.number));
-        let need = Need {
+        let need = TargetQuery {
             engine_memory: Some(600_000),
             // One prompt in four shares its beginning with all the others of these.
             prefix: if number.is_multiple_of(4) {
@@ -221,7 +221,7 @@
             ..need()
         };
         let forwarder = self.nodes.get_mut(&owner).expect("it is a node");
-        let Choose::Send(chosen) = forwarder.place(now, &need, asker) else {
+        let ChooseResult::Send(chosen) = forwarder.place(now, &need, asker) else {
             self.refused += 1;
             return;
         };
@@ -240,14 +240,14 @@
 
     /// One call at a plain target, of a node of a part.
     pub fn plain_call_of(&mut self, now: Time, part: &[MemberView], asker: u64) {
-        let need = Need {
+        let need = TargetQuery {
             max_wait: self.max_wait,
             ..need()
         };
         // Each refusal takes one target out of the choice.
         for _ in 0..=ENGINES {
             let forwarder = self.nodes.get_mut(&asker).expect("it is a node");
-            let Choose::Send(chosen) = forwarder.choose(now, &need) else {
+            let ChooseResult::Send(chosen) = forwarder.choose(now, &need) else {
                 break;
             };
             let wait = if chosen.bounded {
@@ -256,7 +256,7 @@
                 let owner = self.nodes.get_mut(&owner).expect("it is a node");
                 match owner.grant(now, &chosen.id, asker, need.max_wait) {
                     Grant::After(wait) => wait,
-                    Grant::NoRoom(wait) => {
+                    Grant::NoCapacity(wait) => {
                         let forwarder = self.nodes.get_mut(&asker).expect("it is a node");
                         forwarder.no_room(now, chosen.target, now + wait);
                         continue;
@@ -292,9 +292,9 @@
     }
 }
 
-pub fn need() -> Need {
-    Need {
+pub fn need() -> TargetQuery {
+    TargetQuery {
         service: "s".to_owned(),
-        ..Need::default()
+        ..TargetQuery::default()
     }
 }
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -5,9 +5,9 @@
 mod batch_calls;
 
 use barleyspool_core::{
-    BatchOutcome, Choose, Evacuations, ForwardPlan, ForwardSettings, Forwarder, Need, OrderOutcome,
+    BatchOutcome, ChooseResult, Evacuations, ForwardPlan, ForwardSettings, Forwarder, OrderOutcome,
     PackedList, PieceOrder, PieceQueue, PoolSpec, Revision, SendEnd, Span, TargetChange, TargetEntry,
-    TargetRun, TargetStore, TargetTable, Time, service_targets,
+    TargetIncarnation, TargetQuery, TargetStore, TargetTable, Time, service_targets,
 };
 use batch_calls::made;
 use quickcheck::quickcheck;
@@ -21,7 +21,7 @@
 fn entry(id: &str, run: u64, sequence: u64) -> TargetEntry {
     TargetEntry {
         id: id.to_owned(),
-        run: TargetRun(run),
+        run: TargetIncarnation(run),
         sequence,
         service: "s".to_owned(),
         address: format!("10.0.0.{id}:80"),
@@ -140,7 +140,7 @@
         !store.replace(at(30), Revision(100), whole),
         "also in a whole list"
     );
-    assert_eq!(store.table["1"].run, TargetRun(2000));
+    assert_eq!(store.table["1"].run, TargetIncarnation(2000));
 }
 
 #[test]
@@ -202,7 +202,7 @@
     /// readable, or nothing to use.
     fn the_newest_word_holds_whatever_the_order(words: Vec<Word>) -> bool {
         let mut store = store(&[entry("1", 1, 0)]);
-        let mut newest = (TargetRun(1), 0);
+        let mut newest = (TargetIncarnation(1), 0);
         let mut good = true;
         for (place, (run, sequence, leaves, readable)) in words.into_iter().enumerate() {
             let now = at(place as u64);
@@ -434,21 +434,21 @@
     let mut store = store(&[entry("1", 0, 1), entry("7", 0, 1)]);
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
     forwarder.take_plan(&plan(&store));
-    let need = Need {
+    let need = TargetQuery {
         service: "s".to_owned(),
-        ..Need::default()
+        ..TargetQuery::default()
     };
     store.evacuate(at(10), &zones(&["a"]));
     forwarder.take_plan(&plan(&store));
     for _ in 0..20 {
-        let Choose::Send(chosen) = forwarder.choose(at(20), &need) else {
+        let ChooseResult::Send(chosen) = forwarder.choose(at(20), &need) else {
             panic!("one zone is open");
         };
         assert_eq!(chosen.id, "7");
     }
     store.evacuate(at(30), &zones(&["a", "b"]));
     forwarder.take_plan(&plan(&store));
-    assert!(matches!(forwarder.choose(at(40), &need), Choose::Busy(_)));
+    assert!(matches!(forwarder.choose(at(40), &need), ChooseResult::Busy(_)));
     assert_eq!(plan(&store).working("s"), 0);
 }
 
@@ -460,13 +460,13 @@
     let mut store = store(&[entry("1", 1000, 1)]);
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
     forwarder.take_plan(&plan(&store));
-    let need = Need {
+    let need = TargetQuery {
         service: "s".to_owned(),
         engine_memory: Some(600_000),
         prefix: 9,
         prefix_tokens: 10_000,
         prompt_tokens: 12_000,
-        ..Need::default()
+        ..TargetQuery::default()
     };
     let key = forwarder.key("1").expect("it is listed");
     let send = forwarder.begin(at(1), &need, key);
@@ -481,7 +481,7 @@
     assert_eq!((record.in_flight, record.failing), (0, 0.0));
     assert!(record.unread_tokens.abs() < f64::EPSILON);
     assert!(!record.prefixes.holds(at(20), 9, 600_000), "its memory is empty");
-    assert!(matches!(forwarder.choose(at(20), &need), Choose::Send(_)));
+    assert!(matches!(forwarder.choose(at(20), &need), ChooseResult::Send(_)));
 }
 
 fn spec() -> PoolSpec {
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -3,8 +3,9 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    BatchOutcome, Choose, Chosen, ForwardPlan, ForwardSettings, Forwarder, Need, PieceOrder, PieceQueue,
-    PoolSpec, SendEnd, Shard, Span, TargetEntry, TargetRun, TargetTable, Time, service_targets,
+    BatchOutcome, ChooseResult, ForwardPlan, ForwardSettings, Forwarder, PieceOrder, PieceQueue, PoolSpec,
+    SendEnd, Shard, Span, TargetChoice, TargetEntry, TargetIncarnation, TargetQuery, TargetTable, Time,
+    service_targets,
 };
 use std::sync::Arc;
 
@@ -50,16 +51,16 @@
     forwarder
 }
 
-fn need() -> Need {
-    Need {
+fn need() -> TargetQuery {
+    TargetQuery {
         service: "s".to_owned(),
-        ..Need::default()
+        ..TargetQuery::default()
     }
 }
 
-fn sent_to(choice: Choose) -> Chosen {
+fn sent_to(choice: ChooseResult) -> TargetChoice {
     match choice {
-        Choose::Send(chosen) => chosen,
+        ChooseResult::Send(chosen) => chosen,
         other => panic!("no target: {other:?}"),
     }
 }
@@ -76,15 +77,15 @@
     for step in 0..6000_u64 {
         let now = at(step * 5);
         let chosen = match forwarder.choose(now, &need()) {
-            Choose::Send(chosen) => chosen,
-            Choose::Resting(wait) => {
+            ChooseResult::Send(chosen) => chosen,
+            ChooseResult::Resting(wait) => {
                 resting += 1;
                 assert!(wait > Span::ZERO && wait <= REST, "{wait:?}");
                 continue;
             }
             // A target that refused is left alone for a moment in any case.
-            Choose::Busy(_) => continue,
-            Choose::NoRoom(wait) => panic!("no target has a rate: {wait:?}"),
+            ChooseResult::Busy(_) => continue,
+            ChooseResult::NoCapacity(wait) => panic!("no target has a rate: {wait:?}"),
         };
         let send = forwarder.begin(now, &need(), chosen.target);
         let place: usize = chosen.id[2..].parse().expect("a place");
@@ -122,13 +123,13 @@
     assert!(!forwarder.take_rest(at(1000), at(0), "i-0", Span::from_millis(500)));
     assert_eq!(
         forwarder.choose(at(1000), &need()),
-        Choose::Resting(Span::from_secs(2))
+        ChooseResult::Resting(Span::from_secs(2))
     );
     assert!(forwarder.usable(at(2999), "i-0").is_none());
     assert_eq!(sent_to(forwarder.choose(at(3000), &need())).id, "i-0");
     forwarder.take_rest(at(4000), at(4000), "i-0", REST);
     let mut again = entry(0);
-    again.run = TargetRun(5);
+    again.run = TargetIncarnation(5);
     again.times.restarted = at(4500);
     forwarder.take_plan(&plan([("i-0".to_owned(), again)].into()));
     assert_eq!(sent_to(forwarder.choose(at(4500), &need())).id, "i-0");
@@ -146,14 +147,14 @@
     forwarder.take_rest(at(0), at(0), "i-0", REST);
     assert_eq!(sent_to(forwarder.choose(at(0), &need())).id, "i-1");
     forwarder.take_rest(at(0), at(0), "i-1", Span::from_millis(40));
-    let patient = Need {
+    let patient = TargetQuery {
         max_wait: Span::from_millis(75),
         ..need()
     };
-    assert!(matches!(forwarder.choose(at(0), &patient), Choose::Busy(_)));
+    assert!(matches!(forwarder.choose(at(0), &patient), ChooseResult::Busy(_)));
     assert_eq!(
         forwarder.choose(at(0), &need()),
-        Choose::Resting(Span::from_millis(40))
+        ChooseResult::Resting(Span::from_millis(40))
     );
     assert_eq!(sent_to(forwarder.choose(at(40), &patient)).id, "i-1");
 }
@@ -163,18 +164,18 @@
 fn an_owner_places_calls_of_others_where_it_rests_itself() {
     let mut forwarder = forwarder(1);
     forwarder.take_rest(at(0), at(0), "i-0", REST);
-    let own = Need {
+    let own = TargetQuery {
         engine_memory: Some(100_000),
         placing: Some(Shard::WHOLE),
         ..need()
     };
-    let other = Need {
+    let other = TargetQuery {
         for_other: true,
         ..own.clone()
     };
     assert_eq!(
         forwarder.place(at(1), &own, ME),
-        Choose::Resting(Span::from_millis(2999))
+        ChooseResult::Resting(Span::from_millis(2999))
     );
     assert_eq!(sent_to(forwarder.place(at(1), &other, 2)).id, "i-0");
 }
--- a/crates/barleyspool_core/tests/unmeasured_targets.rs
+++ b/crates/barleyspool_core/tests/unmeasured_targets.rs
@@ -3,7 +3,8 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    Choose, ForwardPlan, ForwardSettings, Forwarder, Need, SendEnd, Span, TargetEntry, TargetTable, Time,
+    ChooseResult, ForwardPlan, ForwardSettings, Forwarder, SendEnd, Span, TargetEntry, TargetQuery,
+    TargetTable, Time,
 };
 use std::sync::Arc;
 
@@ -58,14 +59,14 @@
 
     /// Makes calls, one after the other, for as long as `lasts`; returns how many went to `id`.
     fn call(&mut self, lasts: Span, id: &str) -> usize {
-        let need = Need {
+        let need = TargetQuery {
             service: "s".to_owned(),
-            ..Need::default()
+            ..TargetQuery::default()
         };
         let before = self.called.len();
         let end = self.now + lasts;
         while self.now < end {
-            let Choose::Send(chosen) = self.forwarder.choose(self.now, &need) else {
+            let ChooseResult::Send(chosen) = self.forwarder.choose(self.now, &need) else {
                 panic!("a target is free");
             };
             let answer = if self.called.contains(&chosen.id) {
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::expect_used, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    FirstList, FleetView, ListHandout, ListHolder, ListTaker, PackedList, Span, TargetEntry, TargetRun,
-    TargetTable, Time, choose_holder, hold_until,
+    FleetView, InitialListRead, ListHandout, ListHolder, ListTaker, PackedList, Span, TargetEntry,
+    TargetIncarnation, TargetTable, Time, choose_holder, hold_until,
 };
 use quickcheck::quickcheck;
 use rand::SeedableRng;
@@ -30,7 +30,7 @@
     };
     TargetEntry {
         id: format!("t{id}"),
-        run: TargetRun(run),
+        run: TargetIncarnation(run),
         sequence: run / 3,
         service: format!("service-{service}"),
         address,
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_seed_reads_soon_a_reader_later_and_neither_when_a_node_has_the_list() {
-    let first = FirstList::new(START, 0.5);
+    let first = InitialListRead::new(START, 0.5);
     assert!(!first.reads(at(20), view(true, true, false)));
     assert!(first.reads(at(100), view(true, false, false)));
     assert!(!first.reads(at(100), view(true, true, true)));
@@ -161,8 +161,8 @@
 /// Nobody waits for ever for nodes that have the list and cannot be reached, and the source bears all who stop waiting.
 #[test]
 fn nodes_that_reach_no_holder_read_by_themselves_a_few_a_second() {
-    let places = (0..585).map(|place| FirstList::new(START, f64::from(place) / 585.0));
-    let firsts: Vec<FirstList> = places.collect();
+    let places = (0..585).map(|place| InitialListRead::new(START, f64::from(place) / 585.0));
+    let firsts: Vec<InitialListRead> = places.collect();
     let reading = |after| {
         firsts
             .iter()
--- a/crates/barleyspool_gateway/src/control/reading.rs
+++ b/crates/barleyspool_gateway/src/control/reading.rs
@@ -4,8 +4,8 @@
 use crate::edges::Feed;
 use crate::event_log::Line;
 use barleyspool_core::{
-    FirstList, FleetView, Held, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision, SourceState,
-    SourceWatch, Span, Time, rendezvous, source_audience, source_role,
+    FleetView, Held, InitialListRead, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision,
+    SourceState, SourceWatch, Span, Time, rendezvous, source_audience, source_role,
 };
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::Ordering;
@@ -25,7 +25,7 @@
     /// Feeds that have to be read whole.
     missing: [Cell<bool>; 2],
     /// When a node without a list reads it although others may have it.
-    first_list: FirstList,
+    first_list: InitialListRead,
     /// What this node knows of the fleet, for that.
     fleet: Cell<FleetView>,
     /// Since when each feed has failed, and why it did last; `None` while it answers.
@@ -54,7 +54,7 @@
             watch: RefCell::new(SourceWatch::new(now, rand::random())),
             audience: RefCell::default(),
             missing: [Cell::new(true), Cell::new(true)],
-            first_list: FirstList::new(now, rand::random()),
+            first_list: InitialListRead::new(now, rand::random()),
             fleet: Cell::new(fleet),
             failing: RefCell::default(),
             settled: Cell::new(false),
--- a/crates/barleyspool_gateway/src/edges.rs
+++ b/crates/barleyspool_gateway/src/edges.rs
@@ -5,7 +5,7 @@
 
 use crate::CallFailure;
 use barleyspool_core::{
-    CallHead, CatalogDocument, LimitReport, LoadReport, PieceOutcome, PieceRequest, RestReport, Revision,
+    CallHead, CatalogDocument, CooldownReport, LimitReport, LoadReport, PieceOutcome, PieceRequest, Revision,
     Span, TargetEntry,
 };
 use bytes::Bytes;
@@ -79,7 +79,7 @@
     /// Whether it is on its way out.
     pub leaving: bool,
     /// Whether it wants nothing from this node for a while.
-    pub rest: RestReport,
+    pub rest: CooldownReport,
     /// Whether it limits what it takes.
     pub limit: LimitReport,
 }
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -16,8 +16,8 @@
 use super::target_choice::{self, Reserved};
 use crate::failure::CallFailure;
 use barleyspool_core::{
-    CallHead, CallPrint, Catalog, Counter, Need, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
-    Time, rendezvous,
+    CallHead, CallPrint, Catalog, Counter, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
+    TargetQuery, Time, rendezvous,
 };
 use barleyspool_wire::timer;
 use bytes::Bytes;
@@ -267,9 +267,9 @@
     }
 
     /// What its target must offer.
-    pub fn need(&self) -> Need {
+    pub fn need(&self) -> TargetQuery {
         let affinity = self.route.affinity;
-        Need {
+        TargetQuery {
             service: self.service.clone(),
             route: self.route.name.clone(),
             engine_memory: self.engine_memory,
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -17,7 +17,7 @@
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{
-    Chosen, Counter, NextStep, Reason, RouteKind, SendEnd, SendKey, Span, StageProgress, next_step,
+    Counter, NextStep, Reason, RouteKind, SendEnd, SendKey, Span, StageProgress, TargetChoice, next_step,
 };
 use barleyspool_wire::timer;
 use bytes::Bytes;
@@ -49,14 +49,14 @@
 pub struct SendGuard {
     call: Rc<Call>,
     /// The target of the send.
-    pub chosen: Chosen,
+    pub chosen: TargetChoice,
     key: Option<SendKey>,
     placement: Option<Placement>,
 }
 
 impl SendGuard {
     /// A send begins.
-    pub fn begin(call: &Rc<Call>, (chosen, placement): (Chosen, Option<Placement>)) -> Self {
+    pub fn begin(call: &Rc<Call>, (chosen, placement): (TargetChoice, Option<Placement>)) -> Self {
         let traffic = &call.traffic;
         let key = traffic
             .forwarder
@@ -207,7 +207,7 @@
 /// When to come back after targets refused.
 const COME_BACK: Span = Span::from_millis(200);
 
-fn unknown(call: &Call, chosen: &Chosen) -> CallFailure {
+fn unknown(call: &Call, chosen: &TargetChoice) -> CallFailure {
     CallFailure::unknown(Reason::StepFailed).at(&call.service, &chosen.id)
 }
 
@@ -245,7 +245,7 @@
 }
 
 /// Tells the log where a call goes.
-pub fn log_sent(call: &Call, chosen: &Chosen, inputs: &[String], retry: &str) {
+pub fn log_sent(call: &Call, chosen: &TargetChoice, inputs: &[String], retry: &str) {
     let now = call.traffic.now();
     let plan = call.traffic.plan();
     let far = plan
@@ -283,7 +283,7 @@
 /// How the send ended, when no answer that may be passed on came back.
 pub async fn send_once(
     call: &Call,
-    chosen: &Chosen,
+    chosen: &TargetChoice,
     inputs: &[String],
     resume_after: Option<u64>,
 ) -> Result<Sent, SendEnd> {
--- a/crates/barleyspool_gateway/src/traffic/grants.rs
+++ b/crates/barleyspool_gateway/src/traffic/grants.rs
@@ -5,7 +5,7 @@
 
 use super::Traffic;
 use super::peers::Owner;
-use barleyspool_core::{Chosen, Grant, Span};
+use barleyspool_core::{Grant, Span, TargetChoice};
 use barleyspool_wire::pieces::GrantRequest;
 use barleyspool_wire::timer;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 
 /// Whether a call may go to the target that was chosen for it, and after which wait; `None` when it may not within `max_wait`, which is
 /// noted for the next choice.
-pub async fn ask(traffic: &Rc<Traffic>, chosen: &Chosen, max_wait: Span) -> Option<Span> {
+pub async fn ask(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Span> {
     let room = match ask_owner(traffic, chosen, max_wait).await {
         Some(Grant::After(wait)) => return Some(wait),
-        Some(Grant::NoRoom(wait)) => wait,
+        Some(Grant::NoCapacity(wait)) => wait,
         None => max_wait + UNANSWERED,
     };
     let now = traffic.now();
@@ -33,7 +33,7 @@
 }
 
 /// Asks the owner, and when it does not answer whoever stands in for it.
-async fn ask_owner(traffic: &Rc<Traffic>, chosen: &Chosen, max_wait: Span) -> Option<Grant> {
+async fn ask_owner(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
     for _ in 0..MOST_OWNERS {
         let grant = ask_one(traffic, chosen, max_wait).await;
         if grant.is_some() {
@@ -43,7 +43,7 @@
     None
 }
 
-async fn ask_one(traffic: &Rc<Traffic>, chosen: &Chosen, max_wait: Span) -> Option<Grant> {
+async fn ask_one(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
     let shard = traffic.forwarder.borrow().shard_of_target(&chosen.id)?;
     let request = GrantRequest {
         target: chosen.id.clone(),
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -4,7 +4,7 @@
 use super::grants;
 use super::placement;
 use super::pools::PoolId;
-use barleyspool_core::{Grant, NO_ROOM_TTL, OrderOutcome, PieceOrder, Span, Time, rendezvous};
+use barleyspool_core::{Grant, NO_CAPACITY_TTL, OrderOutcome, PieceOrder, Span, Time, rendezvous};
 use barleyspool_wire::net;
 use barleyspool_wire::pieces::{
     self, GrantRequest, Pieces, PiecesClient, PlaceAnswer, PlaceRequest, PlaceStep, RemoteEnd, RemoteOrder,
@@ -117,7 +117,7 @@
     /// How long the engines of a shard have no room yet, by their owner's last word; `None` when they may have.
     pub fn no_room(&self, now: Time, id: &PoolId) -> Option<Span> {
         let (until, reported) = *self.no_room.borrow().get(id)?;
-        let holds = now < until && now.since(reported) < NO_ROOM_TTL;
+        let holds = now < until && now.since(reported) < NO_CAPACITY_TTL;
         holds.then(|| until.since(now))
     }
 
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -8,7 +8,9 @@
 use super::call::Call;
 use super::peers::Owner;
 use super::pools::PoolId;
-use barleyspool_core::{Choose, Chosen, Need, SendEnd, SendKey, Shard, Span, Time, rendezvous};
+use barleyspool_core::{
+    ChooseResult, SendEnd, SendKey, Shard, Span, TargetChoice, TargetQuery, Time, rendezvous,
+};
 use barleyspool_wire::pieces::{PlaceAnswer, PlaceRequest, PlaceStep, Placed};
 use barleyspool_wire::timer;
 use std::collections::HashMap;
@@ -83,7 +85,7 @@
 /// What came of asking the owners of engines.
 pub enum Place {
     /// The call goes there.
-    At(Chosen, Placement),
+    At(TargetChoice, Placement),
     /// All usable engines have been given all that they take; when there is room again.
     NoRoom(Span),
     /// Nobody chose one that this node can use.
@@ -178,7 +180,7 @@
 }
 
 /// The shard of its engines at which a call is placed: calls with the same shared prefix meet at one.
-pub fn shard(call: &Call, need: &Need) -> Shard {
+pub fn shard(call: &Call, need: &TargetQuery) -> Shard {
     let key = match need.prefix {
         0 => rendezvous::text_key(&call.head.id),
         prefix => u128::from(prefix),
@@ -223,7 +225,7 @@
     };
     let mut forwarder = traffic.forwarder.borrow_mut();
     let avoid = request.avoid.iter().filter_map(|id| forwarder.key(id)).collect();
-    let need = Need {
+    let need = TargetQuery {
         service: request.service.clone(),
         route: request.route.clone(),
         engine_memory: Some(request.engine_memory),
@@ -239,9 +241,9 @@
         for_other: request.from != traffic.plan().me,
     };
     let chosen = match forwarder.place(now, &need, request.from) {
-        Choose::Send(chosen) => chosen,
-        Choose::NoRoom(wait) => return PlaceAnswer::NoRoom(wait),
-        Choose::Resting(_) | Choose::Busy(_) => return PlaceAnswer::Busy,
+        ChooseResult::Send(chosen) => chosen,
+        ChooseResult::NoCapacity(wait) => return PlaceAnswer::NoRoom(wait),
+        ChooseResult::Resting(_) | ChooseResult::Busy(_) => return PlaceAnswer::Busy,
     };
     let send = forwarder.begin(now, &need, chosen.target);
     let mut placements = traffic.placements.borrow_mut();
--- a/crates/barleyspool_gateway/src/traffic/send_request.rs
+++ b/crates/barleyspool_gateway/src/traffic/send_request.rs
@@ -2,7 +2,7 @@
 
 use super::call::Call;
 use crate::edges::SendHead;
-use barleyspool_core::Chosen;
+use barleyspool_core::TargetChoice;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -12,7 +12,7 @@
 /// The request to a target: the caller's own, with the headers of this system.
 pub fn request(
     call: &Call,
-    chosen: &Chosen,
+    chosen: &TargetChoice,
     inputs: &[String],
     resume_after: Option<u64>,
 ) -> Option<Request<Full<Bytes>>> {
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -6,7 +6,7 @@
 use super::placement::{self, Place, Placement};
 use crate::event_log::Line;
 use crate::failure::CallFailure;
-use barleyspool_core::{Choose, Chosen, Need, Reason, Span, Time};
+use barleyspool_core::{ChooseResult, Reason, Span, TargetChoice, TargetQuery, Time};
 use barleyspool_wire::timer;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 const MOST_LATE: Span = Span::from_millis(500);
 
 /// A target, and the placement when its owner chose it.
-pub type Found = (Chosen, Option<Placement>);
+pub type Found = (TargetChoice, Option<Placement>);
 
 /// A target that was given out to a call before its stages are made.
 pub struct Reserved {
@@ -127,7 +127,7 @@
             Place::Nowhere => {}
         }
     }
-    let need = Need {
+    let need = TargetQuery {
         max_wait,
         ..call.need()
     };
@@ -135,23 +135,23 @@
         let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &need);
         match choice {
             // Each question that is answered with no takes a target out of the choice.
-            Choose::Send(mut chosen) if chosen.bounded => {
+            ChooseResult::Send(mut chosen) if chosen.bounded => {
                 if let Some(wait) = grants::ask(traffic, &chosen, max_wait).await {
                     chosen.wait = wait;
                     return Look::At(Box::new((chosen, None)));
                 }
             }
-            Choose::Send(chosen) => return Look::At(Box::new((chosen, None))),
-            Choose::NoRoom(wait) => return Look::NoRoom(wait),
-            Choose::Resting(wait) => return Look::Resting(wait),
-            Choose::Busy(come_back) => return Look::Busy(come_back),
+            ChooseResult::Send(chosen) => return Look::At(Box::new((chosen, None))),
+            ChooseResult::NoCapacity(wait) => return Look::NoRoom(wait),
+            ChooseResult::Resting(wait) => return Look::Resting(wait),
+            ChooseResult::Busy(come_back) => return Look::Busy(come_back),
         }
     }
 }
 
 /// Waits until the call may be sent; false when its target cannot be used then, or when it is too late for that, as after a pause of
 /// this process.
-async fn wait_until(call: &Call, chosen: &Chosen, due: Time) -> bool {
+async fn wait_until(call: &Call, chosen: &TargetChoice, due: Time) -> bool {
     let traffic = &call.traffic;
     let wait = due.since(traffic.now());
     if wait > Span::ZERO {
--- a/crates/barleyspool_gateway/src/traffic/target_ends.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_ends.rs
@@ -9,7 +9,7 @@
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use crate::shared::Sighting;
-use barleyspool_core::{CallPrint, Chosen, Counter, Reason, RunMark, SendEnd, Span, Survivors, Time};
+use barleyspool_core::{CallPrint, Counter, Reason, RunMark, SendEnd, Span, Survivors, TargetChoice, Time};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
 
 /// Notes that a target ended under a call, when that is why a send of it broke off. Nobody waits for it: the call goes on
 /// elsewhere, where it may.
-pub fn note(call: &Call, chosen: &Chosen, end: SendEnd) {
+pub fn note(call: &Call, chosen: &TargetChoice, end: SendEnd) {
     if end != SendEnd::BrokenOff {
         return;
     }
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -4,7 +4,7 @@
 use crate::edges::AnswerHead;
 use crate::event_log::Line;
 use crate::shared::Sighting;
-use barleyspool_core::{Counter, LimitReport, RestReport, Time};
+use barleyspool_core::{CooldownReport, Counter, LimitReport, Time};
 use hyper::http::response::Parts;
 use tokio::sync::mpsc;
 
@@ -70,11 +70,11 @@
     traffic.log.write(traffic.now(), &line);
 }
 
-fn note_rest(traffic: &Traffic, asked: Asked, rest: RestReport) {
+fn note_rest(traffic: &Traffic, asked: Asked, rest: CooldownReport) {
     let rest = match rest {
-        RestReport::None => return,
-        RestReport::Unreadable => return traffic.count(Counter::RestUnreadable),
-        RestReport::For(rest) => rest,
+        CooldownReport::None => return,
+        CooldownReport::Unreadable => return traffic.count(Counter::RestUnreadable),
+        CooldownReport::For(rest) => rest,
     };
     traffic.count(Counter::AskedRest);
     let now = traffic.now();
