--- a/crates/barleyspool_core/src/forward/call_head.rs
+++ b/crates/barleyspool_core/src/forward/call_head.rs
@@ -38,7 +38,7 @@
 
 impl CallHead {
     /// The chain of prompt parts that other calls may share, as one number; zero for none.
-    pub fn shared_prefix(&self) -> u64 {
+    pub fn shared_prefix_hash(&self) -> u64 {
         let shared = self.prompt.len().saturating_sub(1);
         self.prompt[..shared].iter().fold(0, |chain: u64, part| {
             chain.rotate_left(17).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part.id
--- a/crates/barleyspool_core/src/forward/forecast_correction.rs
+++ b/crates/barleyspool_core/src/forward/forecast_correction.rs
@@ -17,12 +17,12 @@
 const FADE: f64 = 0.5;
 
 #[derive(Copy, Clone, Debug)]
-struct Pace {
+struct Ratio {
     relative: f64,
     measured: Time,
 }
 
-impl Pace {
+impl Ratio {
     fn now(self, now: Time) -> f64 {
         let idle = Span(now.since(self.measured).0.saturating_sub(STANDS.0));
         1.0 + (self.relative - 1.0) * FADE.powf(idle.as_secs())
@@ -34,32 +34,32 @@
 /// moment. All of these show in what the calls of the last seconds took (docs/DECISIONS.md).
 #[derive(Clone, Debug, Default)]
 pub struct ForecastCorrection {
-    by_route: HashMap<String, Pace>,
+    by_route: HashMap<String, Ratio>,
 }
 
 impl ForecastCorrection {
     /// The time that stages for which `forecast` was reckoned are expected to take. Calls that were faster than
     /// forecast are no reason to take more.
     pub fn corrected(&self, now: Time, route: &str, forecast: Span) -> Span {
-        let pace = self.by_route.get(route).map_or(1.0, |pace| pace.now(now));
-        forecast.scale(pace.max(1.0))
+        let ratio = self.by_route.get(route).map_or(1.0, |ratio| ratio.now(now));
+        forecast.scale(ratio.max(1.0))
     }
 
     /// The stages of a call of that route are done.
-    pub fn done(&mut self, now: Time, route: &str, forecast: Span, took: Span) {
+    pub fn record(&mut self, now: Time, route: &str, forecast: Span, took: Span) {
         if forecast == Span::ZERO {
             return;
         }
         let relative = (took.0 as f64 / forecast.0 as f64).clamp(RANGE.0, RANGE.1);
-        let before = self.by_route.get(route).map_or(1.0, |pace| pace.now(now));
-        let pace = Pace {
+        let before = self.by_route.get(route).map_or(1.0, |ratio| ratio.now(now));
+        let ratio = Ratio {
             relative: before + GAIN * (relative - before),
             measured: now,
         };
         match self.by_route.get_mut(route) {
-            Some(known) => *known = pace,
+            Some(known) => *known = ratio,
             None => {
-                self.by_route.insert(route.to_owned(), pace);
+                self.by_route.insert(route.to_owned(), ratio);
             }
         }
     }
--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -43,13 +43,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceOutcome {
     /// It was made.
-    Made(String),
+    Computed(String),
     /// Its time was over when its turn came.
-    Late,
+    Expired,
     /// One of its inputs is gone.
     InputsGone,
     /// The target has no room for the result.
-    NoRoom,
+    NoCapacity,
     /// It failed otherwise.
     Failed,
 }
@@ -69,14 +69,15 @@
     /// Something was written, and no whole answer came back.
     BrokenOff,
     /// The same, and the target has ended.
-    TargetEnded,
+    TargetCrashed,
 }
 
 /// How an order ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
     /// Every piece was made; the handles in order.
-    Made(Vec<String>),
+    #[serde(rename = "Made")]
+    Computed(Vec<String>),
     /// Inputs are gone.
     InputsGone,
     /// It cannot be made in time; when to come back.
@@ -109,7 +110,7 @@
     /// Which piece of it.
     pub piece: u32,
     /// How long the result is of use.
-    pub left: Span,
+    pub time_left: Span,
     /// What a piece without inputs works on; empty otherwise.
     pub key: String,
     /// The results that it needs.
@@ -128,5 +129,5 @@
     /// Its address.
     pub address: String,
     /// The pieces; an answer has one outcome for each, in this order.
-    pub asks: Vec<PieceRequest>,
+    pub pieces: Vec<PieceRequest>,
 }
--- a/crates/barleyspool_core/src/forward/piece_plan_update.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -11,7 +11,7 @@
     /// another shard gets nothing more from here, but its results can still be freed.
     ///
     /// A target that runs again under its id is a new one, and what the run before it held is made again.
-    pub fn take_plan(
+    pub fn apply_plan(
         &mut self,
         spec: &PoolSpec,
         cold: Option<ColdSpec>,
@@ -29,7 +29,7 @@
             .map(|(id, target)| (id.clone(), target.entry.address.clone()))
             .collect();
         for (id, address) in ended {
-            self.run_ended(&id, &address);
+            self.incarnation_ended(&id, &address);
         }
         self.targets
             .retain(|id, target| table.contains_key(id) || target.calls > 0);
@@ -49,26 +49,26 @@
     }
 
     /// Takes what targets said of their limits, and what this node, of key `me`, may give out of the rates of the pool's targets.
-    pub fn take_rates(&mut self, now: Time, share: RateShare, me: u64, limit: impl Fn(&str) -> Option<f64>) {
+    pub fn apply_rates(&mut self, now: Time, share: RateShare, me: u64, limit: impl Fn(&str) -> Option<f64>) {
         for (id, target) in &mut self.targets {
             target.take_rate(now, limit(id), share, me);
         }
     }
 
     /// Takes until when each target wants nothing from this node.
-    pub fn take_rests(&mut self, rest_until: impl Fn(&str) -> Time) {
+    pub fn apply_cooldowns(&mut self, rest_until: impl Fn(&str) -> Time) {
         for (id, target) in &mut self.targets {
             target.rest_until = rest_until(id);
         }
     }
 
     /// A run of a target has ended, and its results with it.
-    fn run_ended(&mut self, id: &str, address: &str) {
+    fn incarnation_ended(&mut self, id: &str, address: &str) {
         self.targets.remove(id);
         self.kept.retain(|_, kept| kept.target != id);
         for order in self.orders.values_mut() {
             for piece in &mut order.pieces {
-                let lost = matches!(piece, Piece::Made(handle) if handle_address(handle) == address);
+                let lost = matches!(piece, Piece::Computed(handle) if handle_address(handle) == address);
                 if lost {
                     *piece = Piece::Waiting;
                     order.waiting += 1;
@@ -80,7 +80,7 @@
 
     /// Ends orders whose inputs are gone by what is known, rather than let a call find it out. `lost` says whether a result
     /// that was known at a time has gone since.
-    pub fn drop_lost(&mut self, lost: impl Fn(&str, Time) -> bool) {
+    pub fn fail_lost_inputs(&mut self, lost: impl Fn(&str, Time) -> bool) {
         let is_lost = |order: &Order| {
             let inputs = &order.order.inputs;
             order.waiting > 0 && inputs.iter().any(|input| lost(input, order.came))
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -25,7 +25,7 @@
 pub(super) enum Piece {
     Waiting,
     InCall,
-    Made(String),
+    Computed(String),
 }
 
 #[derive(Clone, Debug)]
@@ -73,9 +73,9 @@
     pub(super) ended: Vec<(OrderKey, OrderOutcome)>,
     /// When pieces were made lately.
     pub(super) made: VecDeque<Time>,
-    pub(super) unneeded: Vec<String>,
+    pub(super) releasable: Vec<String>,
     /// Time of calls over what the specification says, over all targets.
-    pub(super) pace: f64,
+    pub(super) slowdown: f64,
 }
 
 impl PieceQueue {
@@ -83,7 +83,7 @@
     pub fn new(spec: PoolSpec) -> Self {
         Self {
             spec,
-            pace: 1.0,
+            slowdown: 1.0,
             ..Self::default()
         }
     }
@@ -123,13 +123,13 @@
     }
 
     /// The request does not need the order any more: what waits is dropped, what was made is given up.
-    pub fn withdraw(&mut self, key: OrderKey) {
+    pub fn cancel(&mut self, key: OrderKey) {
         if let Some(order) = self.orders.remove(key) {
             let made = order.pieces.into_iter().filter_map(|piece| match piece {
-                Piece::Made(handle) => Some(handle),
+                Piece::Computed(handle) => Some(handle),
                 _ => None,
             });
-            self.unneeded.extend(made);
+            self.releasable.extend(made);
         }
     }
 
@@ -150,7 +150,7 @@
 
     /// The calls to make now.
     pub fn next_calls(&mut self, now: Time) -> Vec<BatchCall> {
-        self.drop_late(now);
+        self.fail_late_orders(now);
         self.expire_kept(now);
         let mut calls = Vec::new();
         while let Some(call) = self.next_call(now) {
@@ -177,7 +177,7 @@
             }
             None => (String::new(), String::new(), TargetIncarnation::default()),
         };
-        let asks = items.iter().map(|item| self.ask(now, *item)).collect();
+        let pieces = items.iter().map(|item| self.piece_request(now, *item)).collect();
         let call = self.calls.insert(Call {
             target,
             run,
@@ -192,11 +192,11 @@
             call,
             id,
             address,
-            asks,
+            pieces,
         }
     }
 
-    fn ask(&self, now: Time, item: BatchItem) -> PieceRequest {
+    fn piece_request(&self, now: Time, item: BatchItem) -> PieceRequest {
         // The item was taken from the order a moment ago, so the order is there.
         let order = &self.orders[item.order].order;
         PieceRequest {
@@ -204,7 +204,7 @@
             print: order.print,
             stage: order.stage,
             piece: item.piece,
-            left: order.deadline.since(now),
+            time_left: order.deadline.since(now),
             key: order.key.clone(),
             inputs: order.inputs.clone(),
             input_bytes: order.input_bytes,
@@ -237,7 +237,7 @@
                 self.requeue(&call, false);
                 false
             }
-            BatchOutcome::TargetEnded => {
+            BatchOutcome::TargetCrashed => {
                 self.on_target(&call, |target| target.failed(now));
                 self.count_end(&call);
                 self.requeue(&call, true);
@@ -284,7 +284,7 @@
     fn answers(&self, call: &Call, outcomes: &[PieceOutcome]) -> bool {
         let mut seen = HashSet::new();
         let is_new = |outcome: &PieceOutcome| match outcome {
-            PieceOutcome::Made(handle) => !self.kept.contains_key(handle) && seen.insert(handle.clone()),
+            PieceOutcome::Computed(handle) => !self.kept.contains_key(handle) && seen.insert(handle.clone()),
             _ => true,
         };
         outcomes.len() == call.items.len() && outcomes.iter().all(is_new)
@@ -294,20 +294,20 @@
         let base = self.call_time(call.items.len() as u32).0.max(1) as f64;
         let relative = now.since(call.started).0 as f64 / base;
         self.on_target(call, |target| target.answered(now, relative));
-        // The whole pool's pace moves slowly and little: one slow target must not look normal.
-        self.pace = (self.pace * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
+        // The slowdown of the whole pool changes slowly and little, so that one slow target does not look normal.
+        self.slowdown = (self.slowdown * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
         let mut made = 0;
-        let mut too_large: Option<u64> = None;
+        let mut refused: Option<u64> = None;
         for (item, outcome) in call.items.iter().zip(outcomes) {
             let bytes = self.orders.get(item.order).map_or(0, |order| order.order.bytes);
             match outcome {
-                PieceOutcome::Made(_) => made += bytes,
-                PieceOutcome::NoRoom => too_large = Some(too_large.map_or(bytes, |least| least.min(bytes))),
+                PieceOutcome::Computed(_) => made += bytes,
+                PieceOutcome::NoCapacity => refused = Some(refused.map_or(bytes, |least| least.min(bytes))),
                 _ => {}
             }
             self.piece_ended(now, call, item, outcome);
         }
-        if let Some(bytes) = too_large {
+        if let Some(bytes) = refused {
             let (room, known) = (self.spec.room, call.kept_before + made);
             self.on_target(call, |target| target.had_no_room(now, room, known, bytes));
         }
@@ -316,20 +316,20 @@
     fn piece_ended(&mut self, now: Time, call: &Call, item: &BatchItem, outcome: PieceOutcome) {
         let known = self.orders.contains_key(item.order);
         match outcome {
-            PieceOutcome::Made(handle) => {
+            PieceOutcome::Computed(handle) => {
                 let bytes = self.orders.get(item.order).map_or(0, |order| order.order.bytes);
                 self.keep(now, &call.target, &handle, bytes);
                 if !known || !self.piece_made(now, item, &handle) {
-                    self.unneeded.push(handle);
+                    self.releasable.push(handle);
                 }
             }
             PieceOutcome::InputsGone => self.end_order(item.order, OrderOutcome::InputsGone),
-            PieceOutcome::Late => {
+            PieceOutcome::Expired => {
                 let come_back = self.expected_wait(now, 1);
                 self.end_order(item.order, OrderOutcome::TooLate(come_back));
             }
             // That is no fault of the piece: it waits for room elsewhere.
-            PieceOutcome::NoRoom => self.requeue_item(item, false),
+            PieceOutcome::NoCapacity => self.requeue_item(item, false),
             PieceOutcome::Failed => self.requeue_item(item, true),
         }
     }
@@ -343,19 +343,19 @@
             return false;
         };
         match piece {
-            Piece::Made(_) => return false,
+            Piece::Computed(_) => return false,
             Piece::Waiting => order.waiting -= 1,
             Piece::InCall => {}
         }
-        *piece = Piece::Made(handle.to_owned());
+        *piece = Piece::Computed(handle.to_owned());
         self.made.push_back(now);
         order.made += 1;
         if order.made as usize == order.pieces.len() {
             let handles = order.pieces.iter().map(|piece| match piece {
-                Piece::Made(handle) => handle.clone(),
+                Piece::Computed(handle) => handle.clone(),
                 _ => String::new(),
             });
-            let end = OrderOutcome::Made(handles.collect());
+            let end = OrderOutcome::Computed(handles.collect());
             self.orders.remove(item.order);
             self.ended.push((item.order, end));
         }
@@ -364,7 +364,7 @@
 
     pub(super) fn end_order(&mut self, key: OrderKey, end: OrderOutcome) {
         if self.orders.contains_key(key) {
-            self.withdraw(key);
+            self.cancel(key);
             self.ended.push((key, end));
         }
     }
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -60,7 +60,7 @@
         [overdue, back, room, look].into_iter().flatten().min()
     }
 
-    pub(super) fn drop_late(&mut self, now: Time) {
+    pub(super) fn fail_late_orders(&mut self, now: Time) {
         let least = self.call_time(1);
         let late: Vec<OrderKey> = self
             .orders
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -45,7 +45,7 @@
     /// What targets have said of their limits.
     pub limits: Arc<LimitTable>,
     /// When the last answers are given; `None` while no stop was asked for.
-    pub last_answers: Option<Time>,
+    pub abort_at: Option<Time>,
 }
 
 impl ForwardPlan {
--- a/crates/barleyspool_core/src/forward/planned_stop.rs
+++ b/crates/barleyspool_core/src/forward/planned_stop.rs
@@ -23,11 +23,11 @@
     /// The listener is to be closed: connections that wait are taken, then no more. Open ones may still bring a call.
     Closing,
     /// What was taken is finished; connections at rest are closed, and a call that comes now is refused.
-    Finishing,
+    Draining,
     /// Whatever is not done is answered with what became of it.
-    Cutting,
+    Aborting,
     /// The process may end.
-    Over,
+    Finished,
 }
 
 /// A planned stop, stepped by time and by what is still open.
@@ -56,20 +56,20 @@
     }
 
     /// When the last answers are given: no call that is taken during the stop may last longer.
-    pub fn last_answers(&self) -> Time {
+    pub fn abort_at(&self) -> Time {
         self.began + Span(self.end.0.saturating_sub(LAST_ANSWERS.0))
     }
 
     /// The phase at `now`, while `open` connections of callers are open.
     pub fn phase(&self, now: Time, open: usize) -> StopPhase {
         if now >= self.began + self.end {
-            return StopPhase::Over;
+            return StopPhase::Finished;
         }
         match self.listener_closed {
             // Connections that nobody has taken yet are not among the open ones.
-            Some(closed) if now >= closed + LAST_CALLS && open == 0 => StopPhase::Over,
-            _ if now >= self.last_answers() => StopPhase::Cutting,
-            Some(closed) if now >= closed + LAST_CALLS => StopPhase::Finishing,
+            Some(closed) if now >= closed + LAST_CALLS && open == 0 => StopPhase::Finished,
+            _ if now >= self.abort_at() => StopPhase::Aborting,
+            Some(closed) if now >= closed + LAST_CALLS => StopPhase::Draining,
             _ if now >= self.began + self.accept => StopPhase::Closing,
             _ => StopPhase::Leaving,
         }
--- a/crates/barleyspool_core/src/forward/pool_shards.rs
+++ b/crates/barleyspool_core/src/forward/pool_shards.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether there is such a shard.
-    pub fn has(&self, id: u32) -> bool {
+    pub fn contains(&self, id: u32) -> bool {
         self.shards.iter().any(|shard| shard.id == id)
     }
 
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -30,16 +30,16 @@
     }
 
     /// Results that nobody needs any more.
-    pub fn give_up(&mut self, handles: Vec<String>) {
-        self.unneeded.extend(handles);
+    pub fn release(&mut self, handles: Vec<String>) {
+        self.releasable.extend(handles);
     }
 
     /// The results to be freed: address and id of their maker, and their handles. A maker that limits what it takes is told only when it has
     /// room for it and no piece waits; else its results go by themselves after their time.
-    pub fn take_unneeded(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
+    pub fn take_releasable(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
         let waits = self.waiting() > 0;
         let mut by_maker: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
-        for handle in std::mem::take(&mut self.unneeded) {
+        for handle in std::mem::take(&mut self.releasable) {
             let maker = match self.kept.get(&handle) {
                 Some(kept) => Some(kept.target.clone()),
                 // Made for another owner of the pool; the handle tells by whom.
@@ -65,7 +65,7 @@
     }
 
     /// Their maker has freed them: only now is there room.
-    pub fn freed(&mut self, handles: &[String]) {
+    pub fn mark_freed(&mut self, handles: &[String]) {
         for handle in handles {
             let Some(kept) = self.kept.get_mut(handle) else {
                 continue;
@@ -87,8 +87,8 @@
     }
 
     /// Whether results wait to be freed.
-    pub fn has_unneeded(&self) -> bool {
-        !self.unneeded.is_empty()
+    pub fn has_releasable(&self) -> bool {
+        !self.releasable.is_empty()
     }
 
     pub(super) fn expire_kept(&mut self, now: Time) {
--- a/crates/barleyspool_core/src/forward/stage_progress.rs
+++ b/crates/barleyspool_core/src/forward/stage_progress.rs
@@ -99,14 +99,14 @@
     /// A stage is complete; returns the results that nobody needs any more.
     pub fn complete(&mut self, stage: usize, handles: Vec<String>) -> Vec<String> {
         self.progress[stage] = StageState::Done(handles);
-        let mut unneeded = Vec::new();
+        let mut releasable = Vec::new();
         for needed in self.specs[stage].needs.clone() {
             if !self.freed[needed] && self.is_used_up(needed) {
                 self.freed[needed] = true;
-                unneeded.extend(self.handles(needed));
+                releasable.extend(self.handles(needed));
             }
         }
-        unneeded
+        releasable
     }
 
     fn is_used_up(&self, stage: usize) -> bool {
@@ -116,7 +116,7 @@
 
     /// Inputs of `stage` are gone: everything it rests on is made anew. False when that has happened too
     /// often. With no stage, the call itself found its inputs gone.
-    pub fn redo(&mut self, stage: Option<usize>) -> bool {
+    pub fn recompute(&mut self, stage: Option<usize>) -> bool {
         if self.redone >= MOST_REDONE {
             return false;
         }
@@ -153,7 +153,7 @@
     }
 
     /// Every result that has not been given up yet.
-    pub fn kept(&self) -> Vec<String> {
+    pub fn unreleased(&self) -> Vec<String> {
         (0..self.specs.len())
             .filter(|&stage| !self.freed[stage])
             .flat_map(|stage| self.handles(stage))
--- a/crates/barleyspool_core/src/forward/wait_estimate.rs
+++ b/crates/barleyspool_core/src/forward/wait_estimate.rs
@@ -79,6 +79,6 @@
 
     /// The expected time of a call with `pieces` pieces.
     pub fn call_time(&self, pieces: u32) -> Span {
-        (self.spec.call + Span(self.spec.item.0 * u64::from(pieces))).scale(self.pace)
+        (self.spec.call + Span(self.spec.item.0 * u64::from(pieces))).scale(self.slowdown)
     }
 }
--- a/crates/barleyspool_core/tests/batch_calls/mod.rs
+++ b/crates/barleyspool_core/tests/batch_calls/mod.rs
@@ -4,11 +4,11 @@
 
 /// Every piece of a call was made; each result has another name.
 pub fn made(call: &BatchCall) -> BatchOutcome {
-    let handle = |ask: &PieceRequest| {
-        PieceOutcome::Made(format!(
+    let handle = |piece: &PieceRequest| {
+        PieceOutcome::Computed(format!(
             "{}/{}-{}-{:?}",
-            call.address, ask.request, ask.piece, call.call
+            call.address, piece.request, piece.piece, call.call
         ))
     };
-    BatchOutcome::Done(call.asks.iter().map(handle).collect())
+    BatchOutcome::Done(call.pieces.iter().map(handle).collect())
 }
--- a/crates/barleyspool_core/tests/forward_pieces.rs
+++ b/crates/barleyspool_core/tests/forward_pieces.rs
@@ -40,7 +40,7 @@
 
 fn queue(targets: usize) -> PieceQueue {
     let mut queue = PieceQueue::new(spec());
-    queue.take_plan(&spec(), None, &table(targets), |_| true);
+    queue.apply_plan(&spec(), None, &table(targets), |_| true);
     queue
 }
 
@@ -70,7 +70,7 @@
     let second = submit(&mut queue, at(0), order("b", 3));
     let calls = queue.next_calls(at(0));
     assert_eq!(calls.len(), 1);
-    assert_eq!(calls[0].asks.len(), 6);
+    assert_eq!(calls[0].pieces.len(), 6);
     assert!(
         queue.next_calls(at(1)).is_empty(),
         "the target works on one call at a time"
@@ -80,7 +80,7 @@
     assert_eq!(ended.len(), 2);
     for (key, end) in ended {
         assert!(key == first || key == second);
-        assert!(matches!(end, OrderOutcome::Made(handles) if handles.len() == 3));
+        assert!(matches!(end, OrderOutcome::Computed(handles) if handles.len() == 3));
     }
 }
 
@@ -98,8 +98,12 @@
     submit(&mut queue, at(0), low);
     submit(&mut queue, at(0), high);
     let calls = queue.next_calls(at(0));
-    assert_eq!(calls[0].asks.len(), BATCH as usize);
-    let of_high = calls[0].asks.iter().filter(|ask| ask.request == "high").count();
+    assert_eq!(calls[0].pieces.len(), BATCH as usize);
+    let of_high = calls[0]
+        .pieces
+        .iter()
+        .filter(|piece| piece.request == "high")
+        .count();
     assert_eq!(of_high, 6);
 }
 
@@ -117,7 +121,7 @@
     assert_eq!(queue.take_ended().len(), 1, "the late result is as good as any");
     queue.call_ended(at(600), second.call, made(&second));
     assert!(queue.take_ended().is_empty());
-    let freed = queue.take_unneeded(Time(0));
+    let freed = queue.take_releasable(Time(0));
     assert_eq!(freed.len(), 1, "the second result is given up");
     assert_eq!(freed[0].1, second.id);
     assert!(queue.order(key).is_none());
@@ -171,23 +175,23 @@
         },
     );
     let call = queue.next_calls(at(0)).remove(0);
-    assert_eq!(call.asks.len(), 2, "two of 400 bytes fit into 1000");
+    assert_eq!(call.pieces.len(), 2, "two of 400 bytes fit into 1000");
     queue.call_ended(at(200), call.call, made(&call));
     assert!(queue.next_calls(at(201)).is_empty(), "its room is taken");
     let BatchOutcome::Done(results) = made(&call) else {
         panic!("it is done")
     };
-    let PieceOutcome::Made(first) = &results[0] else {
+    let PieceOutcome::Computed(first) = &results[0] else {
         panic!("it is made")
     };
-    queue.give_up(vec![first.clone()]);
-    let unneeded = queue.take_unneeded(Time(0));
+    queue.release(vec![first.clone()]);
+    let releasable = queue.take_releasable(Time(0));
     assert!(
         queue.next_calls(at(202)).is_empty(),
         "its maker has not freed it yet"
     );
-    queue.freed(&unneeded[0].2);
-    assert_eq!(queue.next_calls(at(203)).remove(0).asks.len(), 1);
+    queue.mark_freed(&releasable[0].2);
+    assert_eq!(queue.next_calls(at(203)).remove(0).pieces.len(), 1);
 }
 
 #[test]
@@ -206,7 +210,7 @@
     for _ in 0..10 {
         now = now + Span::from_millis(300);
         let call = queue.next_calls(now).remove(0);
-        queue.call_ended(now, call.call, BatchOutcome::Done(vec![PieceOutcome::NoRoom]));
+        queue.call_ended(now, call.call, BatchOutcome::Done(vec![PieceOutcome::NoCapacity]));
         assert!(queue.next_calls(now).is_empty(), "not at once again");
     }
     assert!(queue.take_ended().is_empty());
@@ -226,12 +230,16 @@
     let BatchOutcome::Done(mut outcomes) = made(&call) else {
         panic!("they were made")
     };
-    outcomes[7] = PieceOutcome::NoRoom;
+    outcomes[7] = PieceOutcome::NoCapacity;
     queue.call_ended(at(200), call.call, BatchOutcome::Done(outcomes));
     submit(&mut queue, at(200), order("small", 8));
     let next = queue.next_calls(at(200)).remove(0);
-    let small = next.asks.iter().filter(|ask| ask.request == "small").count();
-    assert_eq!((small, next.asks.len()), (BATCH as usize, BATCH as usize));
+    let small = next
+        .pieces
+        .iter()
+        .filter(|piece| piece.request == "small")
+        .count();
+    assert_eq!((small, next.pieces.len()), (BATCH as usize, BATCH as usize));
     queue.call_ended(at(400), next.call, made(&next));
     assert!(queue.next_calls(at(420)).is_empty(), "the large one waits");
     assert_eq!(queue.next_calls(at(460)).len(), 1, "and is tried again");
@@ -242,8 +250,8 @@
 #[test]
 fn results_made_for_another_owner_are_freed_at_their_maker() {
     let mut queue = queue(2);
-    queue.give_up(vec!["10.0.0.1:80/ff".to_owned(), "10.9.9.9:80/ff".to_owned()]);
-    let freed = queue.take_unneeded(Time(0));
+    queue.release(vec!["10.0.0.1:80/ff".to_owned(), "10.9.9.9:80/ff".to_owned()]);
+    let freed = queue.take_releasable(Time(0));
     assert_eq!(
         freed,
         [(
@@ -260,9 +268,9 @@
     let key = submit(&mut queue, at(0), order("a", 12));
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, made(&call));
-    queue.withdraw(key);
+    queue.cancel(key);
     assert!(queue.next_calls(at(201)).is_empty());
-    assert_eq!(queue.take_unneeded(Time(0))[0].2.len(), call.asks.len());
+    assert_eq!(queue.take_releasable(Time(0))[0].2.len(), call.pieces.len());
 }
 
 #[test]
@@ -314,12 +322,12 @@
     for entry in leaving.values_mut() {
         entry.leaving = true;
     }
-    queue.take_plan(&spec(), None, &leaving, |_| true);
+    queue.apply_plan(&spec(), None, &leaving, |_| true);
     submit(&mut queue, at(0), order("a", 1));
     assert!(queue.next_calls(at(0)).is_empty());
-    queue.take_plan(&spec(), None, &table(2), |_| true);
+    queue.apply_plan(&spec(), None, &table(2), |_| true);
     assert_eq!(queue.next_calls(at(1)).len(), 1);
-    queue.take_plan(&spec(), None, &TargetTable::new(), |_| true);
+    queue.apply_plan(&spec(), None, &TargetTable::new(), |_| true);
     submit(&mut queue, at(2), order("b", 1));
     assert!(
         queue.next_calls(at(2)).is_empty(),
@@ -335,14 +343,14 @@
         entry.leaving = true;
     }
     // The pool was split: this queue owns the second target only, and the first leaves.
-    queue.take_plan(&spec(), None, &newer, |entry| entry.id == "i-1");
+    queue.apply_plan(&spec(), None, &newer, |entry| entry.id == "i-1");
     submit(&mut queue, at(0), order("a", BATCH));
     submit(&mut queue, at(0), order("b", BATCH));
     let asked: Vec<String> = queue.next_calls(at(0)).into_iter().map(|call| call.id).collect();
     assert_eq!(asked, ["i-1"]);
     // A handle of its results is still freed at it.
-    queue.give_up(vec!["10.0.0.0:80/x".to_owned()]);
-    assert_eq!(queue.take_unneeded(Time(0)).len(), 1);
+    queue.release(vec!["10.0.0.0:80/x".to_owned()]);
+    assert_eq!(queue.take_releasable(Time(0)).len(), 1);
 }
 
 #[test]
@@ -352,7 +360,7 @@
         entry.zone = "y".to_owned();
     }
     let mut queue = PieceQueue::new(spec());
-    queue.take_plan(&spec(), None, &far, |_| true);
+    queue.apply_plan(&spec(), None, &far, |_| true);
     let asked = |calls: &[BatchCall]| -> Vec<String> { calls.iter().map(|call| call.id.clone()).collect() };
     let near = |request: &str| PieceOrder {
         zone: "z".to_owned(),
@@ -382,7 +390,7 @@
         entry.zone = "y".to_owned();
     }
     let mut queue = PieceQueue::new(spec());
-    queue.take_plan(&spec(), None, &far, |_| true);
+    queue.apply_plan(&spec(), None, &far, |_| true);
     let due = |request: &str, due: u64| PieceOrder {
         zone: "x".to_owned(),
         due: at(due),
@@ -396,7 +404,7 @@
     for (entry, zone) in both.values_mut().zip(["x", "y"]) {
         entry.zone = zone.to_owned();
     }
-    queue.take_plan(&spec(), None, &both, |_| true);
+    queue.apply_plan(&spec(), None, &both, |_| true);
     submit(&mut queue, at(200), due("b", 9_000));
     assert_eq!(queue.next_calls(at(200)).len(), 1);
     submit(&mut queue, at(200), due("c", 1_000));
@@ -422,7 +430,7 @@
     assert_eq!(queue.take_ended(), [(waiting, OrderOutcome::Moved)]);
     queue.call_ended(at(200), calls[0].call, made(&calls[0]));
     let ended = queue.take_ended();
-    assert!(matches!(&ended[..], [(key, OrderOutcome::Made(_))] if *key == begun));
+    assert!(matches!(&ended[..], [(key, OrderOutcome::Computed(_))] if *key == begun));
 }
 
 /// Targets whose answers were lost counted as busy until their calls were given up after 8 s; half a pool was idle.
@@ -504,7 +512,7 @@
     submit(&mut queue, at(0), order("a", 1));
     submit(&mut queue, at(0), order("b", 1));
     let call = queue.next_calls(at(0)).remove(0);
-    let short = BatchOutcome::Done(vec![PieceOutcome::Made("10.0.0.0:80/of-b".to_owned())]);
+    let short = BatchOutcome::Done(vec![PieceOutcome::Computed("10.0.0.0:80/of-b".to_owned())]);
     queue.call_ended(at(200), call.call, short);
     assert!(
         queue.take_ended().is_empty(),
@@ -521,12 +529,12 @@
     let first = queue.next_calls(at(0)).remove(0);
     let answer = made(&first);
     queue.call_ended(at(200), first.call, answer.clone());
-    let [(_, OrderOutcome::Made(handles))] = &queue.take_ended()[..] else {
+    let [(_, OrderOutcome::Computed(handles))] = &queue.take_ended()[..] else {
         panic!("the first order is made")
     };
-    queue.give_up(handles.clone());
-    for (_, _, handles) in queue.take_unneeded(Time(0)) {
-        queue.freed(&handles);
+    queue.release(handles.clone());
+    for (_, _, handles) in queue.take_releasable(Time(0)) {
+        queue.mark_freed(&handles);
     }
     submit(&mut queue, at(300), order("b", 2));
     let second = queue.next_calls(at(300)).remove(0);
@@ -554,12 +562,16 @@
     for step in 0..100 {
         let now = at(step * 200);
         for call in queue.next_calls(now) {
-            let crashes = call.asks.iter().any(|ask| ask.request == "bad");
-            let mixed = call.asks.iter().any(|ask| ask.request != "bad");
+            let crashes = call.pieces.iter().any(|piece| piece.request == "bad");
+            let mixed = call.pieces.iter().any(|piece| piece.request != "bad");
             if crashes {
                 assert!(ended_targets == 0 || !mixed, "others are beside it again");
                 ended_targets += 1;
-                queue.call_ended(now + Span::from_millis(50), call.call, BatchOutcome::TargetEnded);
+                queue.call_ended(
+                    now + Span::from_millis(50),
+                    call.call,
+                    BatchOutcome::TargetCrashed,
+                );
             } else {
                 queue.call_ended(now + Span::from_millis(150), call.call, made(&call));
             }
@@ -570,6 +582,10 @@
     let of = |key: OrderKey| ends.iter().find(|(ended, _)| *ended == key).map(|(_, end)| end);
     assert_eq!(of(bad), Some(&OrderOutcome::Failed));
     for key in others {
-        assert!(matches!(of(key), Some(OrderOutcome::Made(_))), "{:?}", of(key));
+        assert!(
+            matches!(of(key), Some(OrderOutcome::Computed(_))),
+            "{:?}",
+            of(key)
+        );
     }
 }
--- a/crates/barleyspool_core/tests/forward_shards.rs
+++ b/crates/barleyspool_core/tests/forward_shards.rs
@@ -73,7 +73,7 @@
     let services = service_targets(&table(0, 20));
     assert_eq!(services["pool"].working, 0);
     let pool = &services["pool"].pool;
-    assert!(pool.has(pool.pick(7, "a", 0.2)));
+    assert!(pool.contains(pool.pick(7, "a", 0.2)));
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/forward_stages.rs
+++ b/crates/barleyspool_core/tests/forward_stages.rs
@@ -29,15 +29,15 @@
     let ready = run.start_ready();
     assert_eq!(ready[0].inputs, ["a0", "a1", "b0"]);
     assert_eq!(ready[0].pieces, 3);
-    let unneeded = run.complete(2, names("c", 3));
-    assert_eq!(unneeded, ["a0", "a1", "b0"], "nobody reads them any more");
+    let releasable = run.complete(2, names("c", 3));
+    assert_eq!(releasable, ["a0", "a1", "b0"], "nobody reads them any more");
     assert!(run.is_complete());
     assert_eq!(
         run.outputs(),
         ["c0", "c1", "c2"],
         "the call reads the last stage only"
     );
-    assert_eq!(run.kept(), ["c0", "c1", "c2"]);
+    assert_eq!(run.unreleased(), ["c0", "c1", "c2"]);
 }
 
 #[test]
@@ -60,11 +60,11 @@
         run.complete(1, names("b", 1));
     };
     make_both(&mut run);
-    assert!(run.redo(None), "the call found its inputs gone");
+    assert!(run.recompute(None), "the call found its inputs gone");
     make_both(&mut run);
-    assert!(run.redo(Some(1)));
+    assert!(run.recompute(Some(1)));
     make_both(&mut run);
-    assert!(!run.redo(None));
+    assert!(!run.recompute(None));
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/forward_stop.rs
+++ b/crates/barleyspool_core/tests/forward_stop.rs
@@ -28,8 +28,8 @@
         StopPhase::Closing,
         "a call may be on its way"
     );
-    assert_eq!(stop.phase(at(2710), 1), StopPhase::Finishing);
-    assert_eq!(stop.phase(at(2710), 0), StopPhase::Over);
+    assert_eq!(stop.phase(at(2710), 1), StopPhase::Draining);
+    assert_eq!(stop.phase(at(2710), 0), StopPhase::Finished);
 }
 
 /// A traffic thread that was kept from running has not taken the connections that wait: none is open, and yet there are some.
@@ -47,7 +47,7 @@
     stop.listener_closed(at(4150));
     assert_eq!(
         stop.phase(at(4200), 40),
-        StopPhase::Finishing,
+        StopPhase::Draining,
         "the first word counts"
     );
 }
@@ -56,10 +56,10 @@
 fn what_is_not_done_is_answered_before_the_end() {
     let mut stop = stop();
     stop.listener_closed(at(2500));
-    assert_eq!(stop.phase(at(6899), 1), StopPhase::Finishing);
-    assert_eq!(stop.phase(at(6900), 1), StopPhase::Cutting);
-    assert_eq!(stop.last_answers(), at(6900));
-    assert_eq!(stop.phase(at(7200), 1), StopPhase::Over);
+    assert_eq!(stop.phase(at(6899), 1), StopPhase::Draining);
+    assert_eq!(stop.phase(at(6900), 1), StopPhase::Aborting);
+    assert_eq!(stop.abort_at(), at(6900));
+    assert_eq!(stop.phase(at(7200), 1), StopPhase::Finished);
 }
 
 quickcheck! {
@@ -75,8 +75,8 @@
             let phase = stop.phase(at(now), usize::from(open));
             let forward = phase >= last;
             last = phase;
-            let early = phase == StopPhase::Over && open > 0 && now < 7200;
-            forward && !early && (now < 7200 || phase == StopPhase::Over)
+            let early = phase == StopPhase::Finished && open > 0 && now < 7200;
+            forward && !early && (now < 7200 || phase == StopPhase::Finished)
         })
     }
 }
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -511,7 +511,7 @@
 
 fn queue(store: &TargetStore) -> PieceQueue {
     let mut queue = PieceQueue::new(spec());
-    queue.take_plan(&spec(), None, &store.table, |_| true);
+    queue.apply_plan(&spec(), None, &store.table, |_| true);
     queue
 }
 
@@ -524,12 +524,12 @@
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, made(&call));
     let old = queue.next_calls(at(200)).remove(0);
-    assert_eq!((queue.waiting(), old.asks.len()), (0, 1));
+    assert_eq!((queue.waiting(), old.pieces.len()), (0, 1));
     put(&mut store, at(250), entry("1", 2000, 1));
-    queue.take_plan(&spec(), None, &store.table, |_| true);
+    queue.apply_plan(&spec(), None, &store.table, |_| true);
     assert_eq!(queue.waiting(), 2, "what the ended run held is to be made");
     let again = queue.next_calls(at(250)).remove(0);
-    assert_eq!(again.asks.len(), 2, "the new run is idle");
+    assert_eq!(again.pieces.len(), 2, "the new run is idle");
     queue.call_ended(at(260), old.call, BatchOutcome::BrokenOff);
     let usable = queue.targets().all(|target| target.usable(at(260)));
     assert!(usable, "what the ended run did is no fault of the new one");
@@ -548,12 +548,12 @@
     let waits = waits.expect("there is room");
     put(&mut makers, at(50), entry("1", 2000, 1));
     let plan = plan(&makers);
-    queue.drop_lost(|handle, since| plan.is_lost(handle, since));
+    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
     assert_eq!(queue.take_ended(), [(waits, OrderOutcome::InputsGone)]);
     assert!(queue.order(kept).is_some());
     let later = queue.submit(at(60), order("later", 1, &["10.0.0.1:80/z"]));
     let later = later.expect("there is room");
-    queue.drop_lost(|handle, since| plan.is_lost(handle, since));
+    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
     assert!(queue.order(later).is_some(), "that one the new run made");
 }
 
@@ -564,13 +564,13 @@
     queue.submit(at(0), order("r", 2, &[])).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, made(&call));
-    let Some((_, OrderOutcome::Made(handles))) = queue.take_ended().pop() else {
+    let Some((_, OrderOutcome::Computed(handles))) = queue.take_ended().pop() else {
         panic!("they were made");
     };
     store.evacuate(at(210), &zones(&["a"]));
-    queue.take_plan(&spec(), None, &store.table, |_| true);
-    queue.give_up(handles);
-    assert!(queue.take_unneeded(Time(0)).is_empty());
+    queue.apply_plan(&spec(), None, &store.table, |_| true);
+    queue.release(handles);
+    assert!(queue.take_releasable(Time(0)).is_empty());
     let services = service_targets(&store.table);
     assert_eq!(services["s"].working, 0);
 }
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -211,13 +211,13 @@
 #[test]
 fn a_pool_at_rest_gets_nothing_and_takes_no_order_that_would_be_late() {
     let mut queue = PieceQueue::new(spec());
-    queue.take_plan(&spec(), None, &table(1), |_| true);
+    queue.apply_plan(&spec(), None, &table(1), |_| true);
     let key = queue.submit(at(0), order(at(10_000))).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
     let refused = BatchOutcome::Refused { misdirected: false };
     queue.call_ended(at(10), call.call, refused);
     let over = at(10) + REST;
-    queue.take_rests(|_| over);
+    queue.apply_cooldowns(|_| over);
     for ms in (10..3010).step_by(10) {
         assert!(queue.next_calls(at(ms)).is_empty(), "{ms} ms");
     }
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -74,7 +74,7 @@
     /// Whether the nodes that are known are likely to be all there are.
     pub settled: Cell<bool>,
     /// When the last answers of a planned stop are given; `None` while no stop was asked for.
-    pub last_answers: Cell<Option<Time>>,
+    pub abort_at: Cell<Option<Time>>,
 }
 
 impl ControlState {
@@ -116,7 +116,7 @@
             packed: RefCell::default(),
             handout: RefCell::new(handout),
             settled: Cell::new(false),
-            last_answers: Cell::new(None),
+            abort_at: Cell::new(None),
         }
     }
 
@@ -127,7 +127,7 @@
 
     /// Whether a planned stop is under way.
     pub fn stopping(&self) -> bool {
-        self.last_answers.get().is_some()
+        self.abort_at.get().is_some()
     }
 
     /// Whether this node takes calls.
@@ -268,7 +268,7 @@
             converged: self.settled.get(),
             reach: membership.reach(self.now()),
             limits: Arc::new(membership.limits().clone()),
-            last_answers: self.last_answers.get(),
+            abort_at: self.abort_at.get(),
         }
     }
 }
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -32,7 +32,7 @@
         }
         let open = shared.open_callers.load(Ordering::Acquire);
         let phase = stop.phase(state.now(), open);
-        if phase == StopPhase::Over {
+        if phase == StopPhase::Finished {
             break;
         }
         shared
@@ -59,7 +59,7 @@
         in_flight: state.shared.in_flight.load(Ordering::Relaxed),
     };
     state.log.write(state.now(), &line);
-    state.last_answers.set(Some(stop.last_answers()));
+    state.abort_at.set(Some(stop.abort_at()));
     state.step_members(MemberEvent::Leave);
     state.publish();
     stop
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -131,8 +131,8 @@
     let reckoned = whole.total();
     call.stage_forecast.set(reckoned);
     let now = call.traffic.now();
-    let pace = call.traffic.pace.borrow();
-    let corrected = pace.corrected(now, &call.route.name, reckoned);
+    let correction = call.traffic.forecast_correction.borrow();
+    let corrected = correction.corrected(now, &call.route.name, reckoned);
     whole.wait += Span(corrected.0 - reckoned.0);
     whole.base += call.first_time();
     whole
@@ -142,8 +142,8 @@
 pub fn stages_done(call: &Call) {
     let now = call.traffic.now();
     let took = now.since(call.arrived);
-    let mut pace = call.traffic.pace.borrow_mut();
-    pace.done(now, &call.route.name, call.stage_forecast.take(), took);
+    let mut correction = call.traffic.forecast_correction.borrow_mut();
+    correction.record(now, &call.route.name, call.stage_forecast.take(), took);
 }
 
 /// When a stage is expected to be done that starts at `start`.
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -245,7 +245,7 @@
             final_send::Outcome::Answered(response) => return Ok(response),
             final_send::Outcome::InputsGone(kept) => {
                 results = kept;
-                if !run.redo(None) {
+                if !run.recompute(None) {
                     return Err(CallFailure::not_run(Reason::StepFailed).at(&call.service, ""));
                 }
             }
@@ -273,7 +273,11 @@
             service: self.service.clone(),
             route: self.route.name.clone(),
             engine_memory: self.engine_memory,
-            prefix: if affinity { self.head.shared_prefix() } else { 0 },
+            prefix: if affinity {
+                self.head.shared_prefix_hash()
+            } else {
+                0
+            },
             prefix_tokens: self.head.shared_tokens(),
             prompt_tokens: self.head.tokens.0,
             zone: self.input_zone.borrow().clone(),
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -88,7 +88,7 @@
                 rest = NEVER;
                 connection.as_mut().graceful_shutdown();
             }
-            _ = stop.wait_for(|phase| *phase >= StopPhase::Finishing), if !closing => {
+            _ = stop.wait_for(|phase| *phase >= StopPhase::Draining), if !closing => {
                 closing = true;
                 connection.as_mut().graceful_shutdown();
             }
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -81,7 +81,7 @@
     /// Pieces that calls which were taken here will still bring to each pool.
     pub planned: RefCell<HashMap<String, u64>>,
     /// How much longer stages take than was forecast.
-    pub pace: RefCell<ForecastCorrection>,
+    pub forecast_correction: RefCell<ForecastCorrection>,
     /// Which calls targets end under.
     pub ends: TargetEnds,
     /// What targets say of themselves in answers.
@@ -109,7 +109,9 @@
         self.forwarder.borrow_mut().take_plan(&plan);
         self.pools.take_plan(&plan);
         if let Some(catalog) = &plan.catalog {
-            self.pace.borrow_mut().retain(|route| catalog.has_route(route));
+            self.forecast_correction
+                .borrow_mut()
+                .retain(|route| catalog.has_route(route));
         }
         let before = self.plan.replace(Arc::clone(&plan));
         for (address, at) in plan.restarts.iter() {
@@ -158,7 +160,7 @@
         held_bytes: Cell::new(0),
         placements: RefCell::default(),
         planned: RefCell::default(),
-        pace: RefCell::default(),
+        forecast_correction: RefCell::default(),
         ends: TargetEnds::new(sightings.clone()),
         reports: TargetReports::new(sightings),
     });
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -41,7 +41,7 @@
     /// The nodes whose orders wait here, and how many of each.
     askers: RefCell<HashMap<u64, usize>>,
     changed: Notify,
-    unneeded: Notify,
+    releasable: Notify,
 }
 
 /// Withdraws an order whose request does not wait for it any more.
@@ -57,8 +57,8 @@
         self.pool.asks_no_more(self.asker);
         if let Some(key) = self.key.take() {
             self.pool.waiters.borrow_mut().remove(&key);
-            self.pool.queue.borrow_mut().withdraw(key);
-            self.pool.unneeded.notify_one();
+            self.pool.queue.borrow_mut().cancel(key);
+            self.pool.releasable.notify_one();
         }
     }
 }
@@ -72,7 +72,7 @@
             waiters: RefCell::default(),
             askers: RefCell::default(),
             changed: Notify::new(),
-            unneeded: Notify::new(),
+            releasable: Notify::new(),
         });
         spawn_local(drive(Rc::clone(traffic), Rc::clone(&pool)));
         spawn_local(free(Rc::clone(traffic), Rc::clone(&pool)));
@@ -123,8 +123,8 @@
 
     /// Frees results that nobody needs any more.
     pub fn release(&self, handles: Vec<String>) {
-        self.queue.borrow_mut().give_up(handles);
-        self.unneeded.notify_one();
+        self.queue.borrow_mut().release(handles);
+        self.releasable.notify_one();
     }
 
     /// How long a full call that came now would take.
@@ -185,12 +185,12 @@
         forwarder.rate_share(now, pool.key, *asker);
     }
     let share = forwarder.rate_share(now, pool.key, me);
-    queue.take_rates(now, share, me, |id| forwarder.limit(id));
-    queue.take_rests(|id| forwarder.rest_until(id));
+    queue.apply_rates(now, share, me, |id| forwarder.limit(id));
+    queue.apply_cooldowns(|id| forwarder.rest_until(id));
 }
 
 async fn run_call(traffic: Rc<Traffic>, pool: Rc<Pool>, call: BatchCall) {
-    let (key, target, pieces) = (call.call, call.id.clone(), call.asks.len());
+    let (key, target, pieces) = (call.call, call.id.clone(), call.pieces.len());
     let far_kb = far_bytes(&traffic, &call) / 1000;
     let began = traffic.now();
     let mut answer = match timer::timeout(CALL_TIMEOUT, send_call(&traffic, &call)).await {
@@ -198,7 +198,7 @@
         Err(_) => CallAnswer::without(BatchOutcome::BrokenOff),
     };
     if answer.outcome == BatchOutcome::BrokenOff && has_ended_under(&traffic, &call).await {
-        answer.outcome = BatchOutcome::TargetEnded;
+        answer.outcome = BatchOutcome::TargetCrashed;
     }
     let now = traffic.now();
     let line = Line::PoolCall {
@@ -223,7 +223,10 @@
     if !traffic.ends.has_ended(traffic, &call.id, &call.address).await {
         return false;
     }
-    let requests = call.asks.iter().map(|ask| (ask.request.as_str(), ask.print));
+    let requests = call
+        .pieces
+        .iter()
+        .map(|piece| (piece.request.as_str(), piece.print));
     for request in requests.collect::<HashSet<_>>() {
         traffic.ends.ended_under(traffic, &call.id, request);
     }
@@ -236,18 +239,18 @@
     let Some(zone) = plan.targets.get(&call.id).map(|target| &target.zone) else {
         return 0;
     };
-    let far = |ask: &PieceRequest| {
-        let far = plan.made_elsewhere(&ask.inputs, zone) as u64;
-        ask.input_bytes * far / ask.inputs.len().max(1) as u64
+    let far = |piece: &PieceRequest| {
+        let far = plan.made_elsewhere(&piece.inputs, zone) as u64;
+        piece.input_bytes * far / piece.inputs.len().max(1) as u64
     };
-    call.asks.iter().map(far).sum()
+    call.pieces.iter().map(far).sum()
 }
 
 fn made(outcome: &BatchOutcome) -> usize {
     match outcome {
         BatchOutcome::Done(pieces) => pieces
             .iter()
-            .filter(|piece| matches!(piece, PieceOutcome::Made(_)))
+            .filter(|piece| matches!(piece, PieceOutcome::Computed(_)))
             .count(),
         _ => 0,
     }
@@ -259,7 +262,7 @@
         BatchOutcome::Refused { .. } => "refused",
         BatchOutcome::Unreachable => "unreachable",
         BatchOutcome::BrokenOff => "broken_off",
-        BatchOutcome::TargetEnded => "target_ended",
+        BatchOutcome::TargetCrashed => "target_ended",
     }
 }
 
@@ -276,8 +279,8 @@
     }
     pool.notify_ended();
     pool.wake();
-    if pool.queue.borrow().has_unneeded() {
-        pool.unneeded.notify_one();
+    if pool.queue.borrow().has_releasable() {
+        pool.releasable.notify_one();
     }
 }
 
@@ -306,7 +309,7 @@
 
 async fn send_call(traffic: &Traffic, call: &BatchCall) -> CallAnswer {
     let sent_at = traffic.now();
-    let (path, body) = (traffic.edges.pool.run)(&call.asks);
+    let (path, body) = (traffic.edges.pool.run)(&call.pieces);
     let Some(request) = request(traffic, path, &call.address, &call.id, body) else {
         return CallAnswer::without(BatchOutcome::BrokenOff);
     };
@@ -364,10 +367,10 @@
 /// Frees results, many at a time.
 async fn free(traffic: Rc<Traffic>, pool: Rc<Pool>) {
     loop {
-        pool.unneeded.notified().await;
+        pool.releasable.notified().await;
         tokio::time::sleep(FREE_DELAY).await;
-        let unneeded = pool.queue.borrow_mut().take_unneeded(traffic.now());
-        for (address, target, handles) in unneeded {
+        let releasable = pool.queue.borrow_mut().take_releasable(traffic.now());
+        for (address, target, handles) in releasable {
             let (path, body) = (traffic.edges.pool.free)(&handles);
             if let Some(request) = request(&traffic, path, &address, &target, body) {
                 let to = (address, target);
@@ -403,7 +406,7 @@
             traffic.connections.put_back(connection, None);
         }
         if freed {
-            pool.queue.borrow_mut().freed(&handles);
+            pool.queue.borrow_mut().mark_freed(&handles);
             // Room has come free.
             pool.wake();
         }
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -21,7 +21,7 @@
     /// Whether the plan still splits the pool so.
     pub fn is_current(&self, plan: &ForwardPlan) -> bool {
         let shards = plan.pool_shards(&self.service);
-        shards.is_none_or(|shards| shards.has(self.shard))
+        shards.is_none_or(|shards| shards.contains(self.shard))
     }
 
     /// The key by which the owner is picked.
@@ -101,6 +101,6 @@
     let holds = |entry: &TargetEntry| shards.is_some_and(|shards| shards.shard_of(entry) == id.shard);
     let mine = |entry: &TargetEntry| entry.service == id.service && holds(entry);
     let mut queue = pool.queue.borrow_mut();
-    queue.take_plan(spec, service.cold, &plan.targets, mine);
-    queue.drop_lost(|handle, since| plan.is_lost(handle, since));
+    queue.apply_plan(spec, service.cold, &plan.targets, mine);
+    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
 }
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -39,7 +39,7 @@
         }
         for ready in started {
             if results.is_any_lost(&ready.inputs) {
-                redo(stages, Some(ready.stage), &call.route.stages[ready.stage].service)?;
+                recompute(stages, Some(ready.stage), &call.route.stages[ready.stage].service)?;
                 again = true;
                 continue;
             }
@@ -50,7 +50,7 @@
             continue;
         }
         if stages.is_complete() && results.is_any_lost(&stages.outputs()) {
-            redo(stages, None, &call.service)?;
+            recompute(stages, None, &call.service)?;
             continue;
         }
         if stages.is_complete() {
@@ -60,13 +60,13 @@
             return Err(CallFailure::not_run(Reason::StepFailed));
         };
         match ended.end {
-            OrderOutcome::Made(handles) => {
+            OrderOutcome::Computed(handles) => {
                 results.add(&ended.pool, &handles);
-                let unneeded = stages.complete(ended.stage, handles);
-                results.release(unneeded);
+                let releasable = stages.complete(ended.stage, handles);
+                results.release(releasable);
             }
             OrderOutcome::InputsGone => {
-                redo(stages, Some(ended.stage), &ended.pool.service)?;
+                recompute(stages, Some(ended.stage), &ended.pool.service)?;
             }
             OrderOutcome::TooLate(come_back) => {
                 let failure = CallFailure::not_run(Reason::PoolBusy);
@@ -80,8 +80,8 @@
 }
 
 /// Has what a stage rests on made anew; what the call itself rests on when no stage is named.
-fn redo(stages: &mut StageProgress, stage: Option<usize>, service: &str) -> Result<(), CallFailure> {
-    let allowed = stages.redo(stage);
+fn recompute(stages: &mut StageProgress, stage: Option<usize>, service: &str) -> Result<(), CallFailure> {
+    let allowed = stages.recompute(stage);
     let failure = || CallFailure::not_run(Reason::StepFailed).at(service, "");
     allowed.then_some(()).ok_or_else(failure)
 }
@@ -143,7 +143,7 @@
         end: end_name(&end),
         took_ms: now.since(began).as_millis(),
     };
-    if matches!(end, OrderOutcome::Made(_)) {
+    if matches!(end, OrderOutcome::Computed(_)) {
         traffic.log.write_good(now, &line);
     } else {
         traffic.log.write(now, &line);
@@ -248,7 +248,7 @@
 
 fn end_name(end: &OrderOutcome) -> &'static str {
     match end {
-        OrderOutcome::Made(_) => "made",
+        OrderOutcome::Computed(_) => "made",
         OrderOutcome::InputsGone => "inputs_gone",
         OrderOutcome::TooLate(_) => "too_late",
         OrderOutcome::Moved => "moved",
--- a/crates/barleyspool_gateway/src/traffic/stopping.rs
+++ b/crates/barleyspool_gateway/src/traffic/stopping.rs
@@ -14,12 +14,12 @@
 
 /// Whether a call comes too late to be taken.
 pub fn is_too_late(traffic: &Traffic) -> bool {
-    traffic.shared.stop_reached(StopPhase::Finishing)
+    traffic.shared.stop_reached(StopPhase::Draining)
 }
 
 /// The end of a call that is taken now: its own, or that of the node's last answers when it is stopping.
 pub fn bounded(traffic: &Traffic, deadline: Time) -> Time {
-    let last = traffic.plan().last_answers;
+    let last = traffic.plan().abort_at;
     last.map_or(deadline, |last| last.min(deadline))
 }
 
@@ -27,5 +27,5 @@
 pub async fn cut(traffic: &Traffic) {
     let mut stop = traffic.shared.stop.subscribe();
     // The sender lives as long as the process.
-    let _ = stop.wait_for(|phase| *phase >= StopPhase::Cutting).await;
+    let _ = stop.wait_for(|phase| *phase >= StopPhase::Aborting).await;
 }
