--- a/crates/barleyspool_core/src/crashes/survivors.rs
+++ b/crates/barleyspool_core/src/crashes/answered_calls.rs
@@ -1,6 +1,6 @@
 //! Calls that targets have lately answered: such a call does not end them.
 
-use super::CallPrint;
+use super::CallFingerprint;
 use crate::{Span, Time};
 use std::collections::HashSet;
 
@@ -15,21 +15,21 @@
 /// Where many callers ask for the same, some are at any target that ends. They may be told apart from a call that ends
 /// targets by the answers that the others get.
 #[derive(Clone, Debug, Default)]
-pub struct Survivors {
-    newer: HashSet<CallPrint>,
-    older: HashSet<CallPrint>,
+pub struct AnsweredCalls {
+    newer: HashSet<CallFingerprint>,
+    older: HashSet<CallFingerprint>,
     turned: Time,
 }
 
-impl Survivors {
+impl AnsweredCalls {
     /// A target gave a call a whole answer, good or bad.
-    pub fn answered(&mut self, now: Time, print: CallPrint) {
+    pub fn answered(&mut self, now: Time, print: CallFingerprint) {
         self.turn(now);
         self.newer.insert(print);
     }
 
     /// Whether a call was answered lately.
-    pub fn contains(&mut self, now: Time, print: CallPrint) -> bool {
+    pub fn contains(&mut self, now: Time, print: CallFingerprint) -> bool {
         self.turn(now);
         self.newer.contains(&print) || self.older.contains(&print)
     }
--- a/crates/barleyspool_core/src/crashes/call_print.rs
+++ b/crates/barleyspool_core/src/crashes/call_fingerprint.rs
@@ -8,9 +8,9 @@
 /// It is 64 bits of a hash. Only calls under which targets have ended are looked up by it, a few thousand at the most, so that
 /// one other call in some 10^15 is taken for one of them.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct CallPrint(pub u64);
+pub struct CallFingerprint(pub u64);
 
-impl CallPrint {
+impl CallFingerprint {
     /// The print of a call with these parts, in order: what it asks for, its organisation, and its body.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -25,7 +25,7 @@
 }
 
 /// As it stands in log lines.
-impl fmt::Display for CallPrint {
+impl fmt::Display for CallFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -1,6 +1,6 @@
 //! Which calls targets have ended under, and which of them get no target for a while.
 
-use super::CallPrint;
+use super::CallFingerprint;
 use crate::{Span, Time, rendezvous};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -35,9 +35,9 @@
 
 /// A short mark of one run of a target.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RunMark(pub u32);
+pub struct IncarnationId(pub u32);
 
-impl RunMark {
+impl IncarnationId {
     /// The mark of the run `run` of the target `id`.
     pub fn of(id: &str, run: u64) -> Self {
         Self(rendezvous::place(rendezvous::text_key(id), run) as u32)
@@ -47,7 +47,7 @@
 /// A run of a target that ended while it had a call.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 struct End {
-    run: RunMark,
+    run: IncarnationId,
     at: Time,
 }
 
@@ -61,29 +61,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
     /// The call.
-    pub print: CallPrint,
+    pub print: CallFingerprint,
     /// The runs of targets, each with the age of its end in milliseconds.
-    pub ends: Vec<(RunMark, u32)>,
+    pub ends: Vec<(IncarnationId, u32)>,
 }
 
 /// What a node learns from a word about a call.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum CrashKnowledge {
     /// Nothing that it did not know.
-    Nothing,
+    Unchanged,
     /// A target ended under it, which says little yet.
-    Suspect,
+    Suspected,
     /// Targets end under it: all nodes have to know.
     Confirmed,
 }
 
 /// Calls that get no target now, and until when.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RefusedCalls(HashMap<CallPrint, Time>);
+pub struct BlockedCalls(HashMap<CallFingerprint, Time>);
 
-impl RefusedCalls {
+impl BlockedCalls {
     /// How long a call gets no target from now on; `None` when it may go to one.
-    pub fn wait(&self, now: Time, print: CallPrint) -> Option<Span> {
+    pub fn wait(&self, now: Time, print: CallFingerprint) -> Option<Span> {
         let until = *self.0.get(&print)?;
         (now < until).then(|| until.since(now))
     }
@@ -99,18 +99,18 @@
 /// All nodes take the same words to the same table, in whatever order they come.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
-    records: HashMap<CallPrint, Record>,
+    records: HashMap<CallFingerprint, Record>,
 }
 
 impl CrashTable {
     /// A run of a target has ended while it had a call.
-    pub fn ended(&mut self, now: Time, print: CallPrint, run: RunMark) -> Learnt {
+    pub fn ended(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) -> CrashKnowledge {
         self.add(now, print, &[End { run, at: now }])
     }
 
     /// Takes what another node tells.
-    pub fn take(&mut self, now: Time, update: &CrashUpdate) -> Learnt {
-        let end = |(run, age): &(RunMark, u32)| End {
+    pub fn take(&mut self, now: Time, update: &CrashUpdate) -> CrashKnowledge {
+        let end = |(run, age): &(IncarnationId, u32)| End {
             run: *run,
             at: now - Span::from_millis(u64::from(*age)),
         };
@@ -119,7 +119,7 @@
     }
 
     /// What this node can tell of a call.
-    pub fn update_of(&self, now: Time, print: CallPrint) -> Option<CrashUpdate> {
+    pub fn update_of(&self, now: Time, print: CallFingerprint) -> Option<CrashUpdate> {
         let record = self.records.get(&print)?;
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         let ends = record.ends.iter().map(|end| (end.run, age(end.at)));
@@ -130,14 +130,14 @@
     }
 
     /// The calls that get no target now.
-    pub fn refused(&self, now: Time) -> RefusedCalls {
-        let until = |(print, record): (&CallPrint, &Record)| Some((*print, record.refused_until()?));
+    pub fn refused(&self, now: Time) -> BlockedCalls {
+        let until = |(print, record): (&CallFingerprint, &Record)| Some((*print, record.refused_until()?));
         let refused = self.records.iter().filter_map(until);
-        RefusedCalls(refused.filter(|(_, until)| *until > now).collect())
+        BlockedCalls(refused.filter(|(_, until)| *until > now).collect())
     }
 
     /// Whether targets are known to end under a call, also when it may go to one again: one more end then counts for more.
-    pub fn is_confirmed(&self, now: Time, print: CallPrint) -> bool {
+    pub fn is_confirmed(&self, now: Time, print: CallFingerprint) -> bool {
         let record = self.records.get(&print);
         record.is_some_and(|record| record.refused_until().is_some() && record.kept_until() > now)
     }
@@ -152,7 +152,7 @@
         self.records.is_empty()
     }
 
-    fn add(&mut self, now: Time, print: CallPrint, ends: &[End]) -> Learnt {
+    fn add(&mut self, now: Time, print: CallFingerprint, ends: &[End]) -> CrashKnowledge {
         self.forget(now, print);
         let record = self.records.entry(print).or_default();
         let mut learnt = false;
@@ -160,14 +160,14 @@
             learnt |= record.add(*end);
         }
         match record.refused_until() {
-            _ if !learnt => Learnt::Nothing,
-            Some(_) => Learnt::Confirmed,
-            None => Learnt::Suspect,
+            _ if !learnt => CrashKnowledge::Unchanged,
+            Some(_) => CrashKnowledge::Confirmed,
+            None => CrashKnowledge::Suspected,
         }
     }
 
     /// Makes room for a call that is not known yet: what is old goes, and if that is not enough, the call that says least.
-    fn forget(&mut self, now: Time, print: CallPrint) {
+    fn forget(&mut self, now: Time, print: CallFingerprint) {
         if self.records.len() < MOST_RECORDS || self.records.contains_key(&print) {
             return;
         }
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -6,7 +6,9 @@
     TargetKey, TargetQuery, TargetRecord, TargetTable,
 };
 use crate::chart::{Chart, ChartError};
-use crate::{LimitTable, Ownership, Reach, RunMark, Span, TARGET_CHART, TargetEvent, TargetPhase, Time};
+use crate::{
+    IncarnationId, LimitTable, Ownership, Reachability, Span, TARGET_CHART, TargetEvent, TargetPhase, Time,
+};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
@@ -101,7 +103,7 @@
     pub(super) converged: bool,
     /// How the targets of each service are split.
     pub(super) services: Arc<HashMap<String, ServiceTargets>>,
-    pub(super) reach: Reach,
+    pub(super) reach: Reachability,
     /// What targets have said of their limits.
     pub(super) limits: LimitTable,
     /// Which shards of services this node owns, by their keys, and who asks it.
@@ -136,7 +138,7 @@
             me: 0,
             converged: false,
             services: Arc::default(),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             limits: LimitTable::default(),
             owned: HashMap::new(),
             catalog: None,
@@ -225,7 +227,7 @@
     }
 
     /// The run of a target that said in the answer to a request sent at `sent` that it leaves; `None` when the list has it so already, or has a later run.
-    pub fn leaving_run(&self, sent: Time, id: &str) -> Option<RunMark> {
+    pub fn leaving_run(&self, sent: Time, id: &str) -> Option<IncarnationId> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         let entry = &record.entry;
         (!entry.leaving && sent >= entry.times.restarted).then_some(record.mark)
--- a/crates/barleyspool_core/src/forward/leaving_incarnations.rs
+++ b/crates/barleyspool_core/src/forward/leaving_incarnations.rs
@@ -1,6 +1,6 @@
 //! Runs of targets that have said in an answer that they leave.
 
-use crate::{RunMark, Span, Time};
+use crate::{IncarnationId, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingUpdate {
     /// The run of the target.
-    pub run: RunMark,
+    pub run: IncarnationId,
     /// How long ago a node read that, in milliseconds.
     pub age: u32,
 }
@@ -22,12 +22,12 @@
 /// later, and not at all while the source is away.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingIncarnations {
-    read_at: HashMap<RunMark, Time>,
+    read_at: HashMap<IncarnationId, Time>,
 }
 
 impl LeavingIncarnations {
     /// Notes that a run leaves; false when that was known.
-    pub fn note(&mut self, now: Time, run: RunMark) -> bool {
+    pub fn note(&mut self, now: Time, run: IncarnationId) -> bool {
         self.insert(run, now)
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Whether a run is known to leave.
-    pub fn contains(&self, run: RunMark) -> bool {
+    pub fn contains(&self, run: IncarnationId) -> bool {
         self.read_at.contains_key(&run)
     }
 
@@ -48,19 +48,19 @@
     }
 
     /// What this node can pass on of a run.
-    pub fn update_of(&self, now: Time, run: RunMark) -> Option<LeavingUpdate> {
+    pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LeavingUpdate> {
         let read_at = self.read_at.get(&run)?;
         let age = u32::try_from(now.since(*read_at).as_millis()).unwrap_or(u32::MAX);
         Some(LeavingUpdate { run, age })
     }
 
     /// Forgets runs of which nobody has read that for long, but for those that `keeps` names.
-    pub fn forget(&mut self, now: Time, keeps: impl Fn(RunMark) -> bool) {
+    pub fn forget(&mut self, now: Time, keeps: impl Fn(IncarnationId) -> bool) {
         self.read_at
             .retain(|run, at| now.since(*at) < KEPT || keeps(*run));
     }
 
-    fn insert(&mut self, run: RunMark, at: Time) -> bool {
+    fn insert(&mut self, run: IncarnationId, at: Time) -> bool {
         let known = self.read_at.get(&run).copied();
         self.read_at.insert(run, known.map_or(at, |known| known.max(at)));
         known.is_none()
--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -1,6 +1,6 @@
 //! Orders for pieces, calls with pieces of several orders, and what becomes of both.
 
-use crate::{CallPrint, Span, Time};
+use crate::{CallFingerprint, Span, Time};
 use serde::{Deserialize, Serialize};
 
 slotmap::new_key_type! {
@@ -16,7 +16,7 @@
     /// The request's id.
     pub request: String,
     /// What the request has in common with other tries of the same call.
-    pub print: CallPrint,
+    pub print: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
     /// How many pieces; they are counted from 0.
@@ -104,7 +104,7 @@
     /// The request's id.
     pub request: String,
     /// What the request has in common with other tries of the same call.
-    pub print: CallPrint,
+    pub print: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
     /// Which piece of it.
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -1,7 +1,7 @@
 //! What the control thread hands to the traffic thread for forwarded calls.
 
 use super::{Catalog, PoolShards, ServiceTargets, Shard, TargetEntry, TargetTable, handle_address};
-use crate::{LimitTable, Reach, Time};
+use crate::{LimitTable, Reachability, Time};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
     /// would take pools for its own that others own.
     pub converged: bool,
     /// How many of the nodes this one hears.
-    pub reach: Reach,
+    pub reach: Reachability,
     /// What targets have said of their limits.
     pub limits: Arc<LimitTable>,
     /// When the last answers are given; `None` while no stop was asked for.
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -3,7 +3,7 @@
 //! Whatever chooses a target asks here, and a call goes to one of them only when the owner of its shard has given it out.
 
 use super::{ColdSpec, Forwarder, Shard, TargetEntry, TargetKey, TargetRecord, shard_key};
-use crate::{LimitReport, RateShare, RunMark, Span, Time, rendezvous};
+use crate::{IncarnationId, LimitReport, RateShare, Span, Time, rendezvous};
 use serde::{Deserialize, Serialize};
 
 /// How long it is believed that a target has no room, however much later it was told to have any: it may name a higher limit meanwhile.
@@ -187,7 +187,7 @@
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct ReportedLimit {
     /// The run of the target.
-    pub run: RunMark,
+    pub run: IncarnationId,
     /// The calls a second that it takes; `None` when it limits nothing any more.
     pub per_s: Option<f64>,
     /// Whether that is another limit than before.
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -1,6 +1,6 @@
 //! Targets as the platform lists them.
 
-use crate::{RunMark, Span, Time};
+use crate::{IncarnationId, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -83,8 +83,8 @@
     }
 
     /// The mark of its run.
-    pub fn mark(&self) -> RunMark {
-        RunMark::of(&self.id, self.run.0)
+    pub fn mark(&self) -> IncarnationId {
+        IncarnationId::of(&self.id, self.run.0)
     }
 
     /// Whether new work may go there. Every decision asks this and keeps no opinion of its own, so that a target that is
--- a/crates/barleyspool_core/src/forward/target_history.rs
+++ b/crates/barleyspool_core/src/forward/target_history.rs
@@ -1,7 +1,7 @@
 //! What a node knows of targets beside their entries in the list.
 
 use super::{LeavingIncarnations, TargetEntry, TargetIncarnation, TargetTable};
-use crate::{RunMark, Span, Time};
+use crate::{IncarnationId, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// How long the last report of a target that is gone is remembered, so that an older one that arrives late is known for what
@@ -51,8 +51,8 @@
     // Targets that leave
 
     /// A run has said in an answer that it leaves. That is remembered for as long as it is listed.
-    pub(super) fn note_leaving(&mut self, now: Time, run: RunMark, table: &TargetTable) {
-        let listed: HashSet<RunMark> = table.values().map(TargetEntry::mark).collect();
+    pub(super) fn note_leaving(&mut self, now: Time, run: IncarnationId, table: &TargetTable) {
+        let listed: HashSet<IncarnationId> = table.values().map(TargetEntry::mark).collect();
         self.said_leaving.forget(now, |run| listed.contains(&run));
         self.said_leaving.note(now, run);
     }
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -2,7 +2,7 @@
 
 use super::{PrefixTracker, TargetEntry};
 use crate::chart::Chart;
-use crate::{RunMark, Span, TargetBucket, TargetEvent, TargetPhase, Time, rendezvous};
+use crate::{IncarnationId, Span, TargetBucket, TargetEvent, TargetPhase, Time, rendezvous};
 
 slotmap::new_key_type! {
     /// A target that the forwarder knows.
@@ -34,7 +34,7 @@
     /// Its id as a key for rendezvous hashing.
     pub hash: u128,
     /// The mark of its run.
-    pub mark: RunMark,
+    pub mark: IncarnationId,
     /// Whether it is used.
     pub phase: TargetPhase,
     /// Calls of this node that it is working on.
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -3,7 +3,7 @@
 use super::target_history::{Freshness, TargetHistory};
 use super::target_log::TargetLog;
 use super::{ForwardPlan, ServiceTargets, TargetEntry, TargetIncarnation, TargetTable, service_targets};
-use crate::{Revision, RunMark, Span, Time};
+use crate::{IncarnationId, Revision, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -157,7 +157,7 @@
 
     /// A run of a target has said in an answer that it leaves; true when that is new to the list. It is no change at the source, so
     /// other nodes have nothing to ask for.
-    pub fn note_leaving(&mut self, now: Time, run: RunMark) -> bool {
+    pub fn note_leaving(&mut self, now: Time, run: IncarnationId) -> bool {
         self.memory.note_leaving(now, run, &self.table);
         let mut listed = self.table.values();
         let staying = listed.find(|entry| entry.mark() == run && !entry.leaving);
--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -10,7 +10,7 @@
 //! would only find out by probes of its own, of which a turn takes 21 s in a fleet of 86.
 
 use super::table::{Membership, update_of};
-use super::{Member, MemberQuestion, MemberUpdate};
+use super::{Member, MemberUpdate, MessageKind};
 use crate::{Span, Time, rendezvous};
 use rand::seq::{IteratorRandom, SliceRandom};
 use std::collections::HashSet;
@@ -106,7 +106,7 @@
         let known = self.marks();
         for address in asked {
             let known = known.clone();
-            self.send(now, address, MemberQuestion::Join { known });
+            self.send(now, address, MessageKind::Join { known });
         }
     }
 
@@ -148,7 +148,12 @@
             updates.extend(part.iter().take(names).cloned());
             let room = most_updates.saturating_sub(part.len());
             let crashes = self.next_crashes(now, room);
-            self.post(to.to_owned(), MemberQuestion::Share { members }, updates, crashes);
+            self.post(
+                to.to_owned(),
+                MessageKind::JoinReply { members },
+                updates,
+                crashes,
+            );
         }
     }
 
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -5,10 +5,10 @@
 //! on, and all again and again with the messages that go out anyway, so that nodes that start, sleep or are cut off learn it
 //! within seconds after they are back.
 
+use super::round_robin::RoundRobin;
 use super::table::Membership;
-use super::turn::Turn;
-use super::{Member, MemberAction, MemberHealth, MemberQuestion};
-use crate::{CallPrint, CrashTable, CrashUpdate, Learnt, RunMark, Time, rendezvous};
+use super::{Member, MemberAction, MemberHealth, MessageKind};
+use crate::{CallFingerprint, CrashKnowledge, CrashTable, CrashUpdate, IncarnationId, Time, rendezvous};
 use std::collections::HashMap;
 
 /// Nodes that hear of every end under a call, in different zones. A zone may be lost, and another datagram, without anything being
@@ -28,7 +28,7 @@
 pub(super) struct Crashes {
     table: CrashTable,
     /// Confirmed calls in the order in which they are told; the newest first, and then each in turn.
-    turn: Turn<CallPrint>,
+    turn: RoundRobin<CallFingerprint>,
 }
 
 impl Membership {
@@ -38,11 +38,11 @@
     }
 
     /// This node has seen a run of a target end while it had a call.
-    pub(super) fn crashed(&mut self, now: Time, print: CallPrint, run: RunMark) {
+    pub(super) fn crashed(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) {
         match self.crashes.table.ended(now, print, run) {
-            Learnt::Nothing => {}
-            Learnt::Suspect => self.notify_keepers(now, print),
-            Learnt::Confirmed => self.spread(now, print, NOTIFIED_FIRST),
+            CrashKnowledge::Unchanged => {}
+            CrashKnowledge::Suspected => self.notify_keepers(now, print),
+            CrashKnowledge::Confirmed => self.spread(now, print, NOTIFIED_FIRST),
         }
     }
 
@@ -50,7 +50,7 @@
     pub(super) fn take_crashes(&mut self, now: Time, updates: &[CrashUpdate]) {
         for update in updates {
             let first_end = update.ends.len() == 1;
-            if self.crashes.table.take(now, update) == Learnt::Confirmed {
+            if self.crashes.table.take(now, update) == CrashKnowledge::Confirmed {
                 // Whoever puts two words together is the first to know.
                 let count = if first_end { NOTIFIED_FIRST } else { NOTIFIED_NEXT };
                 self.spread(now, update.print, count);
@@ -69,20 +69,20 @@
         turn.take(IN_MESSAGE + room, |print| confirmed(print).flatten())
     }
 
-    fn spread(&mut self, now: Time, print: CallPrint, count: usize) {
+    fn spread(&mut self, now: Time, print: CallFingerprint, count: usize) {
         self.crashes.turn.put_first(print);
-        self.actions.push(MemberAction::CallsRefused);
+        self.actions.push(MemberAction::BlockedCallsChanged);
         let to = self.some_reachable(count);
         self.notify_crash(now, print, to);
     }
 
-    fn notify_keepers(&mut self, now: Time, print: CallPrint) {
+    fn notify_keepers(&mut self, now: Time, print: CallFingerprint) {
         let keepers = self.keepers(print);
         self.notify_crash(now, print, keepers);
     }
 
     /// The nodes that hear of every end under a call: the best placed ones, of different zones as far as there are any.
-    fn keepers(&self, print: CallPrint) -> Vec<String> {
+    fn keepers(&self, print: CallFingerprint) -> Vec<String> {
         let alive = |member: &&Member| matches!(member.health, MemberHealth::Alive | MemberHealth::Suspect);
         let mut ranked: Vec<&Member> = self.members.values().filter(alive).collect();
         ranked.sort_unstable_by_key(|member| rendezvous::place(member.key, print.0));
@@ -99,12 +99,12 @@
         keepers.map(|(_, member)| member.facts.address.clone()).collect()
     }
 
-    fn notify_crash(&mut self, now: Time, print: CallPrint, nodes: Vec<String>) {
+    fn notify_crash(&mut self, now: Time, print: CallFingerprint, nodes: Vec<String>) {
         let Some(update) = self.crashes.table.update_of(now, print) else {
             return;
         };
         for to in nodes {
-            self.notify(to, MemberQuestion::Update, vec![update.clone()]);
+            self.notify(to, MessageKind::Update, vec![update.clone()]);
         }
     }
 }
--- a/crates/barleyspool_core/src/membership/event.rs
+++ b/crates/barleyspool_core/src/membership/event.rs
@@ -1,7 +1,7 @@
 //! What a membership table is told, and what it wants done.
 
 use super::{Evidence, MemberHealth, MemberMessage, SourceState};
-use crate::{CallPrint, RunMark};
+use crate::{CallFingerprint, IncarnationId};
 
 /// Something that happened to the table.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,21 +24,21 @@
     /// A run of a target was seen to end while it had a call.
     Crashed {
         /// The call.
-        print: CallPrint,
+        print: CallFingerprint,
         /// The run.
-        run: RunMark,
+        run: IncarnationId,
     },
     /// An answer of a target said what it takes.
     LimitReceived {
         /// The run of the target.
-        run: RunMark,
+        run: IncarnationId,
         /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
         per_s: Option<f64>,
     },
     /// An answer of a target said that it leaves.
     TargetLeaves {
         /// The run of the target.
-        run: RunMark,
+        run: IncarnationId,
     },
     /// A planned stop begins.
     Leave,
@@ -64,16 +64,16 @@
         reads: bool,
     },
     /// There is another call that gets no target for a while, or one that gets none for longer.
-    CallsRefused,
+    BlockedCallsChanged,
     /// A target has said that it leaves, in an answer to this node or another one.
     TargetLeaves {
         /// The run of the target.
-        run: RunMark,
+        run: IncarnationId,
     },
     /// Targets take more or less than was known.
     LimitsChanged,
     /// More or fewer of the nodes are heard.
-    ReachChanged,
+    ReachabilityChanged,
     /// Who is there, how they are, or whether they serve has changed.
     Changed {
         /// The node's address.
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -3,10 +3,10 @@
 //! The node that reads it notifies some others at once, who pass it on. While any is remembered each node also updates one other in
 //! each round, so that nodes that start, sleep or are cut off learn what they missed.
 
+use super::round_robin::RoundRobin;
 use super::table::Membership;
-use super::turn::Turn;
-use super::{MemberAction, MemberQuestion};
-use crate::{LeavingIncarnations, LeavingUpdate, RunMark, Time};
+use super::{MemberAction, MessageKind};
+use crate::{IncarnationId, LeavingIncarnations, LeavingUpdate, Time};
 
 /// Nodes that are notified at once by the one that reads an answer.
 const NOTIFIED_FIRST: usize = 16;
@@ -20,7 +20,7 @@
 pub(super) struct Leaving {
     runs: LeavingIncarnations,
     /// The runs in the order in which they are passed on; each in turn.
-    turn: Turn<RunMark>,
+    turn: RoundRobin<IncarnationId>,
 }
 
 impl Membership {
@@ -30,7 +30,7 @@
     }
 
     /// This node has read in an answer that a run of a target leaves.
-    pub(super) fn target_leaves(&mut self, now: Time, run: RunMark) {
+    pub(super) fn target_leaves(&mut self, now: Time, run: IncarnationId) {
         if self.leaving.runs.note(now, run) {
             self.spread_leaving(now, run, NOTIFIED_FIRST);
         }
@@ -61,17 +61,17 @@
         let Leaving { runs, turn } = &mut self.leaving;
         let updates = turn.take(IN_MESSAGE, |run| runs.update_of(now, run));
         if !updates.is_empty() {
-            self.notify(to.to_owned(), MemberQuestion::Leaving { updates }, Vec::new());
+            self.notify(to.to_owned(), MessageKind::Leaving { updates }, Vec::new());
         }
     }
 
-    fn spread_leaving(&mut self, now: Time, run: RunMark, nodes: usize) {
+    fn spread_leaving(&mut self, now: Time, run: IncarnationId, nodes: usize) {
         self.actions.push(MemberAction::TargetLeaves { run });
         self.leaving.turn.put_first(run);
         let updates: Vec<LeavingUpdate> = self.leaving.runs.update_of(now, run).into_iter().collect();
         for to in self.some_reachable(nodes) {
             let updates = updates.clone();
-            self.notify(to, MemberQuestion::Leaving { updates }, Vec::new());
+            self.notify(to, MessageKind::Leaving { updates }, Vec::new());
         }
     }
 }
--- a/crates/barleyspool_core/src/membership/limit_updates.rs
+++ b/crates/barleyspool_core/src/membership/limit_updates.rs
@@ -4,10 +4,10 @@
 //! 20 ms. While any word is remembered each node also tells one other in each round, so that nodes that start, sleep or are cut off
 //! learn within seconds what they missed.
 
+use super::round_robin::RoundRobin;
 use super::table::Membership;
-use super::turn::Turn;
-use super::{MemberAction, MemberQuestion};
-use crate::{LimitReport, LimitTable, LimitUpdate, RunMark, Time};
+use super::{MemberAction, MessageKind};
+use crate::{IncarnationId, LimitReport, LimitTable, LimitUpdate, Time};
 
 /// Nodes that are told at once by the one that reads an answer.
 const NOTIFIED_FIRST: usize = 16;
@@ -21,7 +21,7 @@
 pub(super) struct Limits {
     table: LimitTable,
     /// The targets in the order in which they are told; each in turn.
-    turn: Turn<RunMark>,
+    turn: RoundRobin<IncarnationId>,
 }
 
 impl Membership {
@@ -31,7 +31,7 @@
     }
 
     /// This node has read in an answer what a target takes; `None` when it limits nothing any more.
-    pub(super) fn limit_received(&mut self, now: Time, run: RunMark, per_s: Option<f64>) {
+    pub(super) fn limit_received(&mut self, now: Time, run: IncarnationId, per_s: Option<f64>) {
         let report = per_s.map_or(LimitReport::None, LimitReport::PerSecond);
         let before = self.limits.table.named(run);
         let is_new = self.limits.table.take_answer(now, now, run, report);
@@ -74,7 +74,7 @@
         }
     }
 
-    fn spread_limit(&mut self, now: Time, run: RunMark, count: usize) {
+    fn spread_limit(&mut self, now: Time, run: IncarnationId, count: usize) {
         self.limits.turn.put_first(run);
         let to = self.some_reachable(count);
         let update = self.limits.table.update_of(now, run);
@@ -84,7 +84,7 @@
     fn send_limits(&mut self, to: Vec<String>, updates: &[LimitUpdate]) {
         for to in to {
             let updates = updates.to_vec();
-            self.notify(to, MemberQuestion::Limits { updates }, Vec::new());
+            self.notify(to, MessageKind::Limits { updates }, Vec::new());
         }
     }
 }
--- a/crates/barleyspool_core/src/membership/message.rs
+++ b/crates/barleyspool_core/src/membership/message.rs
@@ -19,21 +19,23 @@
 
 /// What a message wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum MemberQuestion {
+pub enum MessageKind {
     /// Answer me.
     Probe {
         /// Repeated in the answer.
         number: u64,
     },
     /// Probe that node for me and pass its answer on.
-    ProbeFor {
+    #[serde(rename = "ProbeFor")]
+    IndirectProbe {
         /// Repeated in the answer.
         number: u64,
         /// The node's address.
         target: String,
     },
     /// An answer.
-    Answer {
+    #[serde(rename = "Answer")]
+    Ack {
         /// The number of the probe.
         number: u64,
     },
@@ -43,7 +45,8 @@
         known: Vec<u32>,
     },
     /// A part of the answer to that.
-    Share {
+    #[serde(rename = "Share")]
+    JoinReply {
         /// How many others the answering node knows.
         members: u32,
     },
@@ -67,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberMessage {
     /// What it wants.
-    pub question: MemberQuestion,
+    pub question: MessageKind,
     /// How far the sender has read the source.
     pub source: SourceState,
     /// Updates, the sender's own first.
--- a/crates/barleyspool_core/src/membership/mod.rs
+++ b/crates/barleyspool_core/src/membership/mod.rs
@@ -12,15 +12,15 @@
 mod member;
 mod message;
 mod probes;
-mod reach;
+mod reachability;
 mod receive;
+mod round_robin;
 mod settings;
 mod table;
-mod turn;
 mod update_queue;
 
 pub use event::{MemberAction, MemberCounts, MemberEvent};
 pub use member::{Evidence, Member, MemberFacts, MemberHealth, SourceState};
-pub use message::{MemberMessage, MemberQuestion, MemberUpdate};
+pub use message::{MemberMessage, MemberUpdate, MessageKind};
 pub use settings::MembershipSettings;
 pub use table::Membership;
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -1,7 +1,7 @@
 //! Probing other nodes, suspecting those that do not answer, and looking for those that are gone.
 
 use super::table::{Membership, Probe};
-use super::{Evidence, MemberHealth, MemberQuestion};
+use super::{Evidence, MemberHealth, MessageKind};
 use crate::{Span, Time};
 use rand::seq::{IteratorRandom, SliceRandom};
 
@@ -64,7 +64,7 @@
                 asked_by,
             },
         );
-        self.send(now, target, MemberQuestion::Probe { number });
+        self.send(now, target, MessageKind::Probe { number });
     }
 
     pub(super) fn check_probes(&mut self, now: Time) {
@@ -105,10 +105,10 @@
             .choose_multiple(&mut self.random, self.settings.helpers);
         for helper in helpers {
             let target = probe.target.clone();
-            self.send(now, helper, MemberQuestion::ProbeFor { number, target });
+            self.send(now, helper, MessageKind::IndirectProbe { number, target });
         }
         // One more try of its own too: datagrams are lost now and then.
-        self.send(now, probe.target.clone(), MemberQuestion::Probe { number });
+        self.send(now, probe.target.clone(), MessageKind::Probe { number });
         probe.helped = true;
         probe.sent = now;
         self.probes.insert(number, probe);
@@ -140,7 +140,7 @@
         self.next_join = now + JOIN_EVERY;
         for seed in self.other_seeds() {
             let known = self.marks();
-            self.send(now, seed, MemberQuestion::Join { known });
+            self.send(now, seed, MessageKind::Join { known });
         }
     }
 
@@ -168,7 +168,7 @@
         let asked: Vec<String> = dead.chain(unknown).collect();
         if let Some(address) = asked.into_iter().choose(&mut self.random) {
             let known = self.marks();
-            self.send(now, address, MemberQuestion::Join { known });
+            self.send(now, address, MessageKind::Join { known });
         }
     }
 }
--- a/crates/barleyspool_core/src/membership/reach.rs
+++ b/crates/barleyspool_core/src/membership/reachability.rs
@@ -2,7 +2,7 @@
 
 use super::table::Membership;
 use super::{Member, MemberHealth};
-use crate::{Reach, Span, Time};
+use crate::{Reachability, Span, Time};
 
 /// How long a node runs, knowing the others as far as it can tell, before it takes what it hears for all there is.
 const STEADY: Span = Span::from_secs(5);
@@ -14,7 +14,7 @@
 
 impl Membership {
     /// How many of the nodes that were there lately this one hears, itself included. Nodes that went in order are not missed.
-    pub fn reach(&self, now: Time) -> Reach {
+    pub fn reach(&self, now: Time) -> Reachability {
         let reached = 1 + self.members.values().filter(|member| is_reached(member)).count();
         let missed = |since: Span| {
             let missed = |member: &&Member| {
@@ -25,7 +25,7 @@
         let few = reached <= missed(MISSED_BY_FEW);
         let known = reached + missed(if few { MISSED_BY_FEW } else { MISSED });
         let steady = self.age(now) >= STEADY && self.settled(now);
-        Reach {
+        Reachability {
             reached: reached as u32,
             known: known as u32,
             steady,
--- a/crates/barleyspool_core/src/membership/receive.rs
+++ b/crates/barleyspool_core/src/membership/receive.rs
@@ -2,7 +2,7 @@
 
 use super::table::Membership;
 use super::{
-    Evidence, Member, MemberAction, MemberHealth, MemberMessage, MemberQuestion, MemberUpdate, SourceState,
+    Evidence, Member, MemberAction, MemberHealth, MemberMessage, MemberUpdate, MessageKind, SourceState,
 };
 use crate::{Incarnation, Time, rendezvous};
 use rand::Rng;
@@ -19,31 +19,31 @@
             // Only of members: what they say keeps calls from targets.
             self.take_crashes(now, &message.crashes);
             match &message.question {
-                MemberQuestion::Limits { updates } => self.take_limits(now, updates),
-                MemberQuestion::Leaving { updates } => self.take_leaving(now, updates),
+                MessageKind::Limits { updates } => self.take_limits(now, updates),
+                MessageKind::Leaving { updates } => self.take_leaving(now, updates),
                 _ => {}
             }
-            self.source_reported(message.source, message.question == MemberQuestion::Announce);
+            self.source_reported(message.source, message.question == MessageKind::Announce);
         }
         match message.question {
-            MemberQuestion::Probe { number } => {
-                self.send(now, from.to_owned(), MemberQuestion::Answer { number });
+            MessageKind::Probe { number } => {
+                self.send(now, from.to_owned(), MessageKind::Ack { number });
             }
-            MemberQuestion::ProbeFor { number, target } => {
+            MessageKind::IndirectProbe { number, target } => {
                 let asked_by = Some((from.to_owned(), number));
                 self.probe(now, target, asked_by);
             }
-            MemberQuestion::Answer { number } => self.answered(now, number),
-            MemberQuestion::Join { known } => {
+            MessageKind::Ack { number } => self.answered(now, number),
+            MessageKind::Join { known } => {
                 self.share(now, from, &known);
                 self.share_limits(now, from);
                 self.share_leaving(now, from);
             }
-            MemberQuestion::Share { members } => self.shared(from, members),
-            MemberQuestion::Limits { .. }
-            | MemberQuestion::Leaving { .. }
-            | MemberQuestion::Update
-            | MemberQuestion::Announce => {}
+            MessageKind::JoinReply { members } => self.shared(from, members),
+            MessageKind::Limits { .. }
+            | MessageKind::Leaving { .. }
+            | MessageKind::Update
+            | MessageKind::Announce => {}
         }
     }
 
@@ -67,7 +67,7 @@
             }
         }
         if let Some((asker, number)) = probe.asked_by {
-            self.send(now, asker, MemberQuestion::Answer { number });
+            self.send(now, asker, MessageKind::Ack { number });
         }
     }
 
--- a/crates/barleyspool_core/src/membership/turn.rs
+++ b/crates/barleyspool_core/src/membership/round_robin.rs
@@ -4,11 +4,11 @@
 
 /// Keys of things that are passed on, the next one first.
 #[derive(Clone, Debug)]
-pub(super) struct Turn<K> {
+pub(super) struct RoundRobin<K> {
     order: VecDeque<K>,
 }
 
-impl<K> Default for Turn<K> {
+impl<K> Default for RoundRobin<K> {
     fn default() -> Self {
         Self {
             order: VecDeque::new(),
@@ -16,7 +16,7 @@
     }
 }
 
-impl<K: Copy + PartialEq> Turn<K> {
+impl<K: Copy + PartialEq> RoundRobin<K> {
     /// Makes a thing the next one: there is something new of it.
     pub(super) fn put_first(&mut self, key: K) {
         self.order.retain(|known| *known != key);
--- a/crates/barleyspool_core/src/membership/table.rs
+++ b/crates/barleyspool_core/src/membership/table.rs
@@ -6,10 +6,10 @@
 use super::limit_updates::Limits;
 use super::update_queue::UpdateQueue;
 use super::{
-    Member, MemberAction, MemberCounts, MemberEvent, MemberFacts, MemberHealth, MemberMessage,
-    MemberQuestion, MemberUpdate, MembershipSettings, SourceState,
+    Member, MemberAction, MemberCounts, MemberEvent, MemberFacts, MemberHealth, MemberMessage, MemberUpdate,
+    MembershipSettings, MessageKind, SourceState,
 };
-use crate::{CrashUpdate, Reach, Span, Time};
+use crate::{CrashUpdate, Reachability, Span, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
@@ -41,7 +41,7 @@
     pub(super) crashes: Crashes,
     pub(super) limits: Limits,
     pub(super) leaving: Leaving,
-    pub(super) reach: Reach,
+    pub(super) reach: Reachability,
     pub(super) probes: HashMap<u64, Probe>,
     pub(super) turn: VecDeque<String>,
     pub(super) updates: UpdateQueue,
@@ -72,7 +72,7 @@
             crashes: Crashes::default(),
             limits: Limits::default(),
             leaving: Leaving::default(),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             members: BTreeMap::new(),
             probes: HashMap::new(),
             turn: VecDeque::new(),
@@ -176,12 +176,12 @@
     /// Notifies some others at once of what this node says of itself, and nothing else; they pass it on.
     pub(super) fn notify_some(&mut self) {
         for address in self.some_reachable(self.settings.most_updates * 4) {
-            self.notify(address, MemberQuestion::Update, Vec::new());
+            self.notify(address, MessageKind::Update, Vec::new());
         }
     }
 
     /// Notifies another node at once, with nothing but this node's own update.
-    pub(super) fn notify(&mut self, to: String, question: MemberQuestion, crashes: Vec<CrashUpdate>) {
+    pub(super) fn notify(&mut self, to: String, question: MessageKind, crashes: Vec<CrashUpdate>) {
         let updates = vec![self.me.clone()];
         self.post(to, question, updates, crashes);
     }
@@ -189,7 +189,7 @@
     pub(super) fn post(
         &mut self,
         to: String,
-        question: MemberQuestion,
+        question: MessageKind,
         updates: Vec<MemberUpdate>,
         crashes: Vec<CrashUpdate>,
     ) {
@@ -205,7 +205,7 @@
     /// Tells others how far this node has read the source, and nothing else.
     fn announce(&mut self, audience: Vec<String>) {
         for address in audience {
-            self.post(address, MemberQuestion::Announce, Vec::new(), Vec::new());
+            self.post(address, MessageKind::Announce, Vec::new(), Vec::new());
         }
     }
 
@@ -228,7 +228,7 @@
         let reach = self.reach(now);
         if reach != self.reach {
             self.reach = reach;
-            self.actions.push(MemberAction::ReachChanged);
+            self.actions.push(MemberAction::ReachabilityChanged);
         }
     }
 
@@ -248,7 +248,7 @@
         reachable.into_iter().choose_multiple(&mut self.random, most)
     }
 
-    pub(super) fn send(&mut self, now: Time, to: String, question: MemberQuestion) {
+    pub(super) fn send(&mut self, now: Time, to: String, question: MessageKind) {
         let mut updates = vec![self.me.clone()];
         // What a node is thought of comes first to itself, so that it can refute.
         if let Some(member) = self.members.get(&to)
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -1,7 +1,7 @@
 //! The limits that targets have named.
 
 use super::LimitReport;
-use crate::{RunMark, Span, Time};
+use crate::{IncarnationId, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -33,7 +33,7 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// The run of the target.
-    pub run: RunMark,
+    pub run: IncarnationId,
     /// The calls a second that it takes from all nodes; `None` when a limit is over.
     pub per_s: Option<f64>,
     /// How long ago it said so, in milliseconds.
@@ -45,7 +45,7 @@
 /// All nodes take the same reports, in whatever order they come; the youngest counts.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
-    reports: HashMap<RunMark, Report>,
+    reports: HashMap<IncarnationId, Report>,
 }
 
 impl LimitTable {
@@ -53,7 +53,7 @@
     ///
     /// An answer without a limit ends one only when its call was sent after the limit was known: others were on their way already when the
     /// target named it.
-    pub fn take_answer(&mut self, now: Time, sent: Time, run: RunMark, report: LimitReport) -> bool {
+    pub fn take_answer(&mut self, now: Time, sent: Time, run: IncarnationId, report: LimitReport) -> bool {
         let known = self.reports.get(&run);
         let per_s = match report {
             LimitReport::PerSecond(per_s) => Some(per_s),
@@ -94,13 +94,13 @@
     }
 
     /// Takes what another table of this node knows. Returns the targets of which that changes what is known.
-    pub fn merge(&mut self, now: Time, other: &Self) -> Vec<RunMark> {
+    pub fn merge(&mut self, now: Time, other: &Self) -> Vec<IncarnationId> {
         let reports = other.reports.iter();
         let changed = reports.filter(|(run, report)| self.take_report(now, **run, **report));
         changed.map(|(run, _)| *run).collect()
     }
 
-    fn take_report(&mut self, now: Time, run: RunMark, report: Report) -> bool {
+    fn take_report(&mut self, now: Time, run: IncarnationId, report: Report) -> bool {
         let Some(known) = self.reports.get(&run).copied() else {
             self.insert(now, run, report);
             return true;
@@ -120,18 +120,18 @@
     }
 
     /// The calls a second that a run of a target takes from all nodes; `None` when it names no limit.
-    pub fn per_s(&self, run: RunMark) -> Option<f64> {
+    pub fn per_s(&self, run: IncarnationId) -> Option<f64> {
         let named = self.reports.get(&run)?.per_s?;
         Some(named.max(LEAST_RATE))
     }
 
     /// What a run of a target named itself.
-    pub fn named(&self, run: RunMark) -> Option<f64> {
+    pub fn named(&self, run: IncarnationId) -> Option<f64> {
         self.reports.get(&run)?.per_s
     }
 
     /// What this node can tell of a run of a target.
-    pub fn update_of(&self, now: Time, run: RunMark) -> Option<LimitUpdate> {
+    pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LimitUpdate> {
         let report = self.reports.get(&run)?;
         Some(LimitUpdate {
             run,
@@ -166,7 +166,7 @@
             .retain(|_, report| now.since(report.at) < kept(report));
     }
 
-    fn insert(&mut self, now: Time, run: RunMark, report: Report) {
+    fn insert(&mut self, now: Time, run: IncarnationId, report: Report) {
         if self.reports.len() >= MOST_REPORTS && !self.reports.contains_key(&run) {
             self.forget(now);
             let oldest = self.reports.iter().min_by_key(|(_, report)| report.at);
--- a/crates/barleyspool_core/src/rate_limits/ownership.rs
+++ b/crates/barleyspool_core/src/rate_limits/ownership.rs
@@ -1,6 +1,6 @@
 //! Whether a node owns some targets, and what it may give out of their rates.
 
-use super::Reach;
+use super::Reachability;
 use crate::{Span, Time};
 use std::collections::HashMap;
 
@@ -15,12 +15,12 @@
 
 /// Why a node may give out anything.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum RateRole {
     /// It owns the targets.
     Owner,
     /// It stands in for an owner that others do not reach.
     #[default]
-    StandIn,
+    Fallback,
 }
 
 /// What a node may give out of the rates of some targets.
@@ -29,7 +29,7 @@
     /// Its part of each rate.
     pub part: f64,
     /// Why.
-    pub standing: Standing,
+    pub standing: RateRole,
     /// Since when.
     pub since: Time,
 }
@@ -38,8 +38,8 @@
     /// When to ask again, for a call that would have to wait so long. Who gives out what is about to change while a node stands in.
     pub fn ask_again(&self, wait: Span) -> Span {
         match self.standing {
-            Standing::Owner => wait,
-            Standing::StandIn => wait.min(STAND_IN_WAIT),
+            RateRole::Owner => wait,
+            RateRole::Fallback => wait.min(STAND_IN_WAIT),
         }
     }
 }
@@ -78,11 +78,11 @@
     }
 
     /// What this node may give out now, of `members` nodes that serve.
-    pub fn share(&self, now: Time, reach: Reach, members: usize) -> RateShare {
+    pub fn share(&self, now: Time, reach: Reachability, members: usize) -> RateShare {
         match self.owned_since {
             Some(since) if now.since(since) >= HANDOVER => RateShare {
                 part: reach.part(),
-                standing: Standing::Owner,
+                standing: RateRole::Owner,
                 since,
             },
             _ => {
@@ -90,7 +90,7 @@
                 let known = (reach.known as usize).max(members).max(1);
                 RateShare {
                     part: (asking as f64 / known as f64).min(reach.part()),
-                    standing: Standing::StandIn,
+                    standing: RateRole::Fallback,
                     since: self.owned_since.unwrap_or(self.asked_since),
                 }
             }
--- a/crates/barleyspool_core/src/rate_limits/reach.rs
+++ b/crates/barleyspool_core/src/rate_limits/reachability.rs
@@ -9,7 +9,7 @@
 /// Two sides of a cut each take their own part, so that together they stay within the whole whatever the cut is. By default
 /// nothing is known.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// Nodes that are reached, this one included.
     pub reached: u32,
     /// Those, and the ones that have fallen silent without a planned stop.
@@ -18,7 +18,7 @@
     pub steady: bool,
 }
 
-impl Reach {
+impl Reachability {
     /// The part of each rate that the nodes that are reached may use.
     pub fn part(&self) -> f64 {
         let share = if self.known == 0 {
--- a/crates/barleyspool_core/src/rate_limits/target_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/target_bucket.rs
@@ -1,6 +1,6 @@
 //! What a node has given out of the rate of one target.
 
-use super::{Rate, RateShare, Standing, TokenBucket};
+use super::{Rate, RateRole, RateShare, TokenBucket};
 use crate::{Span, Time, rendezvous};
 
 /// What an owner may give out at once. Calls come in pairs now and then, and with the rate it is below one and a half times the rate
@@ -14,7 +14,7 @@
 pub struct TargetBucket {
     bucket: TokenBucket,
     /// The standing for which the bucket was made.
-    begun: Option<(Standing, Time)>,
+    begun: Option<(RateRole, Time)>,
 }
 
 impl TargetBucket {
@@ -29,8 +29,8 @@
         }
         self.begun = standing;
         let used = match share.standing {
-            Standing::Owner => OWNER_BURST,
-            Standing::StandIn => rendezvous::even(target, me),
+            RateRole::Owner => OWNER_BURST,
+            RateRole::Fallback => rendezvous::even(target, me),
         };
         self.bucket = TokenBucket::new(now, used);
     }
@@ -48,8 +48,8 @@
 
 fn rate(per_s: f64, share: RateShare) -> Rate {
     let burst = match share.standing {
-        Standing::Owner => OWNER_BURST,
-        Standing::StandIn => STAND_IN_BURST,
+        RateRole::Owner => OWNER_BURST,
+        RateRole::Fallback => STAND_IN_BURST,
     };
     Rate {
         per_s: per_s * share.part,
--- a/crates/barleyspool_core/tests/cold_targets.rs
+++ b/crates/barleyspool_core/tests/cold_targets.rs
@@ -9,7 +9,7 @@
 mod rated_fleet;
 
 use barleyspool_core::{
-    ChooseResult, Ownership, Rate, RateShare, Reach, Shard, Span, Standing, TargetBucket, TargetEntry,
+    ChooseResult, Ownership, Rate, RateRole, RateShare, Reachability, Shard, Span, TargetBucket, TargetEntry,
     TargetQuery, Time, TokenBucket,
 };
 use rated_fleet::{ENGINES, Fleet, Rates, need, node, owner_plan};
@@ -109,7 +109,7 @@
 fn a_pause_does_not_save_up_what_was_not_sent() {
     let share = RateShare {
         part: 1.0,
-        standing: Standing::Owner,
+        standing: RateRole::Owner,
         since: Time(0),
     };
     let mut bucket = TargetBucket::default();
@@ -140,7 +140,7 @@
 /// Nodes that do not reach the owner each bring their own part to whoever stands in.
 #[test]
 fn a_node_that_stands_in_gives_out_the_parts_of_those_who_ask_it() {
-    let reach = Reach {
+    let reach = Reachability {
         reached: 10,
         known: 10,
         steady: true,
@@ -160,11 +160,11 @@
     let new = ownership.share(later, reach, 10);
     assert_eq!(
         new.standing,
-        Standing::StandIn,
+        RateRole::Fallback,
         "the owner before may not know yet"
     );
     let settled = ownership.share(later + Span::from_secs(2), reach, 10);
-    assert_eq!((settled.standing, settled.part), (Standing::Owner, 1.0));
+    assert_eq!((settled.standing, settled.part), (RateRole::Owner, 1.0));
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/crashes.rs
+++ b/crates/barleyspool_core/tests/crashes.rs
@@ -7,17 +7,19 @@
     reason = "a test stops where it fails"
 )]
 
-use barleyspool_core::{CallPrint, CrashTable, CrashUpdate, Learnt, RunMark, Span, Survivors, Time};
+use barleyspool_core::{
+    AnsweredCalls, CallFingerprint, CrashKnowledge, CrashTable, CrashUpdate, IncarnationId, Span, Time,
+};
 
-const CALL: CallPrint = CallPrint(7);
+const CALL: CallFingerprint = CallFingerprint(7);
 const START: Time = Time(1_000_000_000_000);
 
 fn at(seconds: u64) -> Time {
     START + Span::from_secs(seconds)
 }
 
-fn run(number: u32) -> RunMark {
-    RunMark(number)
+fn run(number: u32) -> IncarnationId {
+    IncarnationId(number)
 }
 
 fn wait(table: &CrashTable, now: Time) -> Option<Span> {
@@ -27,16 +29,16 @@
 #[test]
 fn a_call_is_refused_after_the_second_target_that_ended_under_it() {
     let mut table = CrashTable::default();
-    assert_eq!(table.ended(at(0), CALL, run(1)), Learnt::Suspect);
+    assert_eq!(table.ended(at(0), CALL, run(1)), CrashKnowledge::Suspected);
     assert_eq!(wait(&table, at(0)), None, "one may have ended by chance");
     assert_eq!(
         table.ended(at(0), CALL, run(1)),
-        Learnt::Nothing,
+        CrashKnowledge::Unchanged,
         "told by another node too"
     );
-    assert_eq!(table.ended(at(1), CALL, run(2)), Learnt::Confirmed);
+    assert_eq!(table.ended(at(1), CALL, run(2)), CrashKnowledge::Confirmed);
     assert!(wait(&table, at(2)).unwrap() > Span::from_secs(2));
-    assert_eq!(table.refused(at(2)).wait(at(2), CallPrint(8)), None);
+    assert_eq!(table.refused(at(2)).wait(at(2), CallFingerprint(8)), None);
 }
 
 /// A target may start again under its id, and then tells nothing that another run could be told by until its entry is read.
@@ -44,7 +46,7 @@
 fn a_target_that_ends_twice_under_its_mark_counts_twice() {
     let mut table = CrashTable::default();
     table.ended(at(0), CALL, run(1));
-    assert_eq!(table.ended(at(5), CALL, run(1)), Learnt::Confirmed);
+    assert_eq!(table.ended(at(5), CALL, run(1)), CrashKnowledge::Confirmed);
 }
 
 /// The aim is the rule of the deployments: of a call that ends every target, three ends and three more. It comes twice a second
@@ -75,7 +77,7 @@
 fn an_end_says_nothing_of_one_that_was_long_before() {
     let mut table = CrashTable::default();
     table.ended(at(0), CALL, run(1));
-    assert_eq!(table.ended(at(700), CALL, run(2)), Learnt::Suspect);
+    assert_eq!(table.ended(at(700), CALL, run(2)), CrashKnowledge::Suspected);
     assert_eq!(wait(&table, at(700)), None);
 }
 
@@ -85,7 +87,7 @@
     table.ended(at(0), CALL, run(1));
     table.ended(at(1), CALL, run(2));
     for other in 0..20_000 {
-        table.ended(at(2), CallPrint(1000 + other), run(3));
+        table.ended(at(2), CallFingerprint(1000 + other), run(3));
     }
     assert!(table.len() <= 4096, "{}", table.len());
     assert!(wait(&table, at(3)).is_some());
@@ -127,28 +129,28 @@
     let mut there = CrashTable::default();
     // The clock of the other node is an hour ahead.
     let news = here.update_of(at(3), CALL).unwrap();
-    assert_eq!(there.take(at(3603), &news), Learnt::Confirmed);
+    assert_eq!(there.take(at(3603), &news), CrashKnowledge::Confirmed);
     assert_eq!(wait(&there, at(3604)), wait(&here, at(4)));
-    assert_eq!(there.take(at(3603), &news), Learnt::Nothing);
+    assert_eq!(there.take(at(3603), &news), CrashKnowledge::Unchanged);
 }
 
 #[test]
 fn a_call_that_targets_answer_is_known_as_such_for_a_minute() {
-    let mut survivors = Survivors::default();
+    let mut survivors = AnsweredCalls::default();
     survivors.answered(at(0), CALL);
     assert!(survivors.contains(at(59), CALL));
-    assert!(!survivors.contains(at(59), CallPrint(8)));
+    assert!(!survivors.contains(at(59), CallFingerprint(8)));
     assert!(!survivors.contains(at(200), CALL));
     for other in 0..100_000 {
-        survivors.answered(at(201), CallPrint(other));
+        survivors.answered(at(201), CallFingerprint(other));
     }
-    assert!(survivors.contains(at(201), CallPrint(99_999)));
-    assert!(!survivors.contains(at(201), CallPrint(5)), "it is bounded");
+    assert!(survivors.contains(at(201), CallFingerprint(99_999)));
+    assert!(!survivors.contains(at(201), CallFingerprint(5)), "it is bounded");
 }
 
 #[test]
 fn a_print_tells_calls_apart_by_each_part() {
-    let print = |parts: [&str; 3]| CallPrint::of(&parts.map(str::as_bytes));
+    let print = |parts: [&str; 3]| CallFingerprint::of(&parts.map(str::as_bytes));
     let one = print(["/a", "org", "body"]);
     assert_eq!(one, print(["/a", "org", "body"]));
     for other in [
--- a/crates/barleyspool_core/tests/limited_targets.rs
+++ b/crates/barleyspool_core/tests/limited_targets.rs
@@ -8,7 +8,7 @@
 #[path = "support/rated_fleet.rs"]
 mod rated_fleet;
 
-use barleyspool_core::{LimitReport, LimitTable, MemberView, Reach, RunMark, Span, Time};
+use barleyspool_core::{IncarnationId, LimitReport, LimitTable, MemberView, Reachability, Span, Time};
 use rated_fleet::{ENGINES, Fleet, Rates, members, node, owner_plan};
 
 const WINDOW: Span = Span::from_secs(4);
@@ -128,7 +128,7 @@
                 return;
             }
             for members in [others.clone(), all.clone()] {
-                let reach = Reach {
+                let reach = Reachability {
                     reached: members.len() as u32,
                     known: members.len() as u32,
                     steady: true,
@@ -204,7 +204,7 @@
 // ----------------------------------------------------------------------------
 // What targets say
 
-const RUN: RunMark = RunMark(7);
+const RUN: IncarnationId = IncarnationId(7);
 
 fn named(per_s: f64) -> LimitReport {
     LimitReport::PerSecond(per_s)
@@ -273,10 +273,19 @@
         assert_eq!(table.per_s(RUN), None);
     }
     for run in 0..100_000 {
-        table.take_answer(at(f64::from(run)), at(f64::from(run)), RunMark(run), named(1.0));
+        table.take_answer(
+            at(f64::from(run)),
+            at(f64::from(run)),
+            IncarnationId(run),
+            named(1.0),
+        );
     }
     assert!(table.limited() <= 4096);
-    assert_eq!(table.per_s(RunMark(99_999)), Some(1.0), "the newest is kept");
+    assert_eq!(
+        table.per_s(IncarnationId(99_999)),
+        Some(1.0),
+        "the newest is kept"
+    );
 }
 
 /// Seen: for two seconds and more after an owner had restarted, nothing went to its target. How it came about: all orders reached the owner in the
@@ -286,7 +295,7 @@
 #[test]
 fn who_asks_an_owner_that_does_not_know_the_others_yet_counts_once_it_does() {
     let mut plan = owner_plan(&Rates::Limit(4.0), false);
-    plan.reach = Reach {
+    plan.reach = Reachability {
         reached: 3,
         known: 3,
         steady: false,
--- a/crates/barleyspool_core/tests/membership/crashes.rs
+++ b/crates/barleyspool_core/tests/membership/crashes.rs
@@ -2,7 +2,7 @@
 
 use crate::net::{Net, fleet, name};
 use barleyspool_core::{
-    CallPrint, CrashUpdate, MemberEvent, MemberMessage, MemberQuestion, RunMark, SourceState, Span,
+    CallFingerprint, CrashUpdate, IncarnationId, MemberEvent, MemberMessage, MessageKind, SourceState, Span,
 };
 
 /// The time in which every node has to know: on all deployments a node that has run undisturbed for 3 s is bound by it.
@@ -11,8 +11,8 @@
 /// A target, the `number`th, ended under a call at a node.
 fn ended(net: &mut Net, node: usize, print: u64, number: u32) {
     let event = MemberEvent::Crashed {
-        print: CallPrint(print),
-        run: RunMark(number),
+        print: CallFingerprint(print),
+        run: IncarnationId(number),
     };
     net.step(&name(node), event);
 }
@@ -21,7 +21,7 @@
 fn unaware(net: &Net, print: u64) -> Vec<&String> {
     let knows = |node: &&String| {
         let table = net.nodes[*node].crashes();
-        !table.is_confirmed(net.now, CallPrint(print))
+        !table.is_confirmed(net.now, CallFingerprint(print))
     };
     net.nodes.keys().filter(knows).collect()
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_message_without_such_calls_is_as_short_as_it_was() {
     let message = MemberMessage {
-        question: MemberQuestion::Announce,
+        question: MessageKind::Announce,
         source: SourceState::default(),
         updates: Vec::new(),
         crashes: Vec::new(),
@@ -164,8 +164,8 @@
     assert_eq!(rmp_serde::from_slice::<MemberMessage>(&bytes).unwrap(), message);
     let told = MemberMessage {
         crashes: vec![CrashUpdate {
-            print: CallPrint(7),
-            ends: vec![(RunMark(1), 20), (RunMark(2), 10)],
+            print: CallFingerprint(7),
+            ends: vec![(IncarnationId(1), 20), (IncarnationId(2), 10)],
         }],
         ..message
     };
--- a/crates/barleyspool_core/tests/membership/leaving.rs
+++ b/crates/barleyspool_core/tests/membership/leaving.rs
@@ -1,11 +1,11 @@
 //! How it reaches all nodes that a target has said in an answer that it leaves.
 
 use crate::net::{Net, fleet, name};
-use barleyspool_core::{MemberEvent, RunMark, Span};
+use barleyspool_core::{IncarnationId, MemberEvent, Span};
 
 /// The time in which every node has to know: the least in which a target that leaves must get nothing more.
 const KNOWN: Span = Span::from_secs(2);
-const RUN: RunMark = RunMark(7);
+const RUN: IncarnationId = IncarnationId(7);
 
 fn read(net: &mut Net, node: usize) {
     net.step(&name(node), MemberEvent::TargetLeaves { run: RUN });
--- a/crates/barleyspool_core/tests/membership/limits.rs
+++ b/crates/barleyspool_core/tests/membership/limits.rs
@@ -1,11 +1,11 @@
 //! How word of the limits of targets reaches all nodes, and how many others a node takes itself to hear.
 
 use crate::net::{Net, fleet, name};
-use barleyspool_core::{MemberEvent, Reach, RunMark, Span};
+use barleyspool_core::{IncarnationId, MemberEvent, Reachability, Span};
 
 /// The time in which every node has to know.
 const KNOWN: Span = Span::from_secs(3);
-const RUN: RunMark = RunMark(7);
+const RUN: IncarnationId = IncarnationId(7);
 
 fn heard(net: &mut Net, node: usize, per_s: Option<f64>) {
     net.step(&name(node), MemberEvent::LimitReceived { run: RUN, per_s });
@@ -18,7 +18,7 @@
     names.filter(|node| believes(node) != per_s).collect()
 }
 
-fn reach(net: &Net, node: usize) -> Reach {
+fn reach(net: &Net, node: usize) -> Reachability {
     net.nodes[&name(node)].reach(net.now)
 }
 
--- a/crates/barleyspool_core/tests/membership/net.rs
+++ b/crates/barleyspool_core/tests/membership/net.rs
@@ -80,10 +80,10 @@
                     self.told.push((from.to_owned(), source, reads));
                     continue;
                 }
-                MemberAction::CallsRefused
+                MemberAction::BlockedCallsChanged
                 | MemberAction::TargetLeaves { .. }
                 | MemberAction::LimitsChanged
-                | MemberAction::ReachChanged => {
+                | MemberAction::ReachabilityChanged => {
                     continue;
                 }
                 MemberAction::Changed { .. } => {
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -4,8 +4,8 @@
 
 use barleyspool_core::{
     Catalog, CatalogDocument, ChooseResult, ColdSpec, ForwardPlan, ForwardService, ForwardSettings,
-    Forwarder, Grant, LimitReport, MemberView, Reach, Shard, Span, TargetEntry, TargetQuery, TargetTable,
-    Time, rendezvous, service_targets, shard_key,
+    Forwarder, Grant, LimitReport, MemberView, Reachability, Shard, Span, TargetEntry, TargetQuery,
+    TargetTable, Time, rendezvous, service_targets, shard_key,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -161,7 +161,7 @@
     /// From now on the nodes of each part know how many of all they hear.
     pub fn know_reach(&mut self, now: Time, known: usize) {
         for part in self.parts.clone() {
-            let reach = Reach {
+            let reach = Reachability {
                 reached: part.len() as u32,
                 known: known as u32,
                 steady: true,
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -4,8 +4,8 @@
 use crate::edges::{Feed, SourceChange};
 use crate::event_log::Line;
 use barleyspool_core::{
-    CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, Offered, Revision, RunMark,
-    TargetChange, TargetCounts, TargetEntry, TargetTable,
+    CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, IncarnationId, Offered,
+    Revision, TargetChange, TargetCounts, TargetEntry, TargetTable,
 };
 use std::collections::BTreeSet;
 
@@ -185,7 +185,7 @@
     }
 
     /// Runs of targets have said in answers that they leave.
-    pub fn note_leaving(&self, runs: &[RunMark]) {
+    pub fn note_leaving(&self, runs: &[IncarnationId]) {
         let now = self.now();
         let mut targets = self.targets.borrow_mut();
         let noted = runs.iter().filter(|run| targets.note_leaving(now, **run)).count();
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -156,9 +156,9 @@
             match action {
                 MemberAction::Send { .. } => self.outbox.borrow_mut().push(action),
                 MemberAction::SourceReported { source, reads } => self.source_reported(source, reads),
-                MemberAction::CallsRefused => self.publish_refused(now),
+                MemberAction::BlockedCallsChanged => self.publish_refused(now),
                 MemberAction::TargetLeaves { run } => leaving.push(run),
-                MemberAction::ReachChanged => changed = true,
+                MemberAction::ReachabilityChanged => changed = true,
                 MemberAction::LimitsChanged => {
                     changed = true;
                     let limited = self.membership.borrow().limits().limited();
--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -1,7 +1,7 @@
 //! Structured logs: one JSON object a line on standard output, bounded and never waited for.
 
 use crate::LogSettings;
-use barleyspool_core::{CallPrint, Time};
+use barleyspool_core::{CallFingerprint, Time};
 use serde::{Serialize, Serializer};
 use spdlog::formatter::{PatternFormatter, pattern};
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, Sink, StdStream, StdStreamSink};
@@ -170,7 +170,7 @@
         id: &'a str,
         /// What it has in common with other tries of the same call.
         #[serde(serialize_with = "as_text")]
-        print: CallPrint,
+        print: CallFingerprint,
         /// Whether it counts against the call: not when targets have answered the same call lately.
         counts: bool,
     },
@@ -245,7 +245,7 @@
         id: &'a str,
         /// What it has in common with the tries under which they ended.
         #[serde(serialize_with = "as_text")]
-        print: CallPrint,
+        print: CallFingerprint,
         /// Milliseconds until it may go to a target again.
         wait_ms: u64,
     },
@@ -255,7 +255,7 @@
         id: &'a str,
         /// What it has in common with other tries of the same call.
         #[serde(serialize_with = "as_text")]
-        print: CallPrint,
+        print: CallFingerprint,
         /// Its route.
         route: &'a str,
         /// Its organisation.
@@ -377,7 +377,7 @@
 }
 
 /// A number of 64 bits as text: many readers of JSON keep 53.
-fn as_text<S: Serializer>(print: &CallPrint, serializer: S) -> Result<S::Ok, S::Error> {
+fn as_text<S: Serializer>(print: &CallFingerprint, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(print)
 }
 
--- a/crates/barleyspool_gateway/src/shared.rs
+++ b/crates/barleyspool_gateway/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::GatewaySettings;
 use arc_swap::ArcSwap;
-use barleyspool_core::{CallPrint, Counters, ForwardPlan, RefusedCalls, RunMark, StopPhase};
+use barleyspool_core::{BlockedCalls, CallFingerprint, Counters, ForwardPlan, IncarnationId, StopPhase};
 use barleyspool_wire::Clock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use tokio::sync::watch;
@@ -13,19 +13,19 @@
     /// It ended while it had a call.
     Ended {
         /// The call.
-        print: CallPrint,
+        print: CallFingerprint,
         /// The run.
-        run: RunMark,
+        run: IncarnationId,
     },
     /// An answer said that it leaves.
     Leaves {
         /// The run.
-        run: RunMark,
+        run: IncarnationId,
     },
     /// An answer said what it takes.
     Limit {
         /// The run.
-        run: RunMark,
+        run: IncarnationId,
         /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
         per_s: Option<f64>,
     },
@@ -43,7 +43,7 @@
     /// Tells the traffic thread that the plan was replaced.
     pub plan_changed: watch::Sender<u64>,
     /// Calls that get no target for a while, since targets have ended under them.
-    pub refused: ArcSwap<RefusedCalls>,
+    pub refused: ArcSwap<BlockedCalls>,
     /// What the traffic thread last counted.
     pub counters: ArcSwap<Counters>,
     /// Nodes whose updates wait to be passed on.
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -16,7 +16,7 @@
 use super::target_choice::{self, Reserved};
 use crate::failure::CallFailure;
 use barleyspool_core::{
-    CallHead, CallPrint, Catalog, Counter, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
+    CallFingerprint, CallHead, Catalog, Counter, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
     TargetQuery, Time, rendezvous,
 };
 use barleyspool_wire::timer;
@@ -62,7 +62,7 @@
     /// Its body.
     pub body: Bytes,
     /// What it has in common with other tries of the same call.
-    pub print: CallPrint,
+    pub print: CallFingerprint,
     /// Counts its body as held.
     #[allow(dead_code, reason = "kept for its drop")]
     held: HeldBytes,
@@ -158,9 +158,9 @@
 }
 
 /// What all tries of a call share: what it asks for, and for whom.
-fn call_print(taken: &Taken, parts: &Parts, body: &[u8]) -> CallPrint {
+fn call_print(taken: &Taken, parts: &Parts, body: &[u8]) -> CallFingerprint {
     let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
-    CallPrint::of(&[
+    CallFingerprint::of(&[
         parts.method.as_str().as_bytes(),
         taken.head.host.as_bytes(),
         path.as_bytes(),
--- a/crates/barleyspool_gateway/src/traffic/target_ends.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_ends.rs
@@ -9,7 +9,9 @@
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use crate::shared::Sighting;
-use barleyspool_core::{CallPrint, Counter, Reason, RunMark, SendEnd, Span, Survivors, TargetChoice, Time};
+use barleyspool_core::{
+    AnsweredCalls, CallFingerprint, Counter, IncarnationId, Reason, SendEnd, Span, TargetChoice, Time,
+};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -33,7 +35,7 @@
 #[derive(Debug)]
 pub struct TargetEnds {
     sightings: mpsc::UnboundedSender<Sighting>,
-    survivors: RefCell<Survivors>,
+    survivors: RefCell<AnsweredCalls>,
     looks: RefCell<HashMap<String, Look>>,
 }
 
@@ -48,7 +50,7 @@
     }
 
     /// A target gave a call a whole answer: it does not end targets.
-    pub fn answered(&self, now: Time, print: CallPrint) {
+    pub fn answered(&self, now: Time, print: CallFingerprint) {
         self.survivors.borrow_mut().answered(now, print);
     }
 
@@ -65,7 +67,7 @@
     }
 
     /// A target has ended while it had a call, or a piece of one.
-    pub fn ended_under(&self, traffic: &Traffic, target: &str, (id, print): (&str, CallPrint)) {
+    pub fn ended_under(&self, traffic: &Traffic, target: &str, (id, print): (&str, CallFingerprint)) {
         let now = traffic.now();
         traffic.count(Counter::TargetEnded);
         let counts = !self.survivors.borrow_mut().contains(now, print);
@@ -81,7 +83,7 @@
         }
         let plan = traffic.plan();
         let run = plan.targets.get(target).map_or(0, |entry| entry.run.0);
-        let run = RunMark::of(target, run);
+        let run = IncarnationId::of(target, run);
         // The control thread is gone only when the process ends.
         let _ = self.sightings.send(Sighting::Ended { print, run });
     }
