--- a/crates/barleyspool_core/src/forward/catalog.rs
+++ b/crates/barleyspool_core/src/forward/catalog.rs
@@ -19,7 +19,7 @@
 
 /// A service's share of a route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct TrafficShare {
     /// The service.
     pub service: String,
     /// Its weight among the shares of the route.
@@ -56,7 +56,7 @@
     /// The priority; 0 is the most important.
     pub rank: u8,
     /// The services that answer, with their weights.
-    pub shares: Vec<Share>,
+    pub shares: Vec<TrafficShare>,
     /// The most targets to which one call may be sent.
     pub max_sends: u32,
     /// What must be complete before the call runs.
@@ -80,29 +80,33 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Bytes of a call's head.
-    pub head_bytes: usize,
+    #[serde(rename = "head_bytes")]
+    pub max_header_bytes: usize,
     /// Bytes of a call's body.
-    pub body_bytes: usize,
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
     /// How long a head may take to arrive.
-    pub head_time: Span,
+    #[serde(rename = "head_time")]
+    pub header_timeout: Span,
     /// How long a connection may rest.
-    pub idle_time: Span,
+    #[serde(rename = "idle_time")]
+    pub idle_timeout: Span,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 4 << 20,
-            head_time: Span::from_secs(3),
-            idle_time: Span::from_secs(15),
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
+            header_timeout: Span::from_secs(3),
+            idle_timeout: Span::from_secs(15),
         }
     }
 }
 
 /// An organisation with its keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyHolder {
+pub struct ForwardOrganisation {
     /// The organisation.
     pub name: String,
     /// Its keys.
@@ -123,12 +127,13 @@
     /// Bounds on callers.
     pub limits: CallerLimits,
     /// Organisations; none at all means that no key is asked for.
-    pub holders: Vec<KeyHolder>,
+    #[serde(rename = "holders")]
+    pub organisations: Vec<ForwardOrganisation>,
 }
 
 /// One thing that is wrong with a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum CatalogFault {
+pub enum CatalogError {
     /// route {route}: service "{service}" is not defined
     UndefinedService {
         /// The route.
@@ -142,7 +147,7 @@
         route: String,
     },
     /// route {route}: path "{path}" does not start and end with a slash
-    BadPath {
+    InvalidPath {
         /// The route.
         route: String,
         /// Its path.
@@ -168,7 +173,7 @@
     },
 }
 
-impl std::error::Error for CatalogFault {}
+impl std::error::Error for CatalogError {}
 
 /// A configuration that has been checked and indexed.
 #[derive(Clone, Debug, Default)]
@@ -178,7 +183,7 @@
     routes_by_host: HashMap<String, Vec<usize>>,
     route_names: HashSet<String>,
     services_by_name: HashMap<String, usize>,
-    holders_by_key: HashMap<String, usize>,
+    organisations_by_key: HashMap<String, usize>,
     /// The priorities that calls can have, the most important first: that of the organisation, then that of the route.
     ranks: BTreeSet<(u8, u8)>,
 }
@@ -188,7 +193,7 @@
     ///
     /// # Errors
     /// Everything that is wrong, not just the first.
-    pub fn accept(document: CatalogDocument) -> Result<Self, Vec<CatalogFault>> {
+    pub fn build(document: CatalogDocument) -> Result<Self, Vec<CatalogError>> {
         let services_by_name: HashMap<String, usize> = document
             .services
             .iter()
@@ -200,13 +205,13 @@
                 .get(name)
                 .is_some_and(|place| document.services[*place].pool.is_some())
         };
-        let faults: Vec<CatalogFault> = document
+        let errors: Vec<CatalogError> = document
             .routes
             .iter()
-            .flat_map(|route| route_faults(route, &services_by_name, &pool))
+            .flat_map(|route| route_errors(route, &services_by_name, &pool))
             .collect();
-        if !faults.is_empty() {
-            return Err(faults);
+        if !errors.is_empty() {
+            return Err(errors);
         }
         let mut routes_by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (place, route) in document.routes.iter().enumerate() {
@@ -219,11 +224,11 @@
         for places in routes_by_host.values_mut() {
             places.sort_by_key(|place| std::cmp::Reverse(document.routes[*place].path.len()));
         }
-        let holders_by_key = document
-            .holders
+        let organisations_by_key = document
+            .organisations
             .iter()
             .enumerate()
-            .flat_map(|(place, holder)| holder.keys.iter().map(move |key| (key.clone(), place)))
+            .flat_map(|(place, organisation)| organisation.keys.iter().map(move |key| (key.clone(), place)))
             .collect();
         let ranks = ranks(&document);
         let route_names = document.routes.iter().map(|route| route.name.clone()).collect();
@@ -232,7 +237,7 @@
             routes_by_host,
             route_names,
             services_by_name,
-            holders_by_key,
+            organisations_by_key,
             ranks,
         })
     }
@@ -267,65 +272,67 @@
     }
 
     /// The organisation that holds a key.
-    pub fn holder(&self, key: &str) -> Option<&KeyHolder> {
-        let place = self.holders_by_key.get(key)?;
-        self.document.holders.get(*place)
+    pub fn organisation(&self, key: &str) -> Option<&ForwardOrganisation> {
+        let place = self.organisations_by_key.get(key)?;
+        self.document.organisations.get(*place)
     }
 
     /// The place of a call among all that the configuration knows; 0 is the most important. Organisations go before
     /// routes, and what one organisation sends is told apart by its routes.
-    pub fn rank(&self, holder: Option<&KeyHolder>, route: &Route) -> u8 {
-        let rank = rank_pair(holder, route);
+    pub fn rank(&self, organisation: Option<&ForwardOrganisation>, route: &Route) -> u8 {
+        let rank = rank_pair(organisation, route);
         let before = self.ranks.range(..rank).count();
         u8::try_from(before).unwrap_or(u8::MAX)
     }
 
     /// Whether calls need a key at all.
-    pub fn keyed(&self) -> bool {
-        !self.document.holders.is_empty()
+    pub fn requires_key(&self) -> bool {
+        !self.document.organisations.is_empty()
     }
 }
 
-fn rank_pair(holder: Option<&KeyHolder>, route: &Route) -> (u8, u8) {
-    let first = holder.and_then(|holder| holder.rank).unwrap_or(route.rank);
+fn rank_pair(organisation: Option<&ForwardOrganisation>, route: &Route) -> (u8, u8) {
+    let first = organisation
+        .and_then(|organisation| organisation.rank)
+        .unwrap_or(route.rank);
     (first, route.rank)
 }
 
 fn ranks(document: &CatalogDocument) -> BTreeSet<(u8, u8)> {
     // Whether organisations have priorities does not depend on the route, so few pairs come of many of both.
-    let holders: BTreeSet<Option<u8>> = document
-        .holders
+    let organisations: BTreeSet<Option<u8>> = document
+        .organisations
         .iter()
-        .map(|holder| holder.rank)
+        .map(|organisation| organisation.rank)
         .chain([None])
         .collect();
     let routes: BTreeSet<u8> = document.routes.iter().map(|route| route.rank).collect();
     let pairs = |route: u8| {
-        let first = move |holder: &Option<u8>| (holder.unwrap_or(route), route);
-        holders.iter().map(first).collect::<Vec<_>>()
+        let first = move |organisation: &Option<u8>| (organisation.unwrap_or(route), route);
+        organisations.iter().map(first).collect::<Vec<_>>()
     };
     routes.into_iter().flat_map(pairs).collect()
 }
 
-fn route_faults(
+fn route_errors(
     route: &Route,
     services: &HashMap<String, usize>,
     pool: &impl Fn(&str) -> bool,
-) -> Vec<CatalogFault> {
+) -> Vec<CatalogError> {
     let name = || route.name.clone();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     if !route.path.starts_with('/') || !route.path.ends_with('/') {
-        faults.push(CatalogFault::BadPath {
+        errors.push(CatalogError::InvalidPath {
             route: name(),
             path: route.path.clone(),
         });
     }
     if route.shares.is_empty() {
-        faults.push(CatalogFault::NoService { route: name() });
+        errors.push(CatalogError::NoService { route: name() });
     }
     for share in &route.shares {
         if !services.contains_key(&share.service) {
-            faults.push(CatalogFault::UndefinedService {
+            errors.push(CatalogError::UndefinedService {
                 route: name(),
                 service: share.service.clone(),
             });
@@ -333,19 +340,19 @@
     }
     for (place, stage) in route.stages.iter().enumerate() {
         if !pool(&stage.service) {
-            faults.push(CatalogFault::NotAPool {
+            errors.push(CatalogError::NotAPool {
                 route: name(),
                 stage: place,
                 service: stage.service.clone(),
             });
         }
         for &needed in stage.needs.iter().filter(|needed| **needed >= place) {
-            faults.push(CatalogFault::StageOrder {
+            errors.push(CatalogError::StageOrder {
                 route: name(),
                 stage: place,
                 needed,
             });
         }
     }
-    faults
+    errors
 }
--- a/crates/barleyspool_core/src/forward/catalog_change.rs
+++ b/crates/barleyspool_core/src/forward/catalog_change.rs
@@ -1,6 +1,6 @@
 //! What differs between two configurations, so that a change costs its own size and not that of the whole.
 
-use super::{CallerLimits, CatalogDocument, ForwardService, KeyHolder, Route};
+use super::{CallerLimits, CatalogDocument, ForwardOrganisation, ForwardService, Route};
 use crate::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -52,7 +52,8 @@
     limits: CallerLimits,
     routes: ListChange<Route>,
     services: ListChange<ForwardService>,
-    holders: ListChange<KeyHolder>,
+    #[serde(rename = "holders")]
+    organisations: ListChange<ForwardOrganisation>,
 }
 
 impl CatalogChange {
@@ -66,7 +67,11 @@
             limits: after.limits,
             routes: ListChange::between(&before.routes, &after.routes, route_name),
             services: ListChange::between(&before.services, &after.services, service_name),
-            holders: ListChange::between(&before.holders, &after.holders, holder_name),
+            organisations: ListChange::between(
+                &before.organisations,
+                &after.organisations,
+                organisation_name,
+            ),
         })
     }
 
@@ -82,11 +87,12 @@
         document.limits = self.limits;
         self.routes.apply(&mut document.routes, route_name);
         self.services.apply(&mut document.services, service_name);
-        self.holders.apply(&mut document.holders, holder_name);
+        self.organisations
+            .apply(&mut document.organisations, organisation_name);
     }
 
     fn parts(&self) -> usize {
-        self.routes.parts() + self.services.parts() + self.holders.parts()
+        self.routes.parts() + self.services.parts() + self.organisations.parts()
     }
 }
 
@@ -98,8 +104,8 @@
     &service.name
 }
 
-fn holder_name(holder: &KeyHolder) -> &str {
-    &holder.name
+fn organisation_name(organisation: &ForwardOrganisation) -> &str {
+    &organisation.name
 }
 
 fn has_unique_names(document: &CatalogDocument) -> bool {
@@ -109,7 +115,7 @@
     }
     unique(&document.routes, route_name)
         && unique(&document.services, service_name)
-        && unique(&document.holders, holder_name)
+        && unique(&document.organisations, organisation_name)
 }
 
 /// The last changes of the configuration, for nodes that have an older version.
--- a/crates/barleyspool_core/src/forward/catalog_store.rs
+++ b/crates/barleyspool_core/src/forward/catalog_store.rs
@@ -1,19 +1,19 @@
 //! The configuration that the platform last told, itself or by way of other nodes.
 
 use super::catalog_change::CatalogLog;
-use super::{Catalog, CatalogChange, CatalogDocument, CatalogFault};
+use super::{Catalog, CatalogChange, CatalogDocument, CatalogError};
 use crate::Revision;
 use std::sync::Arc;
 
 /// What became of a configuration that was offered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferResult {
     /// It is in force now.
     Accepted,
     /// It is not newer than the one in force.
-    Old,
+    Outdated,
     /// It is wrong; the one in force stays.
-    Bad(Vec<CatalogFault>),
+    Invalid(Vec<CatalogError>),
 }
 
 /// The configuration in force. Its version only rises, whoever offers another.
@@ -34,18 +34,18 @@
     }
 
     /// Takes a configuration when it is newer and right.
-    pub fn offer(&mut self, document: CatalogDocument) -> Offered {
+    pub fn offer(&mut self, document: CatalogDocument) -> OfferResult {
         if self.catalog.is_some() && document.version <= self.version() {
-            return Offered::Old;
+            return OfferResult::Outdated;
         }
-        match Catalog::accept(document) {
+        match Catalog::build(document) {
             Ok(catalog) => {
                 let before = self.catalog.as_ref().map(|before| &before.document);
                 self.log.note(before, &catalog.document);
                 self.catalog = Some(Arc::new(catalog));
-                Offered::Accepted
+                OfferResult::Accepted
             }
-            Err(faults) => Offered::Bad(faults),
+            Err(errors) => OfferResult::Invalid(errors),
         }
     }
 
@@ -55,9 +55,9 @@
     }
 
     /// Takes changes that lead from the version in force to a newer one.
-    pub fn apply(&mut self, changes: Vec<CatalogChange>) -> Offered {
+    pub fn apply(&mut self, changes: Vec<CatalogChange>) -> OfferResult {
         let Some(catalog) = self.catalog.as_ref().filter(|_| !changes.is_empty()) else {
-            return Offered::Old;
+            return OfferResult::Outdated;
         };
         let mut document = catalog.document.clone();
         for change in changes {
--- a/crates/barleyspool_core/src/forward/feed_cursor.rs
+++ b/crates/barleyspool_core/src/forward/feed_cursor.rs
@@ -16,7 +16,7 @@
 pub const WATCH_MARGIN: Span = Span::from_millis(500);
 
 /// How long a watch may wait.
-pub fn poll_wait(short: bool) -> Span {
+pub fn watch_timeout(short: bool) -> Span {
     if short { SHORT_WAIT } else { LONG_WAIT }
 }
 
@@ -47,14 +47,14 @@
     }
 
     /// An answer came; it stands at `at`. A revision never goes back: a source that does enters a later era.
-    pub fn answered(&mut self, at: Revision) {
+    pub fn advance(&mut self, at: Revision) {
         self.failures = 0;
         self.since = Some(self.since.map_or(at, |since| since.max(at)));
     }
 
     /// Everything has to be read: the platform has forgotten what came after the revision asked for, or another node
     /// knows what a watch should have told.
-    pub fn start_over(&mut self) {
+    pub fn reset(&mut self) {
         self.since = None;
     }
 
@@ -66,7 +66,7 @@
 
     /// The question failed; returns the longest wait before the next. A watch that broke may have missed
     /// changes that a new one does not tell, so everything is read again.
-    pub fn failed(&mut self) -> Span {
+    pub fn record_failure(&mut self) -> Span {
         self.since = None;
         let doubled = Span(RETRY_FIRST.0 << self.failures.min(6));
         self.failures += 1;
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -149,7 +149,7 @@
     // The plan
 
     /// Takes what a newer plan says of targets and members.
-    pub fn take_plan(&mut self, plan: &ForwardPlan) {
+    pub fn apply_plan(&mut self, plan: &ForwardPlan) {
         if self.members != plan.members {
             self.members_since = plan.made;
         }
@@ -227,7 +227,7 @@
     }
 
     /// The run of a target that said in the answer to a request sent at `sent` that it leaves; `None` when the list has it so already, or has a later run.
-    pub fn leaving_run(&self, sent: Time, id: &str) -> Option<IncarnationId> {
+    pub fn leaving_incarnation(&self, sent: Time, id: &str) -> Option<IncarnationId> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         let entry = &record.entry;
         (!entry.leaving && sent >= entry.times.restarted).then_some(record.mark)
@@ -281,7 +281,7 @@
     }
 
     /// The expected time until a call of this need yields its first output, once it is sent.
-    pub fn expected_first(&self, need: &TargetQuery) -> Span {
+    pub fn expected_first_output(&self, need: &TargetQuery) -> Span {
         let Some(_) = need.engine_memory else {
             return Span(self.expected_answer(&need.service) as u64);
         };
--- a/crates/barleyspool_core/src/forward/list_holder.rs
+++ b/crates/barleyspool_core/src/forward/list_transfer.rs
@@ -19,16 +19,16 @@
 
 /// A node that has no list and asks for one.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListTaker {
+pub struct ListRequester {
     /// Its link, in Mbit/s.
     pub link_mbps: u32,
     /// How long it has known that others have a list.
     pub waited: Span,
 }
 
-impl ListTaker {
+impl ListRequester {
     /// Whether it asks nodes of other zones.
-    pub fn asks_far(&self) -> bool {
+    pub fn may_ask_other_zones(&self) -> bool {
         self.link_mbps >= STRONG_MBPS || self.waited >= FAR_WAIT
     }
 }
@@ -47,7 +47,10 @@
 }
 
 /// Picks the node to ask. Bytes between zones cost, and a weak link that hands out lists is the slowest part of a start.
-pub fn choose_holder<A>(holders: impl Iterator<Item = ListHolder<A>>, random: &mut impl Rng) -> Option<A> {
+pub fn choose_list_holder<A>(
+    holders: impl Iterator<Item = ListHolder<A>>,
+    random: &mut impl Rng,
+) -> Option<A> {
     let rank = |holder: &ListHolder<A>| (holder.avoided, holder.far, holder.link_mbps < STRONG_MBPS);
     let holders: Vec<ListHolder<A>> = holders.collect();
     let best = holders.iter().map(rank).min()?;
@@ -57,20 +60,20 @@
 
 /// One list that is being handed out.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub struct HandoutKey(u64);
+pub struct TransferKey(u64);
 
 /// The whole lists that a node is handing out.
 ///
 /// When a fleet starts, all nodes of a zone ask the first one that has the list. Handed out to all at once, none would be through before the
 /// last; handed out to a few, these hand it on, and the number of nodes that have it doubles with each time that one takes.
 #[derive(Clone, Debug)]
-pub struct ListHandout {
+pub struct ListTransfers {
     most: usize,
-    under_way: Vec<(HandoutKey, Time)>,
+    under_way: Vec<(TransferKey, Time)>,
     next: u64,
 }
 
-impl ListHandout {
+impl ListTransfers {
     /// A node with a link of `mbps`.
     pub fn new(mbps: u32) -> Self {
         let most = (mbps / MBPS_PER_LIST) as usize;
@@ -82,19 +85,19 @@
     }
 
     /// Admits one more, if the link bears it now. It counts until [`Self::taken`] is called with what is returned, and for a second at the most.
-    pub fn admit(&mut self, now: Time) -> Option<HandoutKey> {
+    pub fn admit(&mut self, now: Time) -> Option<TransferKey> {
         self.under_way.retain(|(_, until)| *until > now);
         if self.under_way.len() >= self.most {
             return None;
         }
         self.next += 1;
-        let key = HandoutKey(self.next);
+        let key = TransferKey(self.next);
         self.under_way.push((key, now + TAKEN_WITHIN));
         Some(key)
     }
 
     /// A list was taken, or its taker has gone.
-    pub fn taken(&mut self, key: HandoutKey) {
+    pub fn taken(&mut self, key: TransferKey) {
         self.under_way.retain(|(other, _)| *other != key);
     }
 }
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -16,7 +16,7 @@
 mod forwarder;
 mod initial_list_read;
 mod leaving_incarnations;
-mod list_holder;
+mod list_transfer;
 mod packed_list;
 mod piece_batching;
 mod piece_order;
@@ -51,17 +51,18 @@
 
 pub use call_head::{CallHead, PromptPart};
 pub use catalog::{
-    CallerLimits, Catalog, CatalogDocument, CatalogFault, KeyHolder, Route, RouteKind, Share, StageSpec,
+    CallerLimits, Catalog, CatalogDocument, CatalogError, ForwardOrganisation, Route, RouteKind, StageSpec,
+    TrafficShare,
 };
 pub use catalog_change::CatalogChange;
-pub use catalog_store::{CatalogStore, Offered};
+pub use catalog_store::{CatalogStore, OfferResult};
 pub use evacuations::Evacuations;
-pub use feed_cursor::{FeedCursor, FeedStep, WATCH_MARGIN, poll_wait};
+pub use feed_cursor::{FeedCursor, FeedStep, WATCH_MARGIN, watch_timeout};
 pub use forecast_correction::ForecastCorrection;
 pub use forwarder::{ForwardSettings, Forwarder, SendKey};
 pub use initial_list_read::{FleetView, InitialListRead};
 pub use leaving_incarnations::{LeavingIncarnations, LeavingUpdate};
-pub use list_holder::{HandoutKey, ListHandout, ListHolder, ListTaker, choose_holder};
+pub use list_transfer::{ListHolder, ListRequester, ListTransfers, TransferKey, choose_list_holder};
 pub use packed_list::{PackedList, UnpackError};
 pub use piece_order::{
     BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
@@ -78,8 +79,8 @@
 pub use send_end::{NextStep, SendEnd, SendHistory, next_step};
 pub use service_spec::{ColdSpec, EngineSpec, ForwardService, PoolSpec};
 pub use service_targets::{ServiceTargets, Shards, service_targets};
-pub use source_role::{ReaderCandidate, SourceRole, source_audience, source_role};
-pub use source_watch::{Held, SourceWatch};
+pub use source_role::{ReaderCandidate, SourceRole, source_recipients, source_role};
+pub use source_watch::{HeldRevisions, SourceWatch};
 pub use stage_progress::{ReadyStage, StageProgress};
 pub use start_hold::hold_until;
 pub use target_cooldown::{CooldownReport, MAX_COOLDOWN};
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -27,9 +27,9 @@
     pub listed: bool,
     /// Listed targets.
     pub targets: Arc<TargetTable>,
-    /// The zone of each listed target, by its address; see [`ForwardPlan::zones_of`].
+    /// The zone of each listed target, by its address; see [`ForwardPlan::zones_by_address`].
     pub zones: Arc<HashMap<String, String>>,
-    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_lost`].
+    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_result_lost`].
     pub restarts: Arc<HashMap<String, Time>>,
     /// The targets of each service, by its name; see [`super::service_targets`].
     pub services: Arc<HashMap<String, ServiceTargets>>,
@@ -56,13 +56,13 @@
 
     /// The zones of listed targets, by address. It is made once for each list, so that looking up the maker of a
     /// result costs the same however many targets there are.
-    pub fn zones_of(targets: &TargetTable) -> HashMap<String, String> {
+    pub fn zones_by_address(targets: &TargetTable) -> HashMap<String, String> {
         let zone = |entry: &TargetEntry| (entry.address.clone(), entry.zone.clone());
         targets.values().map(zone).collect()
     }
 
     /// When targets that ran again under their id were seen to, by address.
-    pub fn restarts_of(targets: &TargetTable) -> HashMap<String, Time> {
+    pub fn restarts_by_address(targets: &TargetTable) -> HashMap<String, Time> {
         let restarted = targets.values().filter(|entry| entry.times.restarted > Time(0));
         restarted
             .map(|entry| (entry.address.clone(), entry.times.restarted))
@@ -71,19 +71,19 @@
 
     /// Whether a result that was known at `since` went with the run of its maker. One that the new run made before this node
     /// heard of it counts as lost too, and is made again.
-    pub fn is_lost(&self, handle: &str, since: Time) -> bool {
+    pub fn is_result_lost(&self, handle: &str, since: Time) -> bool {
         let restarted = self.restarts.get(handle_address(handle));
         restarted.is_some_and(|restarted| since < *restarted)
     }
 
     /// How many listed targets name a limit.
-    pub fn limited(&self) -> usize {
+    pub fn count_rate_limited(&self) -> usize {
         let named = |entry: &&TargetEntry| self.limits.named(entry.mark()).is_some();
         self.targets.values().filter(named).count()
     }
 
     /// How many targets of a service may get work.
-    pub fn working(&self, service: &str) -> usize {
+    pub fn count_working(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, |targets| targets.working)
     }
 
@@ -113,13 +113,13 @@
     }
 
     /// The zone of the target that made a result.
-    pub fn maker_zone(&self, handle: &str) -> Option<&str> {
+    pub fn holder_zone(&self, handle: &str) -> Option<&str> {
         self.zones.get(handle_address(handle)).map(String::as_str)
     }
 
     /// How many of some results were made outside `zone`.
-    pub fn made_elsewhere(&self, handles: &[String], zone: &str) -> usize {
-        let far = |handle: &&String| self.maker_zone(handle).is_some_and(|maker| maker != zone);
+    pub fn count_held_outside(&self, handles: &[String], zone: &str) -> usize {
+        let far = |handle: &&String| self.holder_zone(handle).is_some_and(|maker| maker != zone);
         handles.iter().filter(far).count()
     }
 }
--- a/crates/barleyspool_core/src/forward/source_role.rs
+++ b/crates/barleyspool_core/src/forward/source_role.rs
@@ -46,7 +46,7 @@
     /// Whether it reads the source for its zone.
     pub reads: bool,
     /// Whether it watches for a short time only.
-    pub short: bool,
+    pub short_watch: bool,
 }
 
 /// What node `me` does at the source; `members` are all nodes that answer, itself among them.
@@ -58,12 +58,12 @@
     let mut pollers = pollers.iter().take(SHORT_POLLERS);
     SourceRole {
         reads,
-        short: pollers.any(|poller| poller.key == me),
+        short_watch: pollers.any(|poller| poller.key == me),
     }
 }
 
 /// Whom node `me` of `zone` tells what it reads: all nodes of its zone, and the readers of the others.
-pub fn source_audience(members: &[ReaderCandidate], zone: &str, me: u64) -> Vec<String> {
+pub fn source_recipients(members: &[ReaderCandidate], zone: &str, me: u64) -> Vec<String> {
     let near = members.iter().filter(|member| member.zone == zone);
     let far = readers(members).into_iter().filter(|reader| reader.zone != zone);
     let all = near.copied().chain(far).filter(|member| member.key != me);
--- a/crates/barleyspool_core/src/forward/source_watch.rs
+++ b/crates/barleyspool_core/src/forward/source_watch.rs
@@ -27,7 +27,7 @@
 
 /// What a node has of the source.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldRevisions {
     /// The version of its configuration.
     pub version: Revision,
     /// The revision at which its list of targets stands; not that of the list's last change.
@@ -36,7 +36,7 @@
     pub evacuations: Revision,
 }
 
-impl Held {
+impl HeldRevisions {
     /// Whether a node that told `told` has something newer.
     pub fn is_behind(&self, state: SourceState) -> bool {
         state.version > self.version || state.list > self.list || state.evacuations > self.evacuations
@@ -49,7 +49,7 @@
     role: SourceRole,
     nodes: usize,
     /// When it reads for itself because it heard no reader.
-    alone_at: Time,
+    fallback_at: Time,
     /// When it tells others next although nothing is new.
     announce_at: Time,
     /// Something newer that another node has, and since when that is known.
@@ -63,27 +63,27 @@
         let mut watch = Self {
             role: SourceRole {
                 reads: true,
-                short: true,
+                short_watch: true,
             },
             nodes: 1,
-            alone_at: now,
+            fallback_at: now,
             announce_at: now,
             ahead: None,
             random: SmallRng::seed_from_u64(seed),
         };
-        watch.reader_answered(now);
+        watch.record_reader_answer(now);
         watch
     }
 
     /// Takes the role that follows from the members, and how many there are. Returns whether the role is another one.
-    pub fn take_role(&mut self, role: SourceRole, nodes: usize) -> bool {
+    pub fn set_role(&mut self, role: SourceRole, nodes: usize) -> bool {
         self.nodes = nodes;
         std::mem::replace(&mut self.role, role) != role
     }
 
     /// Whether this node watches the feeds for a short time only.
-    pub fn is_short_poller(&self) -> bool {
-        self.role.short
+    pub fn uses_short_watch(&self) -> bool {
+        self.role.short_watch
     }
 
     /// Whether this node is one of those that read for their zone.
@@ -93,7 +93,7 @@
 
     /// Whether this node reads the source itself now.
     pub fn reads(&self, now: Time) -> bool {
-        self.role.reads || now >= self.alone_at
+        self.role.reads || now >= self.fallback_at
     }
 
     /// How long another node has been known to have something newer.
@@ -102,18 +102,18 @@
     }
 
     /// When a node that does not read the source looks again whether it should.
-    pub fn look_at(&self) -> Time {
-        self.alone_at
+    pub fn next_check(&self) -> Time {
+        self.fallback_at
     }
 
     /// A node to which the source answers told how far it has read, or the source answered this node itself.
-    pub fn reader_answered(&mut self, now: Time) {
+    pub fn record_reader_answer(&mut self, now: Time) {
         let spread = self.random.random_range(0..SILENCE_SPREAD.0);
-        self.alone_at = now + SILENCE + Span(spread);
+        self.fallback_at = now + SILENCE + Span(spread);
     }
 
     /// The longest wait before the next try at a source that does not answer, where a reader would wait `wait`.
-    pub fn retry_wait(&self, wait: Span) -> Span {
+    pub fn retry_delay(&self, wait: Span) -> Span {
         if self.role.reads {
             return wait;
         }
@@ -121,21 +121,21 @@
     }
 
     /// Whether a reader tells others now how far it is, because it has not for a while.
-    pub fn announces(&mut self, now: Time) -> bool {
+    pub fn announcement_due(&mut self, now: Time) -> bool {
         if !self.role.reads || now < self.announce_at {
             return false;
         }
-        self.announced(now);
+        self.record_announcement(now);
         true
     }
 
     /// This node has notified others how far it is.
-    pub fn announced(&mut self, now: Time) {
+    pub fn record_announcement(&mut self, now: Time) {
         self.announce_at = now + ANNOUNCE_EVERY;
     }
 
     /// Another node reported how far it is.
-    pub fn reported(&mut self, now: Time, state: SourceState, held: Held) {
+    pub fn handle_report(&mut self, now: Time, state: SourceState, held: HeldRevisions) {
         if !held.is_behind(state) {
             return;
         }
@@ -145,7 +145,7 @@
 
     /// Whether this node should ask another one for what is newer there. One that watches the source itself gives its
     /// own watch a moment.
-    pub fn asks(&mut self, now: Time, held: Held, failing: bool) -> bool {
+    pub fn should_ask(&mut self, now: Time, held: HeldRevisions, failing: bool) -> bool {
         let Some((since, state)) = self.ahead else {
             return false;
         };
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -28,7 +28,7 @@
     pub table: Arc<TargetTable>,
     /// The zones of its targets, by address.
     pub zones: Arc<HashMap<String, String>>,
-    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_lost`].
+    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_result_lost`].
     pub restarts: Arc<HashMap<String, Time>>,
     /// The targets of each service, by its name.
     pub services: Arc<HashMap<String, ServiceTargets>>,
@@ -316,8 +316,8 @@
 
     /// Works out what is looked up in the list, after a change of it.
     fn take_apart(&mut self) {
-        self.zones = Arc::new(ForwardPlan::zones_of(&self.table));
-        self.restarts = Arc::new(ForwardPlan::restarts_of(&self.table));
+        self.zones = Arc::new(ForwardPlan::zones_by_address(&self.table));
+        self.restarts = Arc::new(ForwardPlan::restarts_by_address(&self.table));
         self.services = Arc::new(service_targets(&self.table));
     }
 }
--- a/crates/barleyspool_core/tests/forward_catalog.rs
+++ b/crates/barleyspool_core/tests/forward_catalog.rs
@@ -3,8 +3,9 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    Catalog, CatalogDocument, CatalogFault, CatalogStore, FeedCursor, FeedStep, ForwardService, KeyHolder,
-    Offered, PoolSpec, Revision, Route, Share, StageSpec, TargetChange, TargetEntry, TargetStore, Time,
+    Catalog, CatalogDocument, CatalogError, CatalogStore, FeedCursor, FeedStep, ForwardOrganisation,
+    ForwardService, OfferResult, PoolSpec, Revision, Route, StageSpec, TargetChange, TargetEntry,
+    TargetStore, Time, TrafficShare,
 };
 
 fn route(name: &str, host: &str, path: &str) -> Route {
@@ -12,7 +13,7 @@
         name: name.to_owned(),
         host: host.to_owned(),
         path: path.to_owned(),
-        shares: vec![Share {
+        shares: vec![TrafficShare {
             service: "plain".to_owned(),
             weight: 1,
         }],
@@ -45,7 +46,7 @@
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ];
-    let catalog = Catalog::accept(document(1, routes)).expect("a right document");
+    let catalog = Catalog::build(document(1, routes)).expect("a right document");
     let name = |host: &str, path: &str| catalog.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/x/y/z/1").as_deref(), Some("long"));
     assert_eq!(name("a.example", "/x/yy").as_deref(), Some("short"));
@@ -63,17 +64,17 @@
         needs: vec![0],
         bytes: 1,
     }];
-    let faults = Catalog::accept(document(1, vec![wrong])).expect_err("four faults");
+    let faults = Catalog::build(document(1, vec![wrong])).expect_err("four faults");
     assert_eq!(faults.len(), 4, "{faults:?}");
     assert!(
         faults
             .iter()
-            .any(|fault| matches!(fault, CatalogFault::StageOrder { .. }))
+            .any(|fault| matches!(fault, CatalogError::StageOrder { .. }))
     );
     assert!(
         faults
             .iter()
-            .any(|fault| matches!(fault, CatalogFault::NotAPool { .. }))
+            .any(|fault| matches!(fault, CatalogError::NotAPool { .. }))
     );
     assert!(
         faults[0].to_string().contains("wrong"),
@@ -86,37 +87,39 @@
 fn versions_only_rise_and_a_wrong_one_leaves_the_last() {
     let mut store = CatalogStore::default();
     let good = |version| document(version, vec![route("r", "a.example", "/")]);
-    assert_eq!(store.offer(good(5)), Offered::Accepted);
-    assert_eq!(store.offer(good(5)), Offered::Old);
-    assert_eq!(store.offer(good(4)), Offered::Old);
+    assert_eq!(store.offer(good(5)), OfferResult::Accepted);
+    assert_eq!(store.offer(good(5)), OfferResult::Outdated);
+    assert_eq!(store.offer(good(4)), OfferResult::Outdated);
     let mut wrong = good(9);
     wrong.routes[0].shares.clear();
-    assert!(matches!(store.offer(wrong), Offered::Bad(_)));
+    assert!(matches!(store.offer(wrong), OfferResult::Invalid(_)));
     assert_eq!(store.version(), Revision(5));
-    assert_eq!(store.offer(good(8)), Offered::Accepted);
+    assert_eq!(store.offer(good(8)), OfferResult::Accepted);
 }
 
 #[test]
 fn a_key_that_was_taken_away_belongs_to_nobody() {
     let mut with_key = document(1, vec![route("r", "a.example", "/")]);
-    with_key.holders = vec![KeyHolder {
+    with_key.organisations = vec![ForwardOrganisation {
         name: "ministry".to_owned(),
         keys: vec!["k1".to_owned(), "k2".to_owned()],
         rank: Some(1),
     }];
     let mut without = with_key.clone();
     without.version = Revision(2);
-    without.holders[0].keys.pop();
+    without.organisations[0].keys.pop();
     let mut store = CatalogStore::default();
     store.offer(with_key);
-    let holder = |store: &CatalogStore, key: &str| {
+    let organisation = |store: &CatalogStore, key: &str| {
         let catalog = store.catalog.as_ref().expect("a configuration");
-        catalog.holder(key).map(|holder| holder.name.clone())
+        catalog
+            .organisation(key)
+            .map(|organisation| organisation.name.clone())
     };
-    assert_eq!(holder(&store, "k2").as_deref(), Some("ministry"));
+    assert_eq!(organisation(&store, "k2").as_deref(), Some("ministry"));
     store.offer(without);
-    assert_eq!(holder(&store, "k2"), None);
-    assert_eq!(holder(&store, "k1").as_deref(), Some("ministry"));
+    assert_eq!(organisation(&store, "k2"), None);
+    assert_eq!(organisation(&store, "k1").as_deref(), Some("ministry"));
 }
 
 #[test]
@@ -184,22 +187,22 @@
 fn a_watch_that_broke_is_followed_by_a_whole_read() {
     let mut cursor = FeedCursor::default();
     assert_eq!(cursor.next_step(), FeedStep::Read);
-    cursor.answered(Revision(10));
+    cursor.advance(Revision(10));
     assert_eq!(cursor.next_step(), FeedStep::Watch(Revision(10)));
-    cursor.answered(Revision(9));
+    cursor.advance(Revision(9));
     assert_eq!(
         cursor.next_step(),
         FeedStep::Watch(Revision(10)),
         "a revision never goes back"
     );
-    let first = cursor.failed();
+    let first = cursor.record_failure();
     assert_eq!(cursor.next_step(), FeedStep::Read);
-    let second = cursor.failed();
+    let second = cursor.record_failure();
     assert!(second > first, "errors are followed by longer waits");
-    cursor.answered(Revision(12));
-    assert_eq!(cursor.failed(), first, "an answer ends the row of errors");
-    cursor.answered(Revision(13));
-    cursor.start_over();
+    cursor.advance(Revision(12));
+    assert_eq!(cursor.record_failure(), first, "an answer ends the row of errors");
+    cursor.advance(Revision(13));
+    cursor.reset();
     assert_eq!(cursor.next_step(), FeedStep::Read);
 }
 
@@ -210,16 +213,16 @@
         rank,
         ..route("r", "a.example", "/")
     };
-    let holder = |rank: Option<u8>| KeyHolder {
+    let organisation = |rank: Option<u8>| ForwardOrganisation {
         rank,
-        ..KeyHolder::default()
+        ..ForwardOrganisation::default()
     };
     let document = CatalogDocument {
-        holders: vec![holder(Some(1)), holder(Some(3))],
+        organisations: vec![organisation(Some(1)), organisation(Some(3))],
         ..document(1, vec![route(0), route(2)])
     };
-    let catalog = Catalog::accept(document).expect("it is right");
-    let rank = |organisation: Option<u8>, kind: u8| catalog.rank(Some(&holder(organisation)), &route(kind));
+    let catalog = Catalog::build(document).expect("it is right");
+    let rank = |priority: Option<u8>, kind: u8| catalog.rank(Some(&organisation(priority)), &route(kind));
     let order = [
         rank(Some(1), 0),
         rank(Some(1), 2),
--- a/crates/barleyspool_core/tests/forward_choice.rs
+++ b/crates/barleyspool_core/tests/forward_choice.rs
@@ -40,7 +40,7 @@
         ..ForwardSettings::default()
     };
     let mut forwarder = Forwarder::new(settings).expect("the chart is right");
-    forwarder.take_plan(&plan(table(targets)));
+    forwarder.apply_plan(&plan(table(targets)));
     forwarder
 }
 
@@ -133,7 +133,7 @@
     if let Some(entry) = listed.get_mut("i-1") {
         entry.leaving = true;
     }
-    forwarder.take_plan(&plan(listed));
+    forwarder.apply_plan(&plan(listed));
     assert!(matches!(forwarder.choose(at(0), &need()), ChooseResult::Busy(_)));
 }
 
--- a/crates/barleyspool_core/tests/limited_targets.rs
+++ b/crates/barleyspool_core/tests/limited_targets.rs
@@ -306,7 +306,7 @@
         assert!(share.part <= 0.0, "it gives out nothing yet");
     }
     plan.converged = true;
-    node.take_plan(&plan);
+    node.apply_plan(&plan);
     let share = node.known_share(at(0.6), 7);
     assert!(share.part > 0.0, "what those bring who wait: {share:?}");
 }
--- a/crates/barleyspool_core/tests/source_reading/changes.rs
+++ b/crates/barleyspool_core/tests/source_reading/changes.rs
@@ -1,8 +1,8 @@
 //! Differences between configurations and between lists: whoever takes them has what the teller has.
 
 use barleyspool_core::{
-    CatalogDocument, CatalogStore, KeyHolder, Offered, Revision, Route, Share, Span, TargetChange,
-    TargetEntry, TargetStore, TargetTable, Time,
+    CatalogDocument, CatalogStore, ForwardOrganisation, OfferResult, Revision, Route, Span, TargetChange,
+    TargetEntry, TargetStore, TargetTable, Time, TrafficShare,
 };
 use quickcheck::quickcheck;
 
@@ -12,7 +12,7 @@
         host: "a.example".to_owned(),
         path: format!("/{name}/"),
         rank,
-        shares: vec![Share {
+        shares: vec![TrafficShare {
             service: "s".to_owned(),
             weight: 1,
         }],
@@ -21,7 +21,7 @@
 }
 
 /// A configuration whose parts are named by numbers; a number that comes again stands for a change.
-fn document(version: u64, routes: &[(u8, u8)], holders: &[(u8, u8)]) -> CatalogDocument {
+fn document(version: u64, routes: &[(u8, u8)], organisations: &[(u8, u8)]) -> CatalogDocument {
     let mut document = CatalogDocument {
         version: Revision(version),
         ..CatalogDocument::default()
@@ -34,10 +34,12 @@
         document.routes.retain(|route| route.name != format!("r{name}"));
         document.routes.push(route(*name, *rank));
     }
-    for (name, key) in holders.iter().take(200) {
+    for (name, key) in organisations.iter().take(200) {
         let name = format!("o{name}");
-        document.holders.retain(|holder| holder.name != name);
-        document.holders.push(KeyHolder {
+        document
+            .organisations
+            .retain(|organisation| organisation.name != name);
+        document.organisations.push(ForwardOrganisation {
             name,
             keys: vec![format!("k{key}")],
             rank: None,
@@ -49,7 +51,9 @@
 fn sorted(store: &CatalogStore) -> CatalogDocument {
     let mut document = store.catalog.as_ref().expect("a configuration").document.clone();
     document.routes.sort_by(|one, other| one.name.cmp(&other.name));
-    document.holders.sort_by(|one, other| one.name.cmp(&other.name));
+    document
+        .organisations
+        .sort_by(|one, other| one.name.cmp(&other.name));
     document
 }
 
@@ -61,9 +65,9 @@
         let mut taker = CatalogStore::default();
         let versions = &versions[..versions.len().min(40)];
         let stops = behind % (versions.len() + 1);
-        for (place, (routes, holders)) in versions.iter().enumerate() {
-            let holders = &holders[..holders.len().min(12)];
-            let document = document(place as u64 + 1, routes, holders);
+        for (place, (routes, organisations)) in versions.iter().enumerate() {
+            let organisations = &organisations[..organisations.len().min(12)];
+            let document = document(place as u64 + 1, routes, organisations);
             if place < stops {
                 taker.offer(document.clone());
             }
@@ -87,7 +91,10 @@
     changed.push((7, 201));
     let mut store = CatalogStore::default();
     store.offer(document(3, &[(1, 1)], &many));
-    assert_eq!(store.offer(document(9, &[(1, 1)], &changed)), Offered::Accepted);
+    assert_eq!(
+        store.offer(document(9, &[(1, 1)], &changed)),
+        OfferResult::Accepted
+    );
     let changes = store.changes_since(Revision(3)).expect("known");
     let size = serde_json::to_vec(&changes).expect("encodes").len();
     assert!(size < 400, "{size} bytes for one key");
--- a/crates/barleyspool_core/tests/source_reading/first_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/first_list.rs
@@ -4,9 +4,9 @@
 
 use crate::net::Net;
 use barleyspool_core::{
-    FleetView, HandoutKey, InitialListRead, ListHandout, ListHolder, ListTaker, MemberEvent, MemberHealth,
+    FleetView, InitialListRead, ListHolder, ListRequester, ListTransfers, MemberEvent, MemberHealth,
     PackedList, ReaderCandidate, Revision, SourceRole, SourceState, Span, TargetEntry, TargetIncarnation,
-    TargetTable, Time, choose_holder, rendezvous, source_role,
+    TargetTable, Time, TransferKey, choose_list_holder, rendezvous, source_role,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
 enum Waits {
     Nothing,
     /// For a list of another node.
-    List(usize, HandoutKey),
+    List(usize, TransferKey),
     /// For an answer that there is none now.
     Busy(usize),
 }
@@ -65,7 +65,7 @@
     page_at: Option<Time>,
     asks: Waits,
     ask_at: Time,
-    handout: ListHandout,
+    handout: ListTransfers,
     avoided: BTreeMap<usize, Time>,
     has: Option<Time>,
 }
@@ -127,7 +127,7 @@
                 page_at: None,
                 asks: Waits::Nothing,
                 ask_at: starts,
-                handout: ListHandout::new(link_mbps),
+                handout: ListTransfers::new(link_mbps),
                 avoided: BTreeMap::new(),
                 has: None,
             }
@@ -172,7 +172,7 @@
         }
         if now >= self.nodes[place].next_look {
             self.nodes[place].next_look = now + LOOK;
-            self.take_role(place);
+            self.set_role(place);
         }
         if self.nodes[place].has.is_none() {
             self.read(place);
@@ -180,7 +180,7 @@
         }
     }
 
-    fn take_role(&mut self, place: usize) {
+    fn set_role(&mut self, place: usize) {
         let node = &self.nodes[place];
         let membership = &self.net.nodes[&node.name];
         let alive = membership
@@ -287,7 +287,7 @@
         let node = &self.nodes[place];
         let members = self.net.nodes[&node.name].members();
         let holders = members.filter(|member| member.source.list != Revision(0));
-        let taker = ListTaker {
+        let taker = ListRequester {
             link_mbps: node.link_mbps,
             waited: node.knew.map_or(Span::ZERO, |knew| now.since(knew)),
         };
@@ -300,8 +300,8 @@
                 link_mbps: member.facts.link_mbps,
             }
         });
-        let candidates = candidates.filter(|holder| taker.asks_far() || !holder.far);
-        choose_holder(candidates, &mut self.random)
+        let candidates = candidates.filter(|holder| taker.may_ask_other_zones() || !holder.far);
+        choose_list_holder(candidates, &mut self.random)
     }
 
     /// The node has the list, and the others hear of it.
--- a/crates/barleyspool_core/tests/source_reading/fleet.rs
+++ b/crates/barleyspool_core/tests/source_reading/fleet.rs
@@ -2,8 +2,8 @@
 
 use crate::net::Net;
 use barleyspool_core::{
-    FeedCursor, Held, MemberEvent, MemberHealth, ReaderCandidate, Revision, SourceState, SourceWatch, Span,
-    Time, poll_wait, rendezvous, source_audience, source_role,
+    FeedCursor, HeldRevisions, MemberEvent, MemberHealth, ReaderCandidate, Revision, SourceState,
+    SourceWatch, Span, Time, rendezvous, source_recipients, source_role, watch_timeout,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -198,9 +198,9 @@
                 continue;
             };
             if reads && !source.failing {
-                node.watch.reader_answered(now);
+                node.watch.record_reader_answer(now);
             }
-            node.watch.reported(now, source, node.held());
+            node.watch.handle_report(now, source, node.held());
         }
     }
 
@@ -208,25 +208,25 @@
         let now = self.net.now;
         if now >= node.next_look {
             node.next_look = now + LOOK;
-            self.take_role(name, node);
+            self.set_role(name, node);
         }
         self.read(name, node);
-        if node.watch.asks(now, node.held(), node.failing) {
+        if node.watch.should_ask(now, node.held(), node.failing) {
             self.ask(name, node);
         }
         let state = node.state();
         self.net.step(name, MemberEvent::Source(state));
-        let due = self.net.nodes[name].settled(now) && node.watch.announces(now);
+        let due = self.net.nodes[name].settled(now) && node.watch.announcement_due(now);
         let moved = node.watch.reads(now) && state != node.told;
         if due || moved {
             node.told = state;
-            node.watch.announced(now);
+            node.watch.record_announcement(now);
             let audience = node.audience.clone();
             self.net.step(name, MemberEvent::Announce(audience));
         }
     }
 
-    fn take_role(&self, name: &str, node: &mut Node) {
+    fn set_role(&self, name: &str, node: &mut Node) {
         let members = self.net.nodes[name].members();
         let alive = members.filter(|member| member.health == MemberHealth::Alive);
         let others = alive.map(|member| ReaderCandidate {
@@ -245,8 +245,8 @@
         };
         let members: Vec<ReaderCandidate> = others.chain([me]).collect();
         let role = source_role(&members, me.key);
-        node.audience = source_audience(&members, node.zone, me.key);
-        node.watch.take_role(role, members.len());
+        node.audience = source_recipients(&members, node.zone, me.key);
+        node.watch.set_role(role, members.len());
     }
 
     /// What the feeds of a node do at the source; both are taken as one here, which costs two calls each time.
@@ -273,7 +273,7 @@
                 self.failed(node);
                 return;
             }
-            node.watch.reader_answered(now);
+            node.watch.record_reader_answer(now);
         }
         if !wants || now < node.wakes && node.failing {
             return;
@@ -286,20 +286,20 @@
             }
             node.missing = false;
             node.has = self.version;
-            node.cursor.answered(Revision(self.version));
-            node.watch.reader_answered(now);
+            node.cursor.advance(Revision(self.version));
+            node.watch.record_reader_answer(now);
         }
         node.failing = false;
         if node.watch.is_reader() && settled {
             node.watching = true;
-            node.wakes = now + poll_wait(node.watch.is_short_poller());
+            node.wakes = now + watch_timeout(node.watch.uses_short_watch());
         }
     }
 
     fn failed(&self, node: &mut Node) {
-        let wait = node.cursor.failed();
+        let wait = node.cursor.record_failure();
         node.failing = true;
-        node.wakes = self.net.now + node.watch.retry_wait(wait);
+        node.wakes = self.net.now + node.watch.retry_delay(wait);
     }
 
     fn answers(&self, name: &str) -> bool {
@@ -331,8 +331,8 @@
 }
 
 impl Node {
-    fn held(&self) -> Held {
-        Held {
+    fn held(&self) -> HeldRevisions {
+        HeldRevisions {
             version: Revision(self.has),
             list: Revision(self.has),
             evacuations: Revision(self.has),
--- a/crates/barleyspool_core/tests/source_reading/roles.rs
+++ b/crates/barleyspool_core/tests/source_reading/roles.rs
@@ -1,6 +1,6 @@
 //! Which nodes read the source, worked out by each for itself.
 
-use barleyspool_core::{ReaderCandidate, poll_wait, source_audience, source_role};
+use barleyspool_core::{ReaderCandidate, source_recipients, source_role, watch_timeout};
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
@@ -21,7 +21,7 @@
 }
 
 fn pollers(members: &[ReaderCandidate]) -> Vec<u64> {
-    let short = |member: &&ReaderCandidate| source_role(members, member.key).short;
+    let short = |member: &&ReaderCandidate| source_role(members, member.key).short_watch;
     members.iter().filter(short).map(|member| member.key).collect()
 }
 
@@ -82,10 +82,10 @@
     assert!(after.contains(&before[1]), "the other one goes on");
     let alone = fleet(1);
     assert!(
-        source_role(&alone, 1).short,
+        source_role(&alone, 1).short_watch,
         "a node that knows nobody watches for itself"
     );
-    assert!(poll_wait(true) < poll_wait(false));
+    assert!(watch_timeout(true) < watch_timeout(false));
 }
 
 #[test]
@@ -95,7 +95,7 @@
     for (member, name) in members.iter_mut().zip(&names) {
         member.address = name;
     }
-    let audience = source_audience(&members, "a", 5);
+    let audience = source_recipients(&members, "a", 5);
     let near = members.iter().filter(|member| member.zone == "a").count();
     assert_eq!(audience.len(), near - 1 + 8);
     assert!(!audience.contains(&"n5".to_owned()), "not itself");
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -72,7 +72,7 @@
         services: vec![service],
         ..CatalogDocument::default()
     };
-    Catalog::accept(document).ok().map(Arc::new)
+    Catalog::build(document).ok().map(Arc::new)
 }
 
 fn plan(rates: &Rates, members: &[MemberView]) -> ForwardPlan {
@@ -105,7 +105,7 @@
         ..ForwardSettings::default()
     };
     let mut forwarder = Forwarder::new(settings).expect("the chart is right");
-    forwarder.take_plan(plan);
+    forwarder.apply_plan(plan);
     forwarder
 }
 
@@ -185,7 +185,7 @@
             plan.made = now;
             change(plan);
             let forwarder = self.nodes.get_mut(&member.key).expect("it is a node");
-            forwarder.take_plan(plan);
+            forwarder.apply_plan(plan);
         }
     }
 
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -108,14 +108,14 @@
     put(&mut store, at(20), entry("1", 2000, 1));
     assert!(store.table["1"].takes_work());
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     let run = entry("1", 2000, 0).mark();
     assert_eq!(
-        forwarder.leaving_run(at(19), "1"),
+        forwarder.leaving_incarnation(at(19), "1"),
         None,
         "an answer of the run before"
     );
-    assert_eq!(forwarder.leaving_run(at(21), "1"), Some(run));
+    assert_eq!(forwarder.leaving_incarnation(at(21), "1"), Some(run));
 }
 
 /// Guards against answers that are read before the entry of their target is listed.
@@ -433,13 +433,13 @@
 fn a_call_finds_no_target_when_all_zones_of_its_service_are_evacuated() {
     let mut store = store(&[entry("1", 0, 1), entry("7", 0, 1)]);
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     let need = TargetQuery {
         service: "s".to_owned(),
         ..TargetQuery::default()
     };
     store.evacuate(at(10), &zones(&["a"]));
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     for _ in 0..20 {
         let ChooseResult::Send(chosen) = forwarder.choose(at(20), &need) else {
             panic!("one zone is open");
@@ -447,9 +447,9 @@
         assert_eq!(chosen.id, "7");
     }
     store.evacuate(at(30), &zones(&["a", "b"]));
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     assert!(matches!(forwarder.choose(at(40), &need), ChooseResult::Busy(_)));
-    assert_eq!(plan(&store).working("s"), 0);
+    assert_eq!(plan(&store).count_working("s"), 0);
 }
 
 // ----------------------------------------------------------------------------
@@ -459,7 +459,7 @@
 fn nothing_that_was_seen_of_a_run_holds_for_the_next_one() {
     let mut store = store(&[entry("1", 1000, 1)]);
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     let need = TargetQuery {
         service: "s".to_owned(),
         engine_memory: Some(600_000),
@@ -473,7 +473,7 @@
     let failed = forwarder.begin(at(1), &need, key);
     forwarder.end(at(2), failed, SendEnd::Unreachable);
     put(&mut store, at(10), entry("1", 2000, 1));
-    forwarder.take_plan(&plan(&store));
+    forwarder.apply_plan(&plan(&store));
     let now_key = forwarder.key("1").expect("it is listed");
     assert_ne!(key, now_key);
     forwarder.end(at(20), send, SendEnd::Unreachable);
@@ -548,12 +548,12 @@
     let waits = waits.expect("there is room");
     put(&mut makers, at(50), entry("1", 2000, 1));
     let plan = plan(&makers);
-    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
+    queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
     assert_eq!(queue.take_ended(), [(waits, OrderOutcome::InputsGone)]);
     assert!(queue.order(kept).is_some());
     let later = queue.submit(at(60), order("later", 1, &["10.0.0.1:80/z"]));
     let later = later.expect("there is room");
-    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
+    queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
     assert!(queue.order(later).is_some(), "that one the new run made");
 }
 
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -47,7 +47,7 @@
 
 fn forwarder(targets: usize) -> Forwarder {
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
-    forwarder.take_plan(&plan(table(targets)));
+    forwarder.apply_plan(&plan(table(targets)));
     forwarder
 }
 
@@ -131,7 +131,7 @@
     let mut again = entry(0);
     again.run = TargetIncarnation(5);
     again.times.restarted = at(4500);
-    forwarder.take_plan(&plan([("i-0".to_owned(), again)].into()));
+    forwarder.apply_plan(&plan([("i-0".to_owned(), again)].into()));
     assert_eq!(sent_to(forwarder.choose(at(4500), &need())).id, "i-0");
     assert!(
         !forwarder.take_rest(at(4600), at(4400), "i-0", REST),
--- a/crates/barleyspool_core/tests/unmeasured_targets.rs
+++ b/crates/barleyspool_core/tests/unmeasured_targets.rs
@@ -51,7 +51,7 @@
 
     fn list(&mut self, entry: TargetEntry) {
         self.table.insert(entry.id.clone(), entry);
-        self.forwarder.take_plan(&ForwardPlan {
+        self.forwarder.apply_plan(&ForwardPlan {
             targets: Arc::new(self.table.clone()),
             ..ForwardPlan::default()
         });
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::expect_used, reason = "a test stops where it fails")]
 
 use barleyspool_core::{
-    FleetView, InitialListRead, ListHandout, ListHolder, ListTaker, PackedList, Span, TargetEntry,
-    TargetIncarnation, TargetTable, Time, choose_holder, hold_until,
+    FleetView, InitialListRead, ListHolder, ListRequester, ListTransfers, PackedList, Span, TargetEntry,
+    TargetIncarnation, TargetTable, Time, choose_list_holder, hold_until,
 };
 use quickcheck::quickcheck;
 use rand::SeedableRng;
@@ -80,7 +80,7 @@
 #[test]
 fn a_weak_link_hands_out_one_list_at_a_time_and_a_strong_one_a_few() {
     for (mbps, most) in [(1, 1), (20, 1), (60, 3), (1000, 8)] {
-        let mut handout = ListHandout::new(mbps);
+        let mut handout = ListTransfers::new(mbps);
         let admitted = (0..20).filter(|_| handout.admit(START).is_some()).count();
         assert_eq!(admitted, most, "{mbps} Mbit/s");
     }
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_list_that_was_taken_makes_room_for_the_next_and_a_taker_that_is_gone_does_so_after_a_second() {
-    let mut handout = ListHandout::new(20);
+    let mut handout = ListTransfers::new(20);
     let first = handout.admit(at(0)).expect("the first");
     assert_eq!(handout.admit(at(10)), None);
     handout.taken(first);
@@ -110,7 +110,7 @@
         link_mbps,
     };
     let mut random = SmallRng::seed_from_u64(1);
-    let mut choose = |holders: &[ListHolder<u8>]| choose_holder(holders.iter().copied(), &mut random);
+    let mut choose = |holders: &[ListHolder<u8>]| choose_list_holder(holders.iter().copied(), &mut random);
     let all = [
         holder(1, true, false, 200),
         holder(2, false, true, 200),
@@ -126,13 +126,16 @@
 
 #[test]
 fn a_node_with_a_weak_link_leaves_other_zones_to_strong_ones_for_a_moment() {
-    let taker = |link_mbps, waited| ListTaker {
+    let taker = |link_mbps, waited| ListRequester {
         link_mbps,
         waited: Span::from_millis(waited),
     };
-    assert!(!taker(20, 0).asks_far());
-    assert!(taker(200, 0).asks_far());
-    assert!(taker(20, 300).asks_far(), "its zone may have no strong node");
+    assert!(!taker(20, 0).may_ask_other_zones());
+    assert!(taker(200, 0).may_ask_other_zones());
+    assert!(
+        taker(20, 300).may_ask_other_zones(),
+        "its zone may have no strong node"
+    );
 }
 
 // ----------------------------------------------------------------------------
--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -3,7 +3,8 @@
 use super::state::{ControlState, Origin};
 use crate::edges::{Feed, Source, SourceChange, SourceError};
 use barleyspool_core::{
-    CatalogDocument, FeedCursor, FeedStep, Revision, Span, TargetEntry, TargetTable, WATCH_MARGIN, poll_wait,
+    CatalogDocument, FeedCursor, FeedStep, Revision, Span, TargetEntry, TargetTable, WATCH_MARGIN,
+    watch_timeout,
 };
 use barleyspool_wire::timer;
 use rand::Rng;
@@ -33,17 +34,17 @@
         };
         match result {
             Ok(at) => {
-                cursor.answered(at);
+                cursor.advance(at);
                 state.feed_result(feed, None);
                 if feed == Feed::Targets {
                     tokio::time::sleep(GATHER).await;
                 }
             }
-            Err(SourceError::HistoryGone | SourceError::WentBack) => cursor.start_over(),
+            Err(SourceError::HistoryGone | SourceError::WentBack) => cursor.reset(),
             Err(SourceError::Overtaken) => cursor.resume(state.held_at(feed)),
             Err(error) => {
                 state.feed_result(feed, Some(&error.to_string()));
-                let longest = state.reading.retry_wait(cursor.failed());
+                let longest = state.reading.retry_delay(cursor.record_failure());
                 state.until_retry(feed, at_random(longest)).await;
             }
         }
@@ -141,7 +142,7 @@
     feed: Feed,
     since: Revision,
 ) -> Result<Revision, SourceError> {
-    let wait = poll_wait(state.reading.watches_briefly());
+    let wait = watch_timeout(state.reading.watches_briefly());
     let limit = Duration::from_micros((wait + WATCH_MARGIN).0);
     state.shared.count_source_call();
     let changes = timed(limit, source.watch(feed, since, wait)).await?;
--- a/crates/barleyspool_gateway/src/control/follow.rs
+++ b/crates/barleyspool_gateway/src/control/follow.rs
@@ -5,7 +5,7 @@
 use crate::edges::Feed;
 use crate::event_log::Line;
 use barleyspool_core::{
-    ListHolder, ListTaker, Member, MemberHealth, PackedList, Revision, Span, Time, choose_holder,
+    ListHolder, ListRequester, Member, MemberHealth, PackedList, Revision, Span, Time, choose_list_holder,
 };
 use barleyspool_wire::net;
 use barleyspool_wire::timer;
@@ -46,7 +46,7 @@
         state.reading.until_reported(look).await;
         look = LOOK_EVERY;
         state.expire_targets();
-        state.take_role();
+        state.set_role();
         state.announce_now_and_then();
         if !state.asks() {
             continue;
@@ -93,12 +93,12 @@
 fn peer_to_ask(state: &ControlState, avoided: &Avoided) -> Option<SocketAddr> {
     let held = state.held();
     let settings = &state.shared.settings;
-    let taker = ListTaker {
+    let taker = ListRequester {
         link_mbps: settings.link(),
         waited: state.reading.behind_for(state.now()),
     };
     // Differences are small, so they come from anywhere.
-    let asks_far = state.targets_known.get() || taker.asks_far();
+    let may_ask_other_zones = state.targets_known.get() || taker.may_ask_other_zones();
     let membership = state.membership.borrow();
     let answers = |member: &&Member| {
         let up = matches!(member.health, MemberHealth::Alive | MemberHealth::Leaving);
@@ -116,8 +116,8 @@
         })
     };
     let holders = membership.members().filter(answers).filter_map(holder);
-    let holders = holders.filter(|holder| asks_far || !holder.far);
-    choose_holder(holders, &mut rand::rng())
+    let holders = holders.filter(|holder| may_ask_other_zones || !holder.far);
+    choose_list_holder(holders, &mut rand::rng())
 }
 
 /// Whether a whole configuration is to come from another node. Differences do; the whole is one call and some ten KB at the source, which
--- a/crates/barleyspool_gateway/src/control/reading.rs
+++ b/crates/barleyspool_gateway/src/control/reading.rs
@@ -4,8 +4,8 @@
 use crate::edges::Feed;
 use crate::event_log::Line;
 use barleyspool_core::{
-    FleetView, Held, InitialListRead, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision,
-    SourceState, SourceWatch, Span, Time, rendezvous, source_audience, source_role,
+    FleetView, HeldRevisions, InitialListRead, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision,
+    SourceState, SourceWatch, Span, Time, rendezvous, source_recipients, source_role,
 };
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::Ordering;
@@ -69,7 +69,7 @@
     /// node would tell it what a lost watch does not.
     pub fn watches_briefly(&self) -> bool {
         let watch = self.watch.borrow();
-        watch.is_short_poller() || !watch.is_reader()
+        watch.uses_short_watch() || !watch.is_reader()
     }
 
     /// How long another node has been known to have something newer.
@@ -121,8 +121,8 @@
     }
 
     /// The longest wait before the next try at a source that does not answer.
-    pub fn retry_wait(&self, wait: Span) -> Span {
-        self.watch.borrow().retry_wait(wait)
+    pub fn retry_delay(&self, wait: Span) -> Span {
+        self.watch.borrow().retry_delay(wait)
     }
 
     /// Whether a feed reads the source now.
@@ -141,7 +141,7 @@
 
     /// When a feed that does not read the source looks again whether it should.
     fn look_at(&self, now: Time, feed: Feed) -> Time {
-        let alone_at = self.watch.borrow().look_at();
+        let alone_at = self.watch.borrow().next_check();
         if feed == Feed::Targets && self.missing[feed as usize].get() {
             return alone_at.min(self.first_list.look_at(now, self.fleet.get()));
         }
@@ -190,7 +190,7 @@
         let now = self.now();
         let place = feed as usize;
         if cause.is_none() {
-            self.reader_answered(now);
+            self.record_reader_answer(now);
         }
         let before = self.reading.failing.borrow()[place].clone();
         if before.as_ref().map(|(_, cause)| cause.as_str()) == cause {
@@ -225,8 +225,8 @@
         }
     }
 
-    fn reader_answered(&self, now: Time) {
-        self.reading.watch.borrow_mut().reader_answered(now);
+    fn record_reader_answer(&self, now: Time) {
+        self.reading.watch.borrow_mut().record_reader_answer(now);
         self.shared.source_answered.store(now.0, Ordering::Relaxed);
     }
 
@@ -251,8 +251,8 @@
     }
 
     /// What this node has, for questions to others.
-    pub fn held(&self) -> Held {
-        Held {
+    pub fn held(&self) -> HeldRevisions {
+        HeldRevisions {
             version: self.catalogs.borrow().version(),
             list: self.targets.borrow().at,
             evacuations: self.evacuations.borrow().at,
@@ -272,7 +272,7 @@
 
     /// Tells others how far this node has read, when it has not for a while.
     pub fn announce_now_and_then(&self) {
-        let due = || self.reading.watch.borrow_mut().announces(self.now());
+        let due = || self.reading.watch.borrow_mut().announcement_due(self.now());
         if self.reading.settled.get() && due() {
             self.announce(self.source_state());
         }
@@ -280,7 +280,7 @@
 
     fn announce(&self, state: SourceState) {
         self.reading.announced.set(state);
-        self.reading.watch.borrow_mut().announced(self.now());
+        self.reading.watch.borrow_mut().record_announcement(self.now());
         let audience = self.reading.audience.borrow().clone();
         self.step_members(MemberEvent::Announce(audience));
     }
@@ -292,10 +292,10 @@
     pub fn source_reported(&self, state: SourceState, reads: bool) {
         let now = self.now();
         if reads && !state.failing {
-            self.reader_answered(now);
+            self.record_reader_answer(now);
         }
         let held = self.held();
-        self.reading.watch.borrow_mut().reported(now, state, held);
+        self.reading.watch.borrow_mut().handle_report(now, state, held);
         if held.is_behind(state) {
             self.reading.ahead.notify_one();
         }
@@ -305,11 +305,14 @@
     pub fn asks(&self) -> bool {
         let failing = self.reading.any_failing();
         let held = self.held();
-        self.reading.watch.borrow_mut().asks(self.now(), held, failing)
+        self.reading
+            .watch
+            .borrow_mut()
+            .should_ask(self.now(), held, failing)
     }
 
     /// Takes the role at the source that follows from the members.
-    pub fn take_role(&self) {
+    pub fn set_role(&self) {
         let membership = self.membership.borrow();
         let settings = &self.shared.settings;
         let me = self.key();
@@ -334,7 +337,7 @@
         });
         let members: Vec<ReaderCandidate> = others.chain(this).collect();
         let role = source_role(&members, me);
-        *self.reading.audience.borrow_mut() = source_audience(&members, &settings.zone, me);
+        *self.reading.audience.borrow_mut() = source_recipients(&members, &settings.zone, me);
         let has_list =
             |member: &Member| member.health != MemberHealth::Dead && member.source.list != Revision(0);
         self.reading.fleet.set(FleetView {
@@ -343,11 +346,11 @@
             reader: role.reads,
             holder: membership.members().any(has_list),
         });
-        let before_short = self.reading.watch.borrow().is_short_poller();
-        let changed = self.reading.watch.borrow_mut().take_role(role, members.len());
+        let before_short = self.reading.watch.borrow().uses_short_watch();
+        let changed = self.reading.watch.borrow_mut().set_role(role, members.len());
         let settled = self.settled.get();
         let was_settled = self.reading.settled.replace(settled);
-        if role.short && !before_short {
+        if role.short_watch && !before_short {
             // The long watches of before end.
             FEEDS.iter().for_each(|feed| self.reading.end_watch(*feed));
         }
@@ -361,7 +364,7 @@
         if settled {
             let line = Line::Reader {
                 reads: role.reads,
-                short: role.short,
+                short: role.short_watch,
                 members: members.len(),
             };
             self.log.write(self.now(), &line);
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -4,8 +4,8 @@
 use super::state::ControlState;
 use crate::metrics::Metrics;
 use barleyspool_core::{
-    CatalogChange, CatalogDocument, Evacuations, ExpiringEntries, HandoutKey, Held, PackedList, Revision,
-    TargetChange,
+    CatalogChange, CatalogDocument, Evacuations, ExpiringEntries, HeldRevisions, PackedList, Revision,
+    TargetChange, TransferKey,
 };
 use bytes::Bytes;
 use http_body_util::Full;
@@ -53,7 +53,7 @@
 }
 
 /// The question for what is newer than `held`; `whole` when the configuration may come as a whole.
-pub fn known_query(held: Held, whole: bool) -> String {
+pub fn known_query(held: HeldRevisions, whole: bool) -> String {
     format!("{KNOWN_PATH}?{},{},{}", held.version, held.list, u8::from(whole))
 }
 
@@ -81,10 +81,10 @@
 }
 
 /// What this node knows beyond what the query names; see [`known_query`]. `handed_out` is set when that is a whole list.
-fn known(state: &ControlState, query: &str, handed_out: &mut Option<HandoutKey>) -> Vec<u8> {
+fn known(state: &ControlState, query: &str, handed_out: &mut Option<TransferKey>) -> Vec<u8> {
     // What cannot be read counts as nothing known, and is answered with everything.
     let mut have = query.split(',').map(|text| text.parse().unwrap_or(0));
-    let held = Held {
+    let held = HeldRevisions {
         version: Revision(have.next().unwrap_or(0)),
         list: Revision(have.next().unwrap_or(0)),
         // They are told in any case.
@@ -101,7 +101,11 @@
     rmp_serde::to_vec(&known).unwrap_or_default()
 }
 
-fn configuration(state: &ControlState, held: Held, whole: bool) -> Part<CatalogDocument, CatalogChange> {
+fn configuration(
+    state: &ControlState,
+    held: HeldRevisions,
+    whole: bool,
+) -> Part<CatalogDocument, CatalogChange> {
     let catalogs = state.catalogs.borrow();
     let newer = catalogs
         .catalog
@@ -117,8 +121,8 @@
 
 fn targets(
     state: &ControlState,
-    held: Held,
-    handed_out: &mut Option<HandoutKey>,
+    held: HeldRevisions,
+    handed_out: &mut Option<TransferKey>,
 ) -> Part<ByteBuf, TargetChange> {
     let targets = state.targets.borrow();
     if !state.targets_known.get() || targets.at <= held.list {
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -4,7 +4,7 @@
 use crate::edges::{Feed, SourceChange};
 use crate::event_log::Line;
 use barleyspool_core::{
-    CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, IncarnationId, Offered,
+    CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, IncarnationId, OfferResult,
     Revision, TargetChange, TargetCounts, TargetEntry, TargetTable,
 };
 use std::collections::BTreeSet;
@@ -30,14 +30,14 @@
         &self,
         version: Revision,
         from: Origin,
-        take: impl FnOnce(&mut CatalogStore) -> Offered,
+        take: impl FnOnce(&mut CatalogStore) -> OfferResult,
     ) -> bool {
         let before = self.catalogs.borrow().version().0;
         let offered = take(&mut self.catalogs.borrow_mut());
-        let accepted = offered == Offered::Accepted;
+        let accepted = offered == OfferResult::Accepted;
         let (version, from_name) = (version.0, from.name());
         match offered {
-            Offered::Accepted => {
+            OfferResult::Accepted => {
                 let line = Line::Configuration {
                     version,
                     before,
@@ -47,8 +47,8 @@
                 self.publish();
                 self.source_moved(from == Origin::Source);
             }
-            Offered::Old => {}
-            Offered::Bad(faults) => {
+            OfferResult::Outdated => {}
+            OfferResult::Invalid(faults) => {
                 let cause = faults.first().map(ToString::to_string).unwrap_or_default();
                 let line = Line::ConfigurationRefused {
                     version,
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -4,7 +4,7 @@
 use crate::event_log::{EventLog, Line};
 use crate::shared::Shared;
 use barleyspool_core::{
-    CatalogStore, Evacuations, Evidence, ForwardPlan, Incarnation, ListHandout, MemberAction, MemberEvent,
+    CatalogStore, Evacuations, Evidence, ForwardPlan, Incarnation, ListTransfers, MemberAction, MemberEvent,
     MemberFacts, MemberHealth, MemberView, Membership, MembershipSettings, Revision, TargetStore, Time,
     rendezvous,
 };
@@ -70,7 +70,7 @@
     /// The list as it is handed out whole, and the revision at which it stands.
     pub packed: RefCell<Option<(Revision, ByteBuf)>>,
     /// Whole lists that other nodes are taking from this one.
-    pub handout: RefCell<ListHandout>,
+    pub handout: RefCell<ListTransfers>,
     /// Whether the nodes that are known are likely to be all there are.
     pub settled: Cell<bool>,
     /// When the last answers of a planned stop are given; `None` while no stop was asked for.
@@ -100,7 +100,7 @@
             ..MembershipSettings::default()
         });
         let reading = Reading::new(shared.clock.now(), shared.settings.is_seed());
-        let handout = ListHandout::new(shared.settings.link());
+        let handout = ListTransfers::new(shared.settings.link());
         Self {
             shared,
             log,
@@ -240,7 +240,7 @@
         // Before the others hear that this node serves, so that they hear with it what it has.
         self.step_members(MemberEvent::Source(self.source_state()));
         self.step_members(MemberEvent::Serving(self.ready()));
-        self.take_role();
+        self.set_role();
         let plan = self.plan();
         self.shared.plan.store(Arc::new(plan));
         self.shared.plan_changed.send_modify(|count| *count += 1);
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -87,7 +87,7 @@
         plan.catalog.as_ref().map_or(0, |catalog| catalog.version().0)
     });
     gauge(meter, shared, "targets_limited", |shared| {
-        shared.plan.load().limited() as u64
+        shared.plan.load().count_rate_limited() as u64
     });
     gauge(meter, shared, "members_serving", |shared| {
         shared.plan.load().members.len() as u64
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -28,7 +28,7 @@
     let needed = stages.filter(|(stage, _)| call.head.pieces.get(*stage) != Some(&0));
     let pools = needed.map(|(_, spec)| spec.service.as_str());
     let mut services = pools.chain([call.service.as_str()]);
-    services.find(|service| plan.working(service) == 0)
+    services.find(|service| plan.count_working(service) == 0)
 }
 
 /// Turns a call away at once when it is expected to be late because of what waits before it, or when nothing can serve it.
@@ -106,7 +106,7 @@
         .copied()
         .unwrap_or_default();
     let all = mine as f64 * plan.members.len().max(1) as f64;
-    let places = plan.working(service).max(1) as f64 * f64::from(pool.slots.max(1));
+    let places = plan.count_working(service).max(1) as f64 * f64::from(pool.slots.max(1));
     let full_call = pool.call + Span(pool.item.0 * u64::from(pool.batch));
     full_call.scale(all / f64::from(pool.batch.max(1)) / places)
 }
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -357,7 +357,7 @@
         let plan = self.traffic.plan();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for handle in handles {
-            if let Some(zone) = plan.maker_zone(handle) {
+            if let Some(zone) = plan.holder_zone(handle) {
                 *zones.entry(zone).or_default() += 1;
             }
         }
@@ -373,7 +373,10 @@
 
     /// The expected time of the call itself, without its stages.
     pub fn first_time(&self) -> Span {
-        self.traffic.forwarder.borrow().expected_first(&self.need())
+        self.traffic
+            .forwarder
+            .borrow()
+            .expected_first_output(&self.need())
     }
 
     /// The time of one of its stages, without waiting.
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -69,11 +69,11 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     let mut stop = traffic.shared.stop.subscribe();
-    let (head_time, mut rest) = (duration(limits.head_time), duration(limits.idle_time));
+    let (header_timeout, mut rest) = (duration(limits.header_timeout), duration(limits.idle_timeout));
     let mut closing = false;
     loop {
         tokio::select! {
@@ -81,7 +81,7 @@
             biased;
             // A caller that goes away ends its connection; what it waited for has been dropped with it.
             ended = connection.as_mut() => return log_undelivered(&traffic, &watch, &ended),
-            overdue = watch.overdue(head_time, rest) => {
+            overdue = watch.overdue(header_timeout, rest) => {
                 if overdue == Overdue::Head {
                     return traffic.count(Counter::SlowHead);
                 }
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -251,7 +251,7 @@
     let far = plan
         .targets
         .get(&chosen.id)
-        .map_or(0, |target| plan.made_elsewhere(inputs, &target.zone) as u64);
+        .map_or(0, |target| plan.count_held_outside(inputs, &target.zone) as u64);
     let history = call.history.get();
     let line = Line::Sent {
         id: &call.head.id,
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -106,7 +106,7 @@
 
     fn take_plan(&self) {
         let plan = self.shared.plan.load_full();
-        self.forwarder.borrow_mut().take_plan(&plan);
+        self.forwarder.borrow_mut().apply_plan(&plan);
         self.pools.take_plan(&plan);
         if let Some(catalog) = &plan.catalog {
             self.forecast_correction
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -240,7 +240,7 @@
         return 0;
     };
     let far = |piece: &PieceRequest| {
-        let far = plan.made_elsewhere(&piece.inputs, zone) as u64;
+        let far = plan.count_held_outside(&piece.inputs, zone) as u64;
         piece.input_bytes * far / piece.inputs.len().max(1) as u64
     };
     call.pieces.iter().map(far).sum()
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -102,5 +102,5 @@
     let mine = |entry: &TargetEntry| entry.service == id.service && holds(entry);
     let mut queue = pool.queue.borrow_mut();
     queue.apply_plan(spec, service.cold, &plan.targets, mine);
-    queue.fail_lost_inputs(|handle, since| plan.is_lost(handle, since));
+    queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
 }
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -49,8 +49,8 @@
     let Some(route) = catalog.route(&head.host, &head.path).cloned() else {
         return Err(CallFailure::not_run(Reason::UnknownRoute));
     };
-    let holder = head.key.as_deref().and_then(|key| catalog.holder(key));
-    if holder.is_none() && catalog.keyed() && !route.public {
+    let organisation = head.key.as_deref().and_then(|key| catalog.organisation(key));
+    if organisation.is_none() && catalog.requires_key() && !route.public {
         return Err(CallFailure::not_run(Reason::UnknownKey));
     }
     let limit = traffic.shared.settings.body_memory_mb << 20;
@@ -58,8 +58,10 @@
         return Err(CallFailure::not_run(Reason::MemoryFull).after(MEMORY_WAIT));
     }
     Ok(Taken {
-        organisation: holder.map(|holder| holder.name.clone()).unwrap_or_default(),
-        rank: catalog.rank(holder, &route),
+        organisation: organisation
+            .map(|organisation| organisation.name.clone())
+            .unwrap_or_default(),
+        rank: catalog.rank(organisation, &route),
         head,
         route,
         catalog,
@@ -76,9 +78,9 @@
     let limits = taken
         .map(|taken| taken.catalog.document.limits)
         .unwrap_or_default();
-    let longest = taken.map_or(limits.idle_time, |taken| max_wait(&taken.head, &taken.route));
+    let longest = taken.map_or(limits.idle_timeout, |taken| max_wait(&taken.head, &taken.route));
     let left = (arrived + longest).since(traffic.now());
-    let read = Limited::new(body, limits.body_bytes).collect();
+    let read = Limited::new(body, limits.max_body_bytes).collect();
     let read = tokio::select! {
         biased;
         read = read => read,
--- a/crates/barleyspool_gateway/src/traffic/results.rs
+++ b/crates/barleyspool_gateway/src/traffic/results.rs
@@ -37,7 +37,7 @@
         let plan = self.traffic.plan();
         let is_lost = |handle: &String| {
             let made = self.made.get(handle);
-            made.is_some_and(|(_, since)| plan.is_lost(handle, *since))
+            made.is_some_and(|(_, since)| plan.is_result_lost(handle, *since))
         };
         !plan.restarts.is_empty() && handles.iter().any(is_lost)
     }
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -58,7 +58,10 @@
 }
 
 fn note_leaving(traffic: &Traffic, asked: Asked) {
-    let run = traffic.forwarder.borrow().leaving_run(asked.sent, asked.target);
+    let run = traffic
+        .forwarder
+        .borrow()
+        .leaving_incarnation(asked.sent, asked.target);
     let Some(run) = run else { return };
     traffic.count(Counter::ReportedLeaving);
     traffic.reports.send(Sighting::Leaves { run });
