--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -259,7 +259,7 @@
             record.in_flight += 1;
             record.unread_tokens += unread;
             if need.prefix != 0 {
-                record.prefixes.used(now, need.prefix, need.prefix_tokens);
+                record.prefixes.record(now, need.prefix, need.prefix_tokens);
             }
         }
         self.sends.insert(Send {
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -1,24 +1,24 @@
 //! Which waiting pieces go into the next call, and to which target of the pool.
 
 use super::piece_order::BatchItem;
-use super::piece_queue::{Order, Piece};
+use super::piece_queue::{Piece, QueuedOrder};
 use super::pool_target::TOO_SLOW;
 use super::{BatchCall, OrderKey, PieceQueue, PoolTarget};
 use crate::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A slow target is tried again after this time.
-const SLOW_TRIAL: Span = Span::from_millis(1500);
+/// A slow target is failed again after this time.
+const SLOW_RETRY_INTERVAL: Span = Span::from_millis(1500);
 /// Pieces of priority r are taken as if they were due this much later, times r.
-const RANK_STEP: Span = Span::from_millis(150);
+const RANK_PENALTY: Span = Span::from_millis(150);
 /// What an order that can no longer make its objective is put back by.
-const LATE_STEP: Span = Span::from_secs(2);
+const LATE_PENALTY: Span = Span::from_secs(2);
 /// Work in progress is spread over idle targets down to this share of a full call.
-const LEAST_SHARE: f64 = 0.25;
+const MIN_FILL: f64 = 0.25;
 
 /// An idle target that may get the next call.
 #[derive(Clone, Debug)]
-struct Idle {
+struct IdleTarget {
     id: String,
     zone: String,
     /// Whether its last call took far too long.
@@ -49,10 +49,10 @@
         let idle = self.idle_targets(now, waiting);
         for target in &idle {
             let zone_peers = idle.iter().filter(|other| other.zone == target.zone).count();
-            let share = self.share(now, &loads, &target.zone, idle.len(), zone_peers);
-            let least = f64::from(self.spec.batch) * LEAST_SHARE;
+            let share = self.fair_share(now, &loads, &target.zone, idle.len(), zone_peers);
+            let least = f64::from(self.spec.batch) * MIN_FILL;
             let size = (share.max(least).ceil() as u32).clamp(1, self.spec.batch.max(1));
-            let items = self.take_items(now, &loads, target, size);
+            let items = self.select_items(now, &loads, target, size);
             if !items.is_empty() {
                 return Some(self.start_call(now, target.id.clone(), items));
             }
@@ -65,34 +65,34 @@
 
     /// The idle targets that may be used, those with an overdue call last, then those first whose
     /// zone the most urgent order wants, then the fastest.
-    fn idle_targets(&self, now: Time, waiting: u32) -> Vec<Idle> {
+    fn idle_targets(&self, now: Time, waiting: u32) -> Vec<IdleTarget> {
         let slots = self.spec.slots.max(1);
         let usable = || self.targets.iter().filter(|(_, target)| target.usable(now));
         let fastest = usable()
             .map(|(_, target)| target.slowness)
             .fold(f64::MAX, f64::min);
-        let fit = |target: &PoolTarget| {
+        let worth_using = |target: &PoolTarget| {
             let slow = target.slowness > fastest * TOO_SLOW;
-            let trial = now.since(target.measured) > SLOW_TRIAL;
-            let crowded = waiting > self.spec.batch.saturating_mul(self.targets.len() as u32);
-            !slow || trial || crowded
+            let retry_due = now.since(target.measured) > SLOW_RETRY_INTERVAL;
+            let overloaded = waiting > self.spec.batch.saturating_mul(self.targets.len() as u32);
+            !slow || retry_due || overloaded
         };
-        let mut idle: Vec<Idle> = usable()
-            .filter(|(_, target)| target.calls < slots && fit(target))
-            .map(|(id, target)| Idle {
+        let mut idle: Vec<IdleTarget> = usable()
+            .filter(|(_, target)| target.calls < slots && worth_using(target))
+            .map(|(id, target)| IdleTarget {
                 id: id.clone(),
                 zone: target.entry.zone.clone(),
                 suspect: target.overdue_row > 0,
                 slowness: (target.slowness * 10.0) as u64,
             })
             .collect();
-        let wanted = self.wanted_zone();
-        idle.sort_by_key(|target| (target.suspect, target.zone != wanted, target.slowness));
+        let preferred = self.preferred_zone();
+        idle.sort_by_key(|target| (target.suspect, target.zone != preferred, target.slowness));
         idle
     }
 
     /// The zone that the most urgent order wants.
-    fn wanted_zone(&self) -> String {
+    fn preferred_zone(&self) -> String {
         let urgent = self.orders.values().filter(|order| order.waiting > 0);
         urgent
             .min_by_key(|order| order.order.due)
@@ -102,16 +102,16 @@
 
     /// An idle target's share of what waits: pieces that want its zone are shared with the idle targets there,
     /// all others with all idle targets.
-    fn share(&self, now: Time, loads: &ZoneLoads, zone: &str, idle: usize, zone_peers: usize) -> f64 {
-        let (mut near, mut free) = (0, 0);
+    fn fair_share(&self, now: Time, loads: &ZoneLoads, zone: &str, idle: usize, zone_peers: usize) -> f64 {
+        let (mut local, mut remote) = (0, 0);
         for order in self.orders.values() {
             if order.order.zone == zone {
-                near += order.waiting;
-            } else if self.may_go_far(now, loads, order) {
-                free += order.waiting;
+                local += order.waiting;
+            } else if self.may_spill(now, loads, order) {
+                remote += order.waiting;
             }
         }
-        f64::from(near) / zone_peers.max(1) as f64 + f64::from(free) / idle.max(1) as f64
+        f64::from(local) / zone_peers.max(1) as f64 + f64::from(remote) / idle.max(1) as f64
     }
 
     // ------------------------------------------------------------------------
@@ -131,42 +131,48 @@
     /// Whether an order may be made outside the zone that it wants. Its results or inputs would cross zones, and
     /// inputs once for each piece, so it waits for a target of its zone for as long as it has the time. When
     /// more waits for the zone than its targets take in their next calls, idle ones elsewhere help.
-    fn may_go_far(&self, now: Time, loads: &ZoneLoads, order: &Order) -> bool {
+    fn may_spill(&self, now: Time, loads: &ZoneLoads, order: &QueuedOrder) -> bool {
         let zone = &order.order.zone;
         if zone.is_empty() || now + self.call_time(self.spec.batch).scale(2.0) > order.order.due {
             return true;
         }
-        let near = loads.get(zone).cloned().unwrap_or_default();
-        near.waiting > near.targets * self.spec.batch.max(1)
+        let local = loads.get(zone).cloned().unwrap_or_default();
+        local.waiting > local.targets * self.spec.batch.max(1)
     }
 
     /// When an order is to be taken; the lower, the sooner.
-    fn urgency(&self, now: Time, order: &Order) -> (Time, Time) {
-        let rank = Span(RANK_STEP.0 * u64::from(order.order.rank));
+    fn urgency(&self, now: Time, order: &QueuedOrder) -> (Time, Time) {
+        let rank = Span(RANK_PENALTY.0 * u64::from(order.order.rank));
         let late = now + self.call_time(1) > order.order.due;
-        let put_back = if late { LATE_STEP } else { Span::ZERO };
-        (order.order.due + rank + put_back, order.came)
+        let penalty = if late { LATE_PENALTY } else { Span::ZERO };
+        (order.order.due + rank + penalty, order.submitted_at)
     }
 
     /// The orders with pieces that `target` may make now, the most urgent first.
-    fn eligible(&self, now: Time, loads: &ZoneLoads, target: &Idle) -> Vec<OrderKey> {
-        let near = |order: &Order| order.order.zone == target.zone || order.order.zone.is_empty();
+    fn eligible(&self, now: Time, loads: &ZoneLoads, target: &IdleTarget) -> Vec<OrderKey> {
+        let local = |order: &QueuedOrder| order.order.zone == target.zone || order.order.zone.is_empty();
         let mut waiting: Vec<OrderKey> = self
             .orders
             .iter()
-            .filter(|(_, order)| order.waiting > 0 && (near(order) || self.may_go_far(now, loads, order)))
+            .filter(|(_, order)| order.waiting > 0 && (local(order) || self.may_spill(now, loads, order)))
             .map(|(key, _)| key)
             .collect();
         waiting.sort_by_cached_key(|key| {
             let order = &self.orders[*key];
-            let (at, came) = self.urgency(now, order);
+            let (at, submitted_at) = self.urgency(now, order);
             // Large results stay in the zone where they are read when something else can fill the call.
-            (if near(order) { at } else { at + RANK_STEP }, came)
+            (if local(order) { at } else { at + RANK_PENALTY }, submitted_at)
         });
         waiting
     }
 
-    fn take_items(&mut self, now: Time, loads: &ZoneLoads, target: &Idle, size: u32) -> Vec<BatchItem> {
+    fn select_items(
+        &mut self,
+        now: Time,
+        loads: &ZoneLoads,
+        target: &IdleTarget,
+        size: u32,
+    ) -> Vec<BatchItem> {
         let room = |target: &PoolTarget| target.free_room(now, self.spec.room);
         let mut room = self.targets.get(&target.id).map_or(0, room);
         let mut items = Vec::new();
@@ -174,8 +180,8 @@
             let Some(order) = self.orders.get_mut(key) else {
                 continue;
             };
-            let alone = order.is_alone();
-            if alone && !items.is_empty() {
+            let isolated = order.is_isolated();
+            if isolated && !items.is_empty() {
                 continue;
             }
             for piece in 0..order.pieces.len() {
@@ -196,7 +202,7 @@
                     piece: piece as u32,
                 });
             }
-            if alone && !items.is_empty() {
+            if isolated && !items.is_empty() {
                 return items;
             }
         }
--- a/crates/barleyspool_core/src/forward/piece_plan_update.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -1,6 +1,6 @@
 //! What a pool takes from a newer plan: its targets, and what is lost with those that run again.
 
-use super::piece_queue::{Order, Piece};
+use super::piece_queue::{Piece, QueuedOrder};
 use super::{
     ColdSpec, OrderOutcome, PieceQueue, PoolSpec, PoolTarget, TargetEntry, TargetTable, handle_address,
 };
@@ -19,13 +19,13 @@
         mine: impl Fn(&TargetEntry) -> bool,
     ) {
         self.spec = spec.clone();
-        let same_run = |id: &String, target: &PoolTarget| {
+        let same_incarnation = |id: &String, target: &PoolTarget| {
             table.get(id).is_none_or(|entry| entry.run == target.entry.run)
         };
         let ended: Vec<(String, String)> = self
             .targets
             .iter()
-            .filter(|(id, target)| !same_run(id, target))
+            .filter(|(id, target)| !same_incarnation(id, target))
             .map(|(id, target)| (id.clone(), target.entry.address.clone()))
             .collect();
         for (id, address) in ended {
@@ -65,14 +65,14 @@
     /// A run of a target has ended, and its results with it.
     fn incarnation_ended(&mut self, id: &str, address: &str) {
         self.targets.remove(id);
-        self.kept.retain(|_, kept| kept.target != id);
+        self.results.retain(|_, result| result.target != id);
         for order in self.orders.values_mut() {
             for piece in &mut order.pieces {
                 let lost = matches!(piece, Piece::Computed(handle) if handle_address(handle) == address);
                 if lost {
                     *piece = Piece::Waiting;
                     order.waiting += 1;
-                    order.made -= 1;
+                    order.computed -= 1;
                 }
             }
         }
@@ -81,9 +81,9 @@
     /// Ends orders whose inputs are gone by what is known, rather than let a call find it out. `lost` says whether a result
     /// that was known at a time has gone since.
     pub fn fail_lost_inputs(&mut self, lost: impl Fn(&str, Time) -> bool) {
-        let is_lost = |order: &Order| {
+        let is_lost = |order: &QueuedOrder| {
             let inputs = &order.order.inputs;
-            order.waiting > 0 && inputs.iter().any(|input| lost(input, order.came))
+            order.waiting > 0 && inputs.iter().any(|input| lost(input, order.submitted_at))
         };
         self.end_orders(is_lost, &OrderOutcome::InputsGone);
     }
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -6,7 +6,7 @@
 //! correctness: a piece may be made anew.
 
 use super::piece_order::BatchItem;
-use super::result_store::Kept;
+use super::result_store::StoredResult;
 use super::{
     BatchCall, BatchKey, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceRequest,
     PoolSpec, PoolTarget, TargetIncarnation,
@@ -16,9 +16,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// A piece that failed this often is given up.
-const MOST_TRIES: u8 = 4;
+const MAX_ATTEMPTS: u8 = 4;
 /// An order is given up when this many targets have ended under its pieces, the second time without any other pieces beside them.
-const MOST_ENDS: u8 = 2;
+const MAX_CRASHES: u8 = 2;
 
 /// How far one piece of an order is.
 #[derive(Clone, Debug)]
@@ -29,36 +29,36 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Order {
+pub(super) struct QueuedOrder {
     pub(super) order: PieceOrder,
-    pub(super) came: Time,
+    pub(super) submitted_at: Time,
     pub(super) pieces: Vec<Piece>,
-    tries: Vec<u8>,
-    pub(super) made: u32,
+    attempts: Vec<u8>,
+    pub(super) computed: u32,
     pub(super) waiting: u32,
     /// Targets that ended under its pieces.
-    ends: u8,
+    crashes: u8,
 }
 
-impl Order {
+impl QueuedOrder {
     /// Whether its pieces go into calls without those of others: a target has ended under them, and if it was because of them, the
     /// next one would end under all beside them too, and each of those would be suspected.
-    pub(super) fn is_alone(&self) -> bool {
-        self.ends > 0
+    pub(super) fn is_isolated(&self) -> bool {
+        self.crashes > 0
     }
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Call {
+pub(super) struct InFlightCall {
     pub(super) target: String,
     /// The run of the target to which it was sent.
-    pub(super) run: TargetIncarnation,
+    pub(super) incarnation: TargetIncarnation,
     pub(super) items: Vec<BatchItem>,
     pub(super) started: Time,
     pub(super) expected: Span,
     reserved: u64,
     /// What its target was known to keep before it.
-    kept_before: u64,
+    stored_before: u64,
     pub(super) overdue: bool,
 }
 
@@ -66,13 +66,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PieceQueue {
     pub(super) spec: PoolSpec,
-    pub(super) orders: SlotMap<OrderKey, Order>,
-    pub(super) calls: SlotMap<BatchKey, Call>,
+    pub(super) orders: SlotMap<OrderKey, QueuedOrder>,
+    pub(super) calls: SlotMap<BatchKey, InFlightCall>,
     pub(super) targets: BTreeMap<String, PoolTarget>,
-    pub(super) kept: HashMap<String, Kept>,
+    pub(super) results: HashMap<String, StoredResult>,
     pub(super) ended: Vec<(OrderKey, OrderOutcome)>,
     /// When pieces were made lately.
-    pub(super) made: VecDeque<Time>,
+    pub(super) completions: VecDeque<Time>,
     pub(super) releasable: Vec<String>,
     /// Time of calls over what the specification says, over all targets.
     pub(super) slowdown: f64,
@@ -111,13 +111,13 @@
             return Err(wait.scale(0.5).min(Span::from_secs(2)));
         }
         let count = order.pieces as usize;
-        Ok(self.orders.insert(Order {
-            came: now,
+        Ok(self.orders.insert(QueuedOrder {
+            submitted_at: now,
             pieces: vec![Piece::Waiting; count],
-            tries: vec![0; count],
-            made: 0,
+            attempts: vec![0; count],
+            computed: 0,
             waiting: order.pieces,
-            ends: 0,
+            crashes: 0,
             order,
         }))
     }
@@ -136,7 +136,7 @@
     /// Another node owns the pool now: orders of which nothing was begun go there. Two owners make small calls
     /// to the same targets, which hold a fraction of what they hold with full ones.
     pub fn hand_over(&mut self) {
-        let untouched = |order: &Order| order.waiting as usize == order.pieces.len();
+        let untouched = |order: &QueuedOrder| order.waiting as usize == order.pieces.len();
         self.end_orders(untouched, &OrderOutcome::Moved);
     }
 
@@ -151,7 +151,7 @@
     /// The calls to make now.
     pub fn next_calls(&mut self, now: Time) -> Vec<BatchCall> {
         self.fail_late_orders(now);
-        self.expire_kept(now);
+        self.expire_results(now);
         let mut calls = Vec::new();
         while let Some(call) = self.next_call(now) {
             calls.push(call);
@@ -164,8 +164,8 @@
         let expected = self.call_time(items.len() as u32).scale(slowness);
         let bytes = |item: &BatchItem| self.orders.get(item.order).map_or(0, |order| order.order.bytes);
         let reserved = items.iter().map(bytes).sum();
-        let kept_before = self.targets.get(&target).map_or(0, |target| target.kept);
-        let (id, address, run) = match self.targets.get_mut(&target) {
+        let stored_before = self.targets.get(&target).map_or(0, |target| target.kept);
+        let (id, address, incarnation) = match self.targets.get_mut(&target) {
             Some(target) => {
                 target.sent(now);
                 target.kept += reserved;
@@ -178,14 +178,14 @@
             None => (String::new(), String::new(), TargetIncarnation::default()),
         };
         let pieces = items.iter().map(|item| self.piece_request(now, *item)).collect();
-        let call = self.calls.insert(Call {
+        let call = self.calls.insert(InFlightCall {
             target,
-            run,
+            incarnation,
             items,
             started: now,
             expected,
             reserved,
-            kept_before,
+            stored_before,
             overdue: false,
         });
         BatchCall {
@@ -223,29 +223,29 @@
             target.kept = target.kept.saturating_sub(call.reserved);
         }
         match outcome {
-            BatchOutcome::Done(outcomes) if self.answers(&call, &outcomes) => {
-                self.call_done(now, &call, outcomes);
+            BatchOutcome::Done(outcomes) if self.matches_call(&call, &outcomes) => {
+                self.handle_answer(now, &call, outcomes);
                 true
             }
             BatchOutcome::Refused { misdirected: false } => {
-                self.on_target(&call, |target| target.was_full(now));
+                self.update_target(&call, |target| target.was_full(now));
                 self.requeue(&call, false);
                 true
             }
             BatchOutcome::Refused { misdirected: true } | BatchOutcome::Unreachable => {
-                self.on_target(&call, |target| target.failed(now));
+                self.update_target(&call, |target| target.failed(now));
                 self.requeue(&call, false);
                 false
             }
             BatchOutcome::TargetCrashed => {
-                self.on_target(&call, |target| target.failed(now));
-                self.count_end(&call);
+                self.update_target(&call, |target| target.failed(now));
+                self.count_crash(&call);
                 self.requeue(&call, true);
                 false
             }
             // An answer that is none of this call says as little of its pieces as none at all.
             BatchOutcome::Done(_) | BatchOutcome::BrokenOff => {
-                self.on_target(&call, |target| target.failed(now));
+                self.update_target(&call, |target| target.failed(now));
                 self.requeue(&call, true);
                 false
             }
@@ -253,20 +253,20 @@
     }
 
     /// A target ended under a call. Which of its orders did it, if any, shows when each is made without the others.
-    fn count_end(&mut self, call: &Call) {
+    fn count_crash(&mut self, call: &InFlightCall) {
         let orders: HashSet<OrderKey> = call.items.iter().map(|item| item.order).collect();
         for key in orders {
             let Some(order) = self.orders.get_mut(key) else {
                 continue;
             };
-            order.ends += 1;
-            if order.ends >= MOST_ENDS {
+            order.crashes += 1;
+            if order.crashes >= MAX_CRASHES {
                 self.end_order(key, OrderOutcome::Failed);
             }
         }
     }
 
-    pub(super) fn on_target(&mut self, call: &Call, change: impl FnOnce(&mut PoolTarget)) {
+    pub(super) fn update_target(&mut self, call: &InFlightCall, change: impl FnOnce(&mut PoolTarget)) {
         if let Some(target) = self.target_of(call) {
             change(target);
         }
@@ -274,26 +274,26 @@
 
     /// The target of a call, when it still is in the run to which the call was sent: what an earlier run did says nothing of
     /// a later one.
-    fn target_of(&mut self, call: &Call) -> Option<&mut PoolTarget> {
+    fn target_of(&mut self, call: &InFlightCall) -> Option<&mut PoolTarget> {
         let target = self.targets.get_mut(&call.target);
-        target.filter(|target| target.entry.run == call.run)
+        target.filter(|target| target.entry.run == call.incarnation)
     }
 
     /// Whether an answer can belong to a call: one outcome for each piece, and no result that an earlier answer
     /// named. Nothing else ties the two together but their connection, on which a target may send an answer twice.
-    fn answers(&self, call: &Call, outcomes: &[PieceOutcome]) -> bool {
+    fn matches_call(&self, call: &InFlightCall, outcomes: &[PieceOutcome]) -> bool {
         let mut seen = HashSet::new();
         let is_new = |outcome: &PieceOutcome| match outcome {
-            PieceOutcome::Computed(handle) => !self.kept.contains_key(handle) && seen.insert(handle.clone()),
+            PieceOutcome::Computed(name) => !self.results.contains_key(name) && seen.insert(name.clone()),
             _ => true,
         };
         outcomes.len() == call.items.len() && outcomes.iter().all(is_new)
     }
 
-    fn call_done(&mut self, now: Time, call: &Call, outcomes: Vec<PieceOutcome>) {
+    fn handle_answer(&mut self, now: Time, call: &InFlightCall, outcomes: Vec<PieceOutcome>) {
         let base = self.call_time(call.items.len() as u32).0.max(1) as f64;
         let relative = now.since(call.started).0 as f64 / base;
-        self.on_target(call, |target| target.answered(now, relative));
+        self.update_target(call, |target| target.answered(now, relative));
         // The slowdown of the whole pool changes slowly and little, so that one slow target does not look normal.
         self.slowdown = (self.slowdown * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
         let mut made = 0;
@@ -305,21 +305,27 @@
                 PieceOutcome::NoCapacity => refused = Some(refused.map_or(bytes, |least| least.min(bytes))),
                 _ => {}
             }
-            self.piece_ended(now, call, item, outcome);
+            self.handle_piece_outcome(now, call, item, outcome);
         }
         if let Some(bytes) = refused {
-            let (room, known) = (self.spec.room, call.kept_before + made);
-            self.on_target(call, |target| target.had_no_room(now, room, known, bytes));
+            let (room, known) = (self.spec.room, call.stored_before + made);
+            self.update_target(call, |target| target.had_no_room(now, room, known, bytes));
         }
     }
 
-    fn piece_ended(&mut self, now: Time, call: &Call, item: &BatchItem, outcome: PieceOutcome) {
+    fn handle_piece_outcome(
+        &mut self,
+        now: Time,
+        call: &InFlightCall,
+        item: &BatchItem,
+        outcome: PieceOutcome,
+    ) {
         let known = self.orders.contains_key(item.order);
         match outcome {
             PieceOutcome::Computed(handle) => {
                 let bytes = self.orders.get(item.order).map_or(0, |order| order.order.bytes);
-                self.keep(now, &call.target, &handle, bytes);
-                if !known || !self.piece_made(now, item, &handle) {
+                self.store_result(now, &call.target, &handle, bytes);
+                if !known || !self.record_piece(now, item, &handle) {
                     self.releasable.push(handle);
                 }
             }
@@ -335,7 +341,7 @@
     }
 
     /// Notes a result; false when the piece had one already.
-    fn piece_made(&mut self, now: Time, item: &BatchItem, handle: &str) -> bool {
+    fn record_piece(&mut self, now: Time, item: &BatchItem, handle: &str) -> bool {
         let Some(order) = self.orders.get_mut(item.order) else {
             return false;
         };
@@ -348,9 +354,9 @@
             Piece::InCall => {}
         }
         *piece = Piece::Computed(handle.to_owned());
-        self.made.push_back(now);
-        order.made += 1;
-        if order.made as usize == order.pieces.len() {
+        self.completions.push_back(now);
+        order.computed += 1;
+        if order.computed as usize == order.pieces.len() {
             let handles = order.pieces.iter().map(|piece| match piece {
                 Piece::Computed(handle) => handle.clone(),
                 _ => String::new(),
@@ -370,25 +376,25 @@
     }
 
     /// Ends the orders that `ends` names.
-    pub(super) fn end_orders(&mut self, ends: impl Fn(&Order) -> bool, end: &OrderOutcome) {
-        let ended = self.orders.iter().filter(|(_, order)| ends(order));
+    pub(super) fn end_orders(&mut self, selects: impl Fn(&QueuedOrder) -> bool, end: &OrderOutcome) {
+        let ended = self.orders.iter().filter(|(_, order)| selects(order));
         let keys: Vec<OrderKey> = ended.map(|(key, _)| key).collect();
         for key in keys {
             self.end_order(key, end.clone());
         }
     }
 
-    fn requeue(&mut self, call: &Call, tried: bool) {
+    fn requeue(&mut self, call: &InFlightCall, failed: bool) {
         // An overdue call was put back when it became overdue.
         if call.overdue {
             return;
         }
         for item in &call.items {
-            self.requeue_item(item, tried);
+            self.requeue_item(item, failed);
         }
     }
 
-    pub(super) fn requeue_item(&mut self, item: &BatchItem, tried: bool) {
+    pub(super) fn requeue_item(&mut self, item: &BatchItem, failed: bool) {
         let Some(order) = self.orders.get_mut(item.order) else {
             return;
         };
@@ -398,8 +404,8 @@
         }
         order.pieces[place] = Piece::Waiting;
         order.waiting += 1;
-        order.tries[place] += u8::from(tried);
-        if order.tries[place] >= MOST_TRIES {
+        order.attempts[place] += u8::from(failed);
+        if order.attempts[place] >= MAX_ATTEMPTS {
             self.end_order(item.order, OrderOutcome::Failed);
         }
     }
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -1,13 +1,13 @@
 //! What time does to orders and calls: calls become overdue, orders too late.
 
-use super::piece_queue::Call;
+use super::piece_queue::InFlightCall;
 use super::{BatchKey, OrderKey, OrderOutcome, PieceQueue};
 use crate::{Span, Time};
 
 /// A call is overdue after this many times its expected time.
-const TIMEOUT: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// And never before this much beyond it.
-const MAX_WAIT_LEAST: Span = Span::from_millis(60);
+const MIN_OVERDUE_MARGIN: Span = Span::from_millis(60);
 
 impl PieceQueue {
     /// Puts back the pieces of calls that take far too long, and gives their places at the targets to others: the
@@ -25,7 +25,7 @@
             };
             let copy = call.clone();
             call.overdue = true;
-            self.on_target(&copy, |target| target.overdue(now));
+            self.update_target(&copy, |target| target.overdue(now));
             for item in &copy.items {
                 self.requeue_item(item, true);
             }
@@ -40,24 +40,24 @@
             .filter(|call| !call.overdue)
             .map(overdue_at)
             .min();
-        let waits = self.waiting() > 0;
-        let back = self
+        let has_waiting = self.waiting() > 0;
+        let retry = self
             .targets
             .values()
-            .filter(|_| waits)
+            .filter(|_| has_waiting)
             .map(|target| target.out_until.max(target.rest_until))
             .filter(|at| *at > now)
             .min();
-        let room = self
+        let rate = self
             .targets
             .values()
-            .filter(|target| waits && target.works(now))
+            .filter(|target| has_waiting && target.works(now))
             .map(|target| target.room_in(now))
             .filter(|wait| *wait > Span::ZERO)
             .min()
             .map(|wait| now + wait);
-        let look = waits.then(|| now + Span::from_millis(100));
-        [overdue, back, room, look].into_iter().flatten().min()
+        let poll = has_waiting.then(|| now + Span::from_millis(100));
+        [overdue, retry, rate, poll].into_iter().flatten().min()
     }
 
     pub(super) fn fail_late_orders(&mut self, now: Time) {
@@ -75,6 +75,10 @@
     }
 }
 
-fn overdue_at(call: &Call) -> Time {
-    call.started + call.expected.scale(TIMEOUT).max(call.expected + MAX_WAIT_LEAST)
+fn overdue_at(call: &InFlightCall) -> Time {
+    call.started
+        + call
+            .expected
+            .scale(OVERDUE_FACTOR)
+            .max(call.expected + MIN_OVERDUE_MARGIN)
 }
--- a/crates/barleyspool_core/src/forward/planned_stop.rs
+++ b/crates/barleyspool_core/src/forward/planned_stop.rs
@@ -7,10 +7,10 @@
 
 /// How long connections at rest may still bring a call after the last connection was taken. A caller that was connected sends
 /// its call at once, so this covers its way and a thread that is kept from running for a while.
-const LAST_CALLS: Span = Span::from_millis(200);
+const LATE_CALL_WINDOW: Span = Span::from_millis(200);
 /// How long before the end what is not done is answered with what became of it: time for a refusal to be written and read,
 /// also on a node that gets a tenth of a core.
-const LAST_ANSWERS: Span = Span::from_millis(300);
+const ABORT_LEAD: Span = Span::from_millis(300);
 
 /// What a node does with calls and connections.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,44 +33,44 @@
 /// A planned stop, stepped by time and by what is still open.
 #[derive(Copy, Clone, Debug)]
 pub struct PlannedStop {
-    began: Time,
-    accept: Span,
-    end: Span,
-    listener_closed: Option<Time>,
+    started_at: Time,
+    accept_for: Span,
+    max_duration: Span,
+    listener_closed_at: Option<Time>,
 }
 
 impl PlannedStop {
-    /// A stop was asked for: connections are taken for `accept`, and the process ends after `end` at the latest.
-    pub fn new(now: Time, accept: Span, end: Span) -> Self {
+    /// A stop was asked for: connections are taken for `accept_for`, and the process ends after `end` at the latest.
+    pub fn new(now: Time, accept_for: Span, max_duration: Span) -> Self {
         Self {
-            began: now,
-            accept,
-            end,
-            listener_closed: None,
+            started_at: now,
+            accept_for,
+            max_duration,
+            listener_closed_at: None,
         }
     }
 
     /// Every connection that had been made was taken, and no new one can be made.
     pub fn listener_closed(&mut self, now: Time) {
-        self.listener_closed.get_or_insert(now);
+        self.listener_closed_at.get_or_insert(now);
     }
 
     /// When the last answers are given: no call that is taken during the stop may last longer.
     pub fn abort_at(&self) -> Time {
-        self.began + Span(self.end.0.saturating_sub(LAST_ANSWERS.0))
+        self.started_at + Span(self.max_duration.0.saturating_sub(ABORT_LEAD.0))
     }
 
     /// The phase at `now`, while `open` connections of callers are open.
     pub fn phase(&self, now: Time, open: usize) -> StopPhase {
-        if now >= self.began + self.end {
+        if now >= self.started_at + self.max_duration {
             return StopPhase::Finished;
         }
-        match self.listener_closed {
+        match self.listener_closed_at {
             // Connections that nobody has taken yet are not among the open ones.
-            Some(closed) if now >= closed + LAST_CALLS && open == 0 => StopPhase::Finished,
+            Some(closed) if now >= closed + LATE_CALL_WINDOW && open == 0 => StopPhase::Finished,
             _ if now >= self.abort_at() => StopPhase::Aborting,
-            Some(closed) if now >= closed + LAST_CALLS => StopPhase::Draining,
-            _ if now >= self.began + self.accept => StopPhase::Closing,
+            Some(closed) if now >= closed + LATE_CALL_WINDOW => StopPhase::Draining,
+            _ if now >= self.started_at + self.accept_for => StopPhase::Closing,
             _ => StopPhase::Leaving,
         }
     }
--- a/crates/barleyspool_core/src/forward/pool_shards.rs
+++ b/crates/barleyspool_core/src/forward/pool_shards.rs
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 
 /// A pool with more targets than this is split; so are the targets of one zone.
-const MOST_TARGETS: usize = 16;
+const MAX_SHARD_TARGETS: usize = 16;
 /// Mixed into the key of a request for the choice whether it stays in its zone.
-const STAY_KEY: u128 = 0x57a4;
+const STAY_SALT: u128 = 0x57a4;
 /// Mixed into it for the choice of another zone.
-const AWAY_KEY: u128 = 0xa3a4;
+const AWAY_SALT: u128 = 0xa3a4;
 
 /// A part of a pool's targets, with an owner of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,29 +36,29 @@
 impl PoolShards {
     /// The shards of the pool of that name, as listed.
     pub(super) fn new(table: &TargetTable, service: &str) -> Self {
-        let mine = || table.values().filter(|entry| entry.service == service);
+        let entries = || table.values().filter(|entry| entry.service == service);
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        for entry in mine() {
+        for entry in entries() {
             *zones.entry(entry.zone.clone()).or_default() += 1;
         }
         let listed: u32 = zones.values().sum();
-        let whole = listed as usize <= MOST_TARGETS;
+        let unsplit = listed as usize <= MAX_SHARD_TARGETS;
         for count in zones.values_mut() {
-            *count = count.div_ceil(MOST_TARGETS as u32);
+            *count = count.div_ceil(MAX_SHARD_TARGETS as u32);
         }
         let mut shards = Self {
             shards: Vec::new(),
-            zones: if whole { BTreeMap::new() } else { zones },
+            zones: if unsplit { BTreeMap::new() } else { zones },
             working: 0,
         };
-        shards.make();
-        for entry in mine().filter(|entry| entry.takes_work()) {
-            shards.count(entry);
+        shards.create_shards();
+        for entry in entries().filter(|entry| entry.takes_work()) {
+            shards.count_target(entry);
         }
         shards
     }
 
-    fn make(&mut self) {
+    fn create_shards(&mut self) {
         let shard = |id: u32, zone: &str| PoolShard {
             id,
             zone: zone.to_owned(),
@@ -73,7 +73,7 @@
         }
     }
 
-    fn count(&mut self, entry: &TargetEntry) {
+    fn count_target(&mut self, entry: &TargetEntry) {
         let id = self.shard_of(entry);
         self.working += 1;
         let shard = self.shards.iter_mut().find(|shard| shard.id == id);
@@ -104,7 +104,7 @@
     }
 
     /// The part of its working targets that lies in a zone.
-    fn share(&self, zone: &str) -> f64 {
+    fn target_share(&self, zone: &str) -> f64 {
         let of_zone = self.shards.iter().filter(|shard| shard.zone == zone);
         let working: u32 = of_zone.map(|shard| shard.working).sum();
         f64::from(working) / f64::from(self.working.max(1))
@@ -112,18 +112,18 @@
 
     /// The shard that makes the pieces of a request with that key whose inputs, or whose next step, lie in zone `near`.
     ///
-    /// `come` is the part of all requests that come from that zone. What goes beyond the zone's part of the targets is
+    /// `arrival_share` is the part of all requests that arrival_share from that zone. What goes beyond the zone's part of the targets is
     /// given to the others by theirs: with the same number of calls each, a shard of 7 targets of 42 had 1,170 pieces waiting
     /// while the others were idle for a quarter of the time.
-    pub fn pick(&self, key: u128, near: &str, come: f64) -> u32 {
-        let here = self.share(near);
-        let stays = here > 0.0 && rendezvous::even(key ^ STAY_KEY, 0) * come <= here;
+    pub fn pick(&self, key: u128, near: &str, arrival_share: f64) -> u32 {
+        let local_share = self.target_share(near);
+        let stays = local_share > 0.0 && rendezvous::even(key ^ STAY_SALT, 0) * arrival_share <= local_share;
         let elsewhere = self
             .shards
             .iter()
             .any(|shard| shard.zone != near && shard.working > 0);
         // Another key, or whoever leaves the zone that the key picked would be sent back there.
-        let key = if stays { key } else { key ^ AWAY_KEY };
+        let key = if stays { key } else { key ^ AWAY_SALT };
         let wanted = |shard: &&PoolShard| (shard.zone == near) == (stays || !elsewhere);
         let candidates = self.shards.iter().filter(wanted);
         let weights = candidates.map(|shard| (u64::from(shard.id), f64::from(shard.working)));
--- a/crates/barleyspool_core/src/forward/prefix_tracker.rs
+++ b/crates/barleyspool_core/src/forward/prefix_tracker.rs
@@ -4,13 +4,13 @@
 use std::collections::HashMap;
 
 /// A prefix that was not used for this long is no longer reckoned with.
-const FORGET: Span = Span::from_secs(30);
+const PREFIX_TTL: Span = Span::from_secs(30);
 /// Entries above which old ones are dropped.
-const MOST: usize = 4096;
+const MAX_PREFIXES: usize = 4096;
 
 #[derive(Copy, Clone, Debug)]
-struct Held {
-    used: Time,
+struct SentPrefix {
+    last_used: Time,
     tokens: u32,
 }
 
@@ -18,29 +18,39 @@
 /// dropped them, or hold others that other nodes sent.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixTracker {
-    held: HashMap<u64, Held>,
+    sent: HashMap<u64, SentPrefix>,
 }
 
 impl PrefixTracker {
     /// Notes that the engine reads `prefix` now.
-    pub fn used(&mut self, now: Time, prefix: u64, tokens: u32) {
-        if self.held.len() >= MOST {
-            self.held.retain(|_, held| now.since(held.used) < FORGET);
+    pub fn record(&mut self, now: Time, prefix: u64, tokens: u32) {
+        if self.sent.len() >= MAX_PREFIXES {
+            self.sent
+                .retain(|_, prefix| now.since(prefix.last_used) < PREFIX_TTL);
         }
-        self.held.insert(prefix, Held { used: now, tokens });
+        self.sent.insert(
+            prefix,
+            SentPrefix {
+                last_used: now,
+                tokens,
+            },
+        );
     }
 
     /// Whether the engine most likely holds `prefix`: it was sent there, and since then not so much else
     /// that `memory` tokens were filled up.
-    pub fn holds(&self, now: Time, prefix: u64, memory: u64) -> bool {
-        let Some(mine) = self.held.get(&prefix) else {
+    pub fn holds(&self, now: Time, prefix: u64, memory_tokens: u64) -> bool {
+        let Some(known) = self.sent.get(&prefix) else {
             return false;
         };
-        if now.since(mine.used) > FORGET {
+        if now.since(known.last_used) > PREFIX_TTL {
             return false;
         }
-        let newer = self.held.values().filter(|held| held.used > mine.used);
-        let newer_tokens: u64 = newer.map(|held| u64::from(held.tokens)).sum();
-        newer_tokens < memory / 2
+        let newer = self
+            .sent
+            .values()
+            .filter(|prefix| prefix.last_used > known.last_used);
+        let newer_tokens: u64 = newer.map(|prefix| u64::from(prefix.tokens)).sum();
+        newer_tokens < memory_tokens / 2
     }
 }
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -1,32 +1,32 @@
 //! The results that a pool's targets keep, until somebody gives them up.
 
 use super::PieceQueue;
-use super::wait_estimate::RATE_SPAN;
+use super::wait_estimate::RATE_WINDOW;
 use crate::Time;
 use std::collections::BTreeMap;
 
 /// A result that was made here. It is remembered until its maker drops it by itself, also when it has been freed: an
 /// answer that names it again is the repetition of an old one.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
+pub(super) struct StoredResult {
     pub(super) target: String,
     /// The room that it takes at its maker; none once it has been freed.
     pub(super) bytes: u64,
-    pub(super) until: Time,
+    pub(super) expires_at: Time,
 }
 
 impl PieceQueue {
-    pub(super) fn keep(&mut self, now: Time, target: &str, handle: &str, bytes: u64) {
-        let until = now + self.spec.hold;
+    pub(super) fn store_result(&mut self, now: Time, target: &str, handle: &str, bytes: u64) {
+        let expires_at = now + self.spec.hold;
         if let Some(target) = self.targets.get_mut(target) {
             target.kept += bytes;
         }
-        let kept = Kept {
+        let result = StoredResult {
             target: target.to_owned(),
             bytes,
-            until,
+            expires_at,
         };
-        self.kept.insert(handle.to_owned(), kept);
+        self.results.insert(handle.to_owned(), result);
     }
 
     /// Results that nobody needs any more.
@@ -37,28 +37,28 @@
     /// The results to be freed: address and id of their maker, and their handles. A maker that limits what it takes is told only when it has
     /// room for it and no piece waits; else its results go by themselves after their time.
     pub fn take_releasable(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
-        let waits = self.waiting() > 0;
-        let mut by_maker: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
+        let has_waiting = self.waiting() > 0;
+        let mut by_holder: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
         for handle in std::mem::take(&mut self.releasable) {
-            let maker = match self.kept.get(&handle) {
-                Some(kept) => Some(kept.target.clone()),
+            let holder = match self.results.get(&handle) {
+                Some(result) => Some(result.target.clone()),
                 // Made for another owner of the pool; the handle tells by whom.
-                None => self.maker_of(&handle),
+                None => self.holder_of(&handle),
             };
-            let Some(id) = maker else { continue };
-            if let Some((_, handles)) = by_maker.get_mut(&id) {
+            let Some(id) = holder else { continue };
+            if let Some((_, handles)) = by_holder.get_mut(&id) {
                 handles.push(handle);
                 continue;
             }
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            if target.takes_frees(now) && !(waits && target.limit.is_some()) {
+            if target.takes_frees(now) && !(has_waiting && target.limit.is_some()) {
                 target.count_free(now);
-                by_maker.insert(id, (target.entry.address.clone(), vec![handle]));
+                by_holder.insert(id, (target.entry.address.clone(), vec![handle]));
             }
         }
-        by_maker
+        by_holder
             .into_iter()
             .map(|(target, (address, handles))| (address, target, handles))
             .collect()
@@ -67,23 +67,23 @@
     /// Their maker has freed them: only now is there room.
     pub fn mark_freed(&mut self, handles: &[String]) {
         for handle in handles {
-            let Some(kept) = self.kept.get_mut(handle) else {
+            let Some(result) = self.results.get_mut(handle) else {
                 continue;
             };
-            let bytes = std::mem::take(&mut kept.bytes);
-            if let Some(target) = self.targets.get_mut(&kept.target) {
+            let bytes = std::mem::take(&mut result.bytes);
+            if let Some(target) = self.targets.get_mut(&result.target) {
                 target.kept = target.kept.saturating_sub(bytes);
             }
         }
     }
 
-    fn maker_of(&self, handle: &str) -> Option<String> {
+    fn holder_of(&self, handle: &str) -> Option<String> {
         let address = handle_address(handle);
-        let maker = self
+        let holder = self
             .targets
             .iter()
             .find(|(_, target)| target.entry.address == address);
-        maker.map(|(id, _)| id.clone())
+        holder.map(|(id, _)| id.clone())
     }
 
     /// Whether results wait to be freed.
@@ -91,15 +91,19 @@
         !self.releasable.is_empty()
     }
 
-    pub(super) fn expire_kept(&mut self, now: Time) {
-        while self.made.front().is_some_and(|at| now.since(*at) > RATE_SPAN) {
-            self.made.pop_front();
+    pub(super) fn expire_results(&mut self, now: Time) {
+        while self
+            .completions
+            .front()
+            .is_some_and(|at| now.since(*at) > RATE_WINDOW)
+        {
+            self.completions.pop_front();
         }
         let targets = &mut self.targets;
-        self.kept.retain(|_, kept| {
-            let expired = now > kept.until;
-            if expired && let Some(target) = targets.get_mut(&kept.target) {
-                target.kept = target.kept.saturating_sub(kept.bytes);
+        self.results.retain(|_, result| {
+            let expired = now > result.expires_at;
+            if expired && let Some(target) = targets.get_mut(&result.target) {
+                target.kept = target.kept.saturating_sub(result.bytes);
             }
             !expired
         });
--- a/crates/barleyspool_core/src/forward/stage_progress.rs
+++ b/crates/barleyspool_core/src/forward/stage_progress.rs
@@ -3,7 +3,7 @@
 use super::StageSpec;
 
 /// How often the results of a call may be lost and made anew.
-const MOST_REDONE: u32 = 2;
+const MAX_RECOMPUTATIONS: u32 = 2;
 
 /// A stage that starts now.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,9 +28,9 @@
 pub struct StageProgress {
     specs: Vec<StageSpec>,
     pieces: Vec<u32>,
-    progress: Vec<StageState>,
-    freed: Vec<bool>,
-    redone: u32,
+    states: Vec<StageState>,
+    released: Vec<bool>,
+    recomputations: u32,
 }
 
 impl StageProgress {
@@ -39,7 +39,7 @@
         let pieces: Vec<u32> = (0..specs.len())
             .map(|stage| pieces.get(stage).copied().unwrap_or(1))
             .collect();
-        let progress = pieces
+        let states = pieces
             .iter()
             .map(|count| match count {
                 0 => StageState::Done(Vec::new()),
@@ -47,25 +47,25 @@
             })
             .collect();
         Self {
-            freed: vec![false; specs.len()],
+            released: vec![false; specs.len()],
             specs: specs.to_vec(),
             pieces,
-            progress,
-            redone: 0,
+            states,
+            recomputations: 0,
         }
     }
 
     /// Takes the stages that are to start now; each is named once.
     pub fn start_ready(&mut self) -> Vec<ReadyStage> {
         let ready: Vec<usize> = (0..self.specs.len())
-            .filter(|&stage| self.progress[stage] == StageState::Waiting && self.inputs(stage).is_some())
-            .filter(|&stage| self.is_due(stage))
+            .filter(|&stage| self.states[stage] == StageState::Waiting && self.inputs(stage).is_some())
+            .filter(|&stage| self.may_start(stage))
             .collect();
         ready
             .into_iter()
             .map(|stage| {
                 let inputs = self.inputs(stage).unwrap_or_default();
-                self.progress[stage] = StageState::Running;
+                self.states[stage] = StageState::Running;
                 ReadyStage {
                     stage,
                     pieces: self.pieces[stage],
@@ -78,9 +78,9 @@
     /// Whether it is time for a stage whose inputs are there. One that is followed by fewer stages than another that is
     /// still open would be done too early: its results would take room at their makers for as long as the longer
     /// chain takes, and for nothing when that fails. The longest open chain is never held, so this cannot stall.
-    fn is_due(&self, stage: usize) -> bool {
+    fn may_start(&self, stage: usize) -> bool {
         let own = self.depth_after(stage);
-        let open = |other: &usize| !matches!(self.progress[*other], StageState::Done(_));
+        let open = |other: &usize| !matches!(self.states[*other], StageState::Done(_));
         let mut open = (0..self.specs.len()).filter(open);
         open.all(|other| self.depth_after(other) <= own)
     }
@@ -88,7 +88,7 @@
     fn inputs(&self, stage: usize) -> Option<Vec<String>> {
         let mut inputs = Vec::new();
         for &needed in &self.specs[stage].needs {
-            match &self.progress[needed] {
+            match &self.states[needed] {
                 StageState::Done(handles) => inputs.extend(handles.iter().cloned()),
                 _ => return None,
             }
@@ -98,40 +98,40 @@
 
     /// A stage is complete; returns the results that nobody needs any more.
     pub fn complete(&mut self, stage: usize, handles: Vec<String>) -> Vec<String> {
-        self.progress[stage] = StageState::Done(handles);
+        self.states[stage] = StageState::Done(handles);
         let mut releasable = Vec::new();
         for needed in self.specs[stage].needs.clone() {
-            if !self.freed[needed] && self.is_used_up(needed) {
-                self.freed[needed] = true;
+            if !self.released[needed] && self.is_consumed(needed) {
+                self.released[needed] = true;
                 releasable.extend(self.handles(needed));
             }
         }
         releasable
     }
 
-    fn is_used_up(&self, stage: usize) -> bool {
+    fn is_consumed(&self, stage: usize) -> bool {
         let mut dependents = (0..self.specs.len()).filter(|&other| self.specs[other].needs.contains(&stage));
-        !self.is_last(stage) && dependents.all(|other| matches!(self.progress[other], StageState::Done(_)))
+        !self.is_final(stage) && dependents.all(|other| matches!(self.states[other], StageState::Done(_)))
     }
 
     /// Inputs of `stage` are gone: everything it rests on is made anew. False when that has happened too
     /// often. With no stage, the call itself found its inputs gone.
     pub fn recompute(&mut self, stage: Option<usize>) -> bool {
-        if self.redone >= MOST_REDONE {
+        if self.recomputations >= MAX_RECOMPUTATIONS {
             return false;
         }
-        self.redone += 1;
-        let mut again: Vec<usize> = match stage {
+        self.recomputations += 1;
+        let mut pending: Vec<usize> = match stage {
             Some(stage) => vec![stage],
             None => (0..self.specs.len())
-                .filter(|&stage| self.is_last(stage))
+                .filter(|&stage| self.is_final(stage))
                 .collect(),
         };
-        while let Some(stage) = again.pop() {
-            again.extend(&self.specs[stage].needs);
+        while let Some(stage) = pending.pop() {
+            pending.extend(&self.specs[stage].needs);
             if self.pieces[stage] > 0 {
-                self.progress[stage] = StageState::Waiting;
-                self.freed[stage] = false;
+                self.states[stage] = StageState::Waiting;
+                self.released[stage] = false;
             }
         }
         true
@@ -139,15 +139,15 @@
 
     /// Whether every stage is complete.
     pub fn is_complete(&self) -> bool {
-        self.progress
+        self.states
             .iter()
-            .all(|progress| matches!(progress, StageState::Done(_)))
+            .all(|state| matches!(state, StageState::Done(_)))
     }
 
     /// The results that the call itself needs: those of the stages that no other stage comes after.
     pub fn outputs(&self) -> Vec<String> {
         (0..self.specs.len())
-            .filter(|&stage| self.is_last(stage))
+            .filter(|&stage| self.is_final(stage))
             .flat_map(|stage| self.handles(stage))
             .collect()
     }
@@ -155,7 +155,7 @@
     /// Every result that has not been given up yet.
     pub fn unreleased(&self) -> Vec<String> {
         (0..self.specs.len())
-            .filter(|&stage| !self.freed[stage])
+            .filter(|&stage| !self.released[stage])
             .flat_map(|stage| self.handles(stage))
             .collect()
     }
@@ -170,12 +170,12 @@
             .unwrap_or(0)
     }
 
-    fn is_last(&self, stage: usize) -> bool {
+    fn is_final(&self, stage: usize) -> bool {
         !self.specs.iter().any(|spec| spec.needs.contains(&stage))
     }
 
     fn handles(&self, stage: usize) -> Vec<String> {
-        match &self.progress[stage] {
+        match &self.states[stage] {
             StageState::Done(handles) => handles.clone(),
             _ => Vec::new(),
         }
