--- a/crates/barleyspool_core/src/router/admission.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Arrivals: what is checked before a request is taken, in the order in which it is cheapest to refuse.
+//! Arrivals: what is resolved before a request is taken, in the order in which it is cheapest to refuse.
 
 use super::Router;
 use crate::{
@@ -11,50 +11,50 @@
 use std::sync::Arc;
 
 /// The longest key and organisation name, in bytes.
-const MAX_KEY: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// When to come back to a node that has no configuration or is behind.
-const CATCH_UP_WAIT: Span = Span::from_millis(200);
+const CATCH_UP_RETRY_AFTER: Span = Span::from_millis(200);
 /// When to come back after a lease was not confirmed.
-const CONFIRM_WAIT: Span = Span::from_millis(500);
+const UNCONFIRMED_RETRY_AFTER: Span = Span::from_millis(500);
 /// When to come back to another node that has been named.
-const AT_ONCE: Span = Span::from_millis(1);
+const REDIRECT_RETRY_AFTER: Span = Span::from_millis(1);
 /// The least time after which coming back to a full node makes sense.
-const LEAST_COME_BACK: Span = Span::from_millis(50);
+const MIN_RETRY_AFTER: Span = Span::from_millis(50);
 
 /// A call whose names have been looked up.
-struct Checked {
+struct ResolvedCall {
     config: Arc<Config>,
     org: OrgIx,
     pipeline: PipelineIx,
     key: RequestKey,
     /// Whether any of it may run at most once.
-    keyed: bool,
+    at_most_once: bool,
 }
 
-/// Why a call is turned away.
-struct Turned {
+/// Why a call is rejection away.
+struct Rejection {
     reason: Reason,
-    come_back: Span,
+    retry_after: Span,
     home: Option<NodeId>,
     /// Whether this node is the settled home of the key and has no memory of it: then nothing of the
     /// request can have run, whatever became of earlier sends.
-    certain: bool,
+    surely_not_run: bool,
     /// Whether the time to come back is spread, so that refused callers do not all come back at once.
-    spread: bool,
+    jitter: bool,
 }
 
-impl Turned {
+impl Rejection {
     fn new(reason: Reason) -> Self {
-        Self::after(reason, Span::ZERO)
+        Self::retry_after(reason, Span::ZERO)
     }
 
-    fn after(reason: Reason, come_back: Span) -> Self {
+    fn retry_after(reason: Reason, retry_after: Span) -> Self {
         Self {
             reason,
-            come_back,
+            retry_after,
             home: None,
-            certain: false,
-            spread: false,
+            surely_not_run: false,
+            jitter: false,
         }
     }
 }
@@ -69,80 +69,80 @@
 }
 
 impl Router {
-    pub(super) fn arrive(&mut self, now: Time, caller: CallerId, call: &Call) {
+    pub(super) fn handle_call(&mut self, now: Time, caller: CallerId, call: &Call) {
         self.count(Counter::Arrived);
         let key = RequestKey::new(&call.organisation, &call.key);
         // Memory goes before everything else: a repeat is owed the answer of the one run whatever has
         // changed since, be it the configuration, the home or a planned stop.
-        if self.repeat(caller, call, key) {
+        if self.answer_duplicate(caller, call, key) {
             return;
         }
-        let admitted = self.check(now, call, key).and_then(|checked| {
-            self.admit(now, call, &checked)?;
-            Ok(checked)
+        let admitted = self.resolve_call(now, call, key).and_then(|resolved| {
+            self.admit(now, call, &resolved)?;
+            Ok(resolved)
         });
         match admitted {
-            Ok(checked) => self.begin(now, caller, call, &checked),
-            Err(turned) => self.turn_away(caller, call, &turned),
+            Ok(resolved) => self.start_request(now, caller, call, &resolved),
+            Err(rejection) => self.reject(caller, call, &rejection),
         }
     }
 
     /// Looks names up and refuses what can never be right.
-    fn check(&mut self, now: Time, call: &Call, key: RequestKey) -> Result<Checked, Turned> {
+    fn resolve_call(&mut self, now: Time, call: &Call, key: RequestKey) -> Result<ResolvedCall, Rejection> {
         let plan = Arc::clone(&self.plan);
-        if !named_well(&call.key) || !named_well(&call.organisation) {
-            return Err(Turned::new(Reason::BadKey));
+        if !is_valid_name(&call.key) || !is_valid_name(&call.organisation) {
+            return Err(Rejection::new(Reason::BadKey));
         }
         if call.payload.len() > self.settings.max_payload {
-            return Err(Turned::new(Reason::PayloadTooLarge));
+            return Err(Rejection::new(Reason::PayloadTooLarge));
         }
         let Some(config) = plan.config.clone() else {
-            return Err(Turned::after(Reason::NoConfiguration, CATCH_UP_WAIT));
+            return Err(Rejection::retry_after(Reason::NoConfiguration, CATCH_UP_RETRY_AFTER));
         };
         if self.plan_stale(now) {
-            return Err(Turned::after(Reason::PlanStale, CATCH_UP_WAIT));
+            return Err(Rejection::retry_after(Reason::PlanStale, CATCH_UP_RETRY_AFTER));
         }
         if plan.serving == Serving::CatchingUp {
-            return Err(Turned::after(Reason::NoConfiguration, CATCH_UP_WAIT));
+            return Err(Rejection::retry_after(Reason::NoConfiguration, CATCH_UP_RETRY_AFTER));
         }
         if call.seen > config.revision && self.enforces(Guard::SeenRevision) {
             self.actions.push(TrafficAction::NotifyBehind);
-            return Err(Turned::after(Reason::ConfigurationBehind, CATCH_UP_WAIT));
+            return Err(Rejection::retry_after(Reason::ConfigurationBehind, CATCH_UP_RETRY_AFTER));
         }
         let org = config
             .organisation(&call.organisation)
-            .ok_or(Turned::new(Reason::UnknownOrganisation))?;
+            .ok_or(Rejection::new(Reason::UnknownOrganisation))?;
         let pipeline = config
             .pipeline(&call.pipeline)
-            .ok_or(Turned::new(Reason::UnknownPipeline))?;
+            .ok_or(Rejection::new(Reason::UnknownPipeline))?;
         if !config.attached(org, pipeline) {
-            return Err(Turned::new(Reason::PipelineNotAttached));
+            return Err(Rejection::new(Reason::PipelineNotAttached));
         }
         let stages = &config.pipelines[usize::from(pipeline.0)].stages;
-        let keyed = call.unrepeatable || stages.iter().any(|stage| stage.unrepeatable);
-        Ok(Checked {
+        let at_most_once = call.unrepeatable || stages.iter().any(|stage| stage.unrepeatable);
+        Ok(ResolvedCall {
             config,
             org,
             pipeline,
             key,
-            keyed,
+            at_most_once,
         })
     }
 
     /// Answers a repeat of a remembered key; false when the key is not remembered.
-    fn repeat(&mut self, caller: CallerId, call: &Call, key: RequestKey) -> bool {
-        let Some(remembered) = self.memory.get(key).filter(|_| self.enforces(Guard::KeyMemory)) else {
+    fn answer_duplicate(&mut self, caller: CallerId, call: &Call, key: RequestKey) -> bool {
+        let Some(remembered) = self.key_memory.get(key).filter(|_| self.enforces(Guard::KeyMemory)) else {
             return false;
         };
         if remembered.deadline != call.deadline || remembered.content_hash != content_hash(call) {
-            self.turn_away(caller, call, &Turned::new(Reason::KeyReused));
+            self.reject(caller, call, &Rejection::new(Reason::KeyReused));
             return true;
         }
         match remembered.state.clone() {
             KeyState::Running(request) => {
                 self.count(Counter::Joined);
-                self.listen(request, caller);
-                self.forward(request);
+                self.add_listener(request, caller);
+                self.forward_answer(request);
             }
             KeyState::Ended { answer, outcome } => {
                 self.count(Counter::Remembered);
@@ -164,83 +164,83 @@
     }
 
     /// Decides whether a call that is well formed and new is taken.
-    fn admit(&self, now: Time, call: &Call, checked: &Checked) -> Result<(), Turned> {
-        let pipeline = &checked.config.pipelines[usize::from(checked.pipeline.0)];
+    fn admit(&self, now: Time, call: &Call, resolved: &ResolvedCall) -> Result<(), Rejection> {
+        let pipeline = &resolved.config.pipelines[usize::from(resolved.pipeline.0)];
         if call.deadline <= now {
-            return Err(Turned::new(Reason::DeadlinePast));
+            return Err(Rejection::new(Reason::DeadlinePast));
         }
         if call.deadline.since(now) > pipeline.longest {
-            return Err(Turned::new(Reason::DeadlineBeyondHorizon));
+            return Err(Rejection::new(Reason::DeadlineBeyondHorizon));
         }
-        if checked.keyed {
-            self.admit_keyed(now, call, checked.key)?;
+        if resolved.at_most_once {
+            self.admit_at_most_once(now, call, resolved.key)?;
         }
         let admitted = if self.stopping() {
-            Err(Turned::after(Reason::Leaving, AT_ONCE))
+            Err(Rejection::retry_after(Reason::Leaving, REDIRECT_RETRY_AFTER))
         } else {
-            self.admit_load(now, call.deadline, checked)
+            self.admit_load(now, call.deadline, resolved)
         };
-        admitted.map_err(|turned| Turned {
-            certain: checked.keyed,
-            ..turned
+        admitted.map_err(|rejection| Rejection {
+            surely_not_run: resolved.at_most_once,
+            ..rejection
         })
     }
 
-    fn admit_keyed(&self, now: Time, call: &Call, key: RequestKey) -> Result<(), Turned> {
+    fn admit_at_most_once(&self, now: Time, call: &Call, key: RequestKey) -> Result<(), Rejection> {
         if call.deadline.since(now) > self.plan.rules.horizon {
-            return Err(Turned::new(Reason::DeadlineBeyondHorizon));
+            return Err(Rejection::new(Reason::DeadlineBeyondHorizon));
         }
         // Another cell, or another region, may own the key.
         let home = self.plan.fleet.home(&self.plan.region, key);
         if home != Some(self.plan.me) {
-            return Err(self.not_home(home));
+            return Err(self.not_home_rejection(home));
         }
         match self.plan.lease.check(now, key) {
-            Ok(()) if self.memory.full() => Err(Turned::after(Reason::MemoryFull, CONFIRM_WAIT)),
+            Ok(()) if self.key_memory.full() => Err(Rejection::retry_after(Reason::MemoryFull, UNCONFIRMED_RETRY_AFTER)),
             Ok(()) => Ok(()),
-            Err(LeaseRefusal::NotHome(home)) => Err(self.not_home(home)),
-            Err(LeaseRefusal::TakeoverWait(wait)) => Err(Turned::after(Reason::TakeoverWait, wait)),
-            Err(LeaseRefusal::Unconfirmed) => Err(Turned::after(Reason::Unconfirmed, CONFIRM_WAIT)),
+            Err(LeaseRefusal::NotHome(home)) => Err(self.not_home_rejection(home)),
+            Err(LeaseRefusal::TakeoverWait(wait)) => Err(Rejection::retry_after(Reason::TakeoverWait, wait)),
+            Err(LeaseRefusal::Unconfirmed) => Err(Rejection::retry_after(Reason::Unconfirmed, UNCONFIRMED_RETRY_AFTER)),
         }
     }
 
     /// Sends the caller to the home of its key; if that is on its way out, tells when there will be a new one.
-    fn not_home(&self, home: Option<NodeId>) -> Turned {
+    fn not_home_rejection(&self, home: Option<NodeId>) -> Rejection {
         let leaving = |peer: &&PlanPeer| Some(peer.id) == home && peer.state == ListState::Leaving;
         if self.plan.peers.iter().any(|peer| leaving(&peer)) {
-            return Turned::after(Reason::Leaving, self.plan.rules.takeover_wait());
+            return Rejection::retry_after(Reason::Leaving, self.plan.rules.takeover_wait());
         }
-        Turned {
+        Rejection {
             home,
-            ..Turned::after(Reason::NotHome, AT_ONCE)
+            ..Rejection::retry_after(Reason::NotHome, REDIRECT_RETRY_AFTER)
         }
     }
 
-    fn admit_load(&self, now: Time, deadline: Time, checked: &Checked) -> Result<(), Turned> {
-        let pipeline = &checked.config.pipelines[usize::from(checked.pipeline.0)];
-        let org = &checked.config.organisations[checked.org.0 as usize];
+    fn admit_load(&self, now: Time, deadline: Time, resolved: &ResolvedCall) -> Result<(), Rejection> {
+        let pipeline = &resolved.config.pipelines[usize::from(resolved.pipeline.0)];
+        let org = &resolved.config.organisations[resolved.org.0 as usize];
         let rank = pipeline.class.0;
         for stage in &pipeline.stages {
-            if self.places(stage.service) == 0 {
-                let rest = self.all_rest(now, stage.service);
-                return Err(if rest > Span::ZERO {
-                    Turned::after(Reason::TargetsRest, rest)
+            if self.capacity(stage.service) == 0 {
+                let cooldown = self.service_cooldown(now, stage.service);
+                return Err(if cooldown > Span::ZERO {
+                    Rejection::retry_after(Reason::TargetsRest, cooldown)
                 } else {
-                    Turned::after(Reason::NoTarget, CONFIRM_WAIT)
+                    Rejection::retry_after(Reason::NoTarget, UNCONFIRMED_RETRY_AFTER)
                 });
             }
         }
         if !self.settings.policy.admission {
             return Ok(());
         }
-        let class = &checked.config.classes[usize::from(rank)];
-        let expected = self.expect(now, rank, org_key(&org.name), org.weight, &pipeline.stages);
+        let class = &resolved.config.classes[usize::from(rank)];
+        let expected = self.expected_time(now, rank, org_key(&org.name), org.weight, &pipeline.stages);
         // It would be admitted when the queues have drained by what is missing.
-        let missing = Span(expected.0.saturating_sub(deadline.since(now).0)).max(LEAST_COME_BACK);
+        let missing = Span(expected.0.saturating_sub(deadline.since(now).0)).max(MIN_RETRY_AFTER);
         let full = |reason| {
-            Err(Turned {
-                spread: true,
-                ..Turned::after(reason, missing)
+            Err(Rejection {
+                jitter: true,
+                ..Rejection::retry_after(reason, missing)
             })
         };
         if self.queue_full(
@@ -262,22 +262,22 @@
     ///
     /// A full queue still takes what an organisation is due of it, so that one that floods the queue does not
     /// shut the others out; the queue is never longer than twice its limit.
-    fn queue_full(&self, rank: u8, most: u32, org: OrgKey, weight: u32, stages: &[StagePlan]) -> bool {
-        if self.waiting.get(&rank).copied().unwrap_or_default() < most {
+    fn queue_full(&self, rank: u8, limit: u32, org: OrgKey, weight: u32, stages: &[StagePlan]) -> bool {
+        if self.waiting_by_rank.get(&rank).copied().unwrap_or_default() < limit {
             return false;
         }
-        let over = |stage: &StagePlan| {
+        let over_share = |stage: &StagePlan| {
             let backlog = &self.services[usize::from(stage.service.0)].backlog;
-            backlog.owned(rank, org) >= f64::from(most) * backlog.share(rank, org, weight)
+            backlog.owned(rank, org) >= f64::from(limit) * backlog.share(rank, org, weight)
         };
-        stages.iter().any(over)
+        stages.iter().any(over_share)
     }
 
     // ------------------------------------------------------------------------
     // Expectations
 
     /// How many steps this thread may have at the targets of a service at once.
-    pub(super) fn places(&self, service: ServiceIx) -> u32 {
+    pub(super) fn capacity(&self, service: ServiceIx) -> u32 {
         let Some(state) = self.services.get(usize::from(service.0)) else {
             return 0;
         };
@@ -289,13 +289,13 @@
     ///
     /// A later stage's queue drains while the request is at an earlier one, so a stage adds only what of
     /// its wait is left when the request gets there.
-    fn expect(&self, now: Time, rank: u8, org: OrgKey, weight: u32, stages: &[StagePlan]) -> Span {
+    fn expected_time(&self, now: Time, rank: u8, org: OrgKey, weight: u32, stages: &[StagePlan]) -> Span {
         let mut expected = 0.0_f64;
         for stage in stages {
             let state = &self.services[usize::from(stage.service.0)];
             let ahead = state.backlog.ahead(rank, org, weight);
             let above = state.backlog.rate_above(now, rank);
-            let wait = state.wait(ahead, f64::from(self.places(stage.service)), above);
+            let wait = state.wait(ahead, f64::from(self.capacity(stage.service)), above);
             expected = expected.max(wait) + state.took;
         }
         Span(expected as u64)
@@ -304,50 +304,50 @@
     /// What would happen to `call` now. Nothing is changed.
     pub fn forecast(&mut self, now: Time, call: &Call) -> Forecast {
         let key = RequestKey::new(&call.organisation, &call.key);
-        let verdict = self.check(now, call, key).and_then(|checked| {
-            self.admit(now, call, &checked)?;
-            Ok(checked)
+        let verdict = self.resolve_call(now, call, key).and_then(|resolved| {
+            self.admit(now, call, &resolved)?;
+            Ok(resolved)
         });
         self.actions.clear();
         match verdict {
-            Err(turned) => Forecast {
-                refusal: Some((turned.reason, turned.come_back)),
+            Err(rejection) => Forecast {
+                refusal: Some((rejection.reason, rejection.retry_after)),
                 stages: Vec::new(),
             },
-            Ok(checked) => Forecast {
+            Ok(resolved) => Forecast {
                 refusal: None,
-                stages: self.forecast_stages(now, &checked),
+                stages: self.forecast_stages(now, &resolved),
             },
         }
     }
 
-    fn forecast_stages(&self, now: Time, checked: &Checked) -> Vec<(ServiceIx, Option<TargetId>, Span)> {
-        let pipeline = &checked.config.pipelines[usize::from(checked.pipeline.0)];
-        let org = &checked.config.organisations[checked.org.0 as usize];
+    fn forecast_stages(&self, now: Time, resolved: &ResolvedCall) -> Vec<(ServiceIx, Option<TargetId>, Span)> {
+        let pipeline = &resolved.config.pipelines[usize::from(resolved.pipeline.0)];
+        let org = &resolved.config.organisations[resolved.org.0 as usize];
         let key = org_key(&org.name);
-        let upto = |end: usize| self.expect(now, pipeline.class.0, key, org.weight, &pipeline.stages[..end]);
+        let expected_until = |end: usize| self.expected_time(now, pipeline.class.0, key, org.weight, &pipeline.stages[..end]);
         let stages = pipeline.stages.iter().enumerate();
         stages
-            .map(|(at, stage)| (stage.service, self.likeliest(now, stage), upto(at + 1)))
+            .map(|(at, stage)| (stage.service, self.likely_target(now, stage), expected_until(at + 1)))
             .collect()
     }
 
     // ------------------------------------------------------------------------
     // Beginning
 
-    fn begin(&mut self, now: Time, caller: CallerId, call: &Call, checked: &Checked) {
-        let pipeline = &checked.config.pipelines[usize::from(checked.pipeline.0)];
-        let org = &checked.config.organisations[checked.org.0 as usize];
+    fn start_request(&mut self, now: Time, caller: CallerId, call: &Call, resolved: &ResolvedCall) {
+        let pipeline = &resolved.config.pipelines[usize::from(resolved.pipeline.0)];
+        let org = &resolved.config.organisations[resolved.org.0 as usize];
         let request = Request {
-            key: checked.key,
+            key: resolved.key,
             org: org_key(&org.name),
             weight: org.weight,
             rank: pipeline.class.0,
             stages: pipeline.stages.clone(),
             deadline: call.deadline,
             unrepeatable: call.unrepeatable,
-            remembered: checked.keyed,
-            earlier: if checked.keyed {
+            remembered: resolved.at_most_once,
+            earlier: if resolved.at_most_once {
                 Earlier::None
             } else {
                 call.earlier
@@ -377,18 +377,18 @@
             backlog.arrived(now, request.rank, request.org, request.weight);
         }
         let id = self.requests.insert(request);
-        if checked.keyed {
-            self.memory
-                .begin(checked.key, call.deadline, content_hash(call), id);
+        if resolved.at_most_once {
+            self.key_memory
+                .begin(resolved.key, call.deadline, content_hash(call), id);
         }
-        self.listen(id, caller);
+        self.add_listener(id, caller);
         self.enqueue(now, id);
     }
 
-    fn listen(&mut self, id: RequestId, caller: CallerId) {
+    fn add_listener(&mut self, id: RequestId, caller: CallerId) {
         if let Some(request) = self.requests.get_mut(id) {
             request.listeners.push(Listener { caller, sent: 0 });
-            self.listening.insert(caller, id);
+            self.caller_requests.insert(caller, id);
         }
     }
 
@@ -396,39 +396,39 @@
     ///
     /// "Not run" speaks of the request, not of this send of it: when an earlier send may have run
     /// elsewhere, only the settled home of an unrepeatable key knows better, and says so by taking it.
-    fn turn_away(&mut self, caller: CallerId, call: &Call, turned: &Turned) {
+    fn reject(&mut self, caller: CallerId, call: &Call, rejection: &Rejection) {
         let unsure = call.earlier == Earlier::Uncertain
-            && !turned.certain
+            && !rejection.surely_not_run
             && self.enforces(Guard::EarlierSendsUnknown);
-        let may_have_run = unsure || turned.reason == Reason::KeyReused;
+        let may_have_run = unsure || rejection.reason == Reason::KeyReused;
         let verdict = if may_have_run {
             Verdict::Unknown
         } else {
             Verdict::NotRun
         };
         self.count(match verdict {
-            Verdict::NotRun => Counter::RefusedNotRun(turned.reason),
-            _ => Counter::RefusedUnknown(turned.reason),
+            Verdict::NotRun => Counter::RefusedNotRun(rejection.reason),
+            _ => Counter::RefusedUnknown(rejection.reason),
         });
-        let redirect = match (turned.reason, turned.home) {
+        let redirect = match (rejection.reason, rejection.home) {
             (_, Some(home)) => self.plan.address(home).map(str::to_owned),
             (Reason::Leaving, None) if self.stopping() => {
                 let spread = self.random.random();
-                self.elsewhere(spread)
+                self.redirect_address(spread)
             }
             _ => None,
         };
-        let extra = if turned.spread {
+        let jitter = if rejection.jitter {
             self.random.random_range(0.0..0.5)
         } else {
             0.0
         };
         let refusal = Refusal {
-            reason: turned.reason,
+            reason: rejection.reason,
             verdict,
             step: None,
-            peer: Some(Peer::Node(turned.home.unwrap_or(self.settings.node))),
-            come_back: turned.come_back + turned.come_back.scale(extra),
+            peer: Some(Peer::Node(rejection.home.unwrap_or(self.settings.node))),
+            come_back: rejection.retry_after + rejection.retry_after.scale(jitter),
         };
         let outcome = Outcome::Refused(refusal);
         self.actions.push(TrafficAction::Finish {
@@ -447,8 +447,8 @@
     }
 }
 
-fn named_well(name: &str) -> bool {
-    (1..=MAX_KEY).contains(&name.len())
+fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
 /// The fair-queueing key of an organisation.
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -9,17 +9,17 @@
 use std::sync::Arc;
 
 /// Sends of one step without a retry budget.
-const PLAIN_SENDS: u16 = 3;
+const MAX_SENDS_WITHOUT_BUDGET: u16 = 3;
 
 impl Router {
     /// A piece of a stream: kept and passed on only if it belongs to this attempt and leaves no gap.
-    pub(super) fn part(&mut self, now: Time, attempt: AttemptId, echo: Echo, offset: u64, data: &Payload) {
+    pub(super) fn handle_part(&mut self, now: Time, attempt: AttemptId, echo: Echo, offset: u64, data: &Payload) {
         let Some(state) = self.attempts.get_mut(attempt) else {
             return self.count(Counter::Late);
         };
         if state.echo != echo && self.settings.guards.enforces(Guard::EchoMatch) {
             self.count(Counter::Misdirected);
-            return self.break_off(now, attempt);
+            return self.abort_attempt(now, attempt);
         }
         state.last_answer = now;
         let Some(&id) = self.attempt_owner.get(&attempt) else {
@@ -32,20 +32,20 @@
         let have = request.answer.len() as u64;
         if offset > have && self.settings.guards.enforces(Guard::NoStreamGap) {
             self.count(Counter::Gap);
-            return self.break_off(now, attempt);
+            return self.abort_attempt(now, attempt);
         }
-        let Some(fresh) = data.get(have.saturating_sub(offset) as usize..) else {
+        let Some(new_data) = data.get(have.saturating_sub(offset) as usize..) else {
             return;
         };
-        if request.answer.len() + fresh.len() > self.settings.max_answer {
+        if request.answer.len() + new_data.len() > self.settings.max_answer {
             return self.give_up(now, id, Reason::AnswerTooLarge, None);
         }
-        request.answer.extend_from_slice(fresh);
-        self.forward(id);
+        request.answer.extend_from_slice(new_data);
+        self.forward_answer(id);
     }
 
     /// Passes on to each listener what it does not have yet, when the last step is running.
-    pub(super) fn forward(&mut self, id: RequestId) {
+    pub(super) fn forward_answer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -66,13 +66,13 @@
     }
 
     /// An attempt whose connection can no longer be trusted: closed, and its step counts as broken off.
-    fn break_off(&mut self, now: Time, attempt: AttemptId) {
-        self.cancel(attempt);
-        self.ended(now, attempt, None, AttemptEnd::BrokenOff);
+    fn abort_attempt(&mut self, now: Time, attempt: AttemptId) {
+        self.cancel_attempt(attempt);
+        self.handle_attempt_end(now, attempt, None, AttemptEnd::BrokenOff);
     }
 
     /// What an answer says of its target besides the answer.
-    pub(super) fn take_target_report(
+    pub(super) fn apply_answer_report(
         &mut self,
         now: Time,
         attempt: AttemptId,
@@ -82,10 +82,10 @@
         let Some(target) = self.attempts.get(attempt).map(|attempt| attempt.target) else {
             return;
         };
-        self.take_report(now, target, report, leaving);
+        self.apply_report(now, target, report, leaving);
     }
 
-    fn take_report(&mut self, now: Time, id: TargetId, report: Option<LoadReport>, leaving: bool) {
+    fn apply_report(&mut self, now: Time, id: TargetId, report: Option<LoadReport>, leaving: bool) {
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         now: Time,
         id: TargetId,
@@ -115,35 +115,35 @@
         report: Option<LoadReport>,
         leaving: bool,
     ) {
-        self.take_report(now, id, report, leaving);
+        self.apply_report(now, id, report, leaving);
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
         target.probed(now, ok, &self.target_chart);
         let service = target.plan.service;
-        self.pump(now, service);
+        self.dispatch_waiting(now, service);
     }
 
     // ------------------------------------------------------------------------
     // The end of an attempt
 
-    pub(super) fn ended(&mut self, now: Time, attempt: AttemptId, echo: Option<Echo>, end: AttemptEnd) {
+    pub(super) fn handle_attempt_end(&mut self, now: Time, attempt: AttemptId, echo: Option<Echo>, end: AttemptEnd) {
         let Some(state) = self.attempts.get(attempt) else {
             return self.count(Counter::Late);
         };
-        let stray = echo.is_some_and(|echo| echo != state.echo) && self.enforces(Guard::EchoMatch);
-        if stray {
+        let misdirected = echo.is_some_and(|echo| echo != state.echo) && self.enforces(Guard::EchoMatch);
+        if misdirected {
             self.count(Counter::Misdirected);
         }
-        let end = if stray {
+        let end = if misdirected {
             AttemptEnd::BrokenOff
         } else {
-            self.checked_end(attempt, end)
+            self.verify_length(attempt, end)
         };
-        let Some((id, target, took)) = self.release(now, attempt) else {
+        let Some((id, target, took)) = self.release_attempt(now, attempt) else {
             return;
         };
-        self.judge_target(now, target, took, &end);
+        self.record_target_result(now, target, took, &end);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -154,10 +154,10 @@
                 request.spent.push((service, took));
                 self.services[usize::from(service.0)].measured(took);
                 self.retry_budget.record_success();
-                self.step_done(now, id, &output);
+                self.complete_step(now, id, &output);
             }
-            AttemptEnd::Refused { .. } => self.again(now, id, target, RetryReason::Refused),
-            AttemptEnd::Unreachable => self.again(now, id, target, RetryReason::Unreachable),
+            AttemptEnd::Refused { .. } => self.retry_step(now, id, target, RetryReason::Refused),
+            AttemptEnd::Unreachable => self.retry_step(now, id, target, RetryReason::Unreachable),
             AttemptEnd::BrokenOff => {
                 request.spent.push((service, took));
                 let resumed = !request.answer.is_empty();
@@ -167,17 +167,17 @@
                     RetryReason::BrokenOff
                 };
                 if request.repeatable() || !self.settings.guards.enforces(Guard::NoUnsafeRetry) {
-                    self.again(now, id, target, reason);
+                    self.retry_step(now, id, target, reason);
                 } else {
                     self.give_up(now, id, Reason::StepFailed, Some(Peer::Target(target)));
                 }
             }
         }
-        self.pump(now, service);
+        self.dispatch_waiting(now, service);
     }
 
     /// An end marker whose length is not what came before it is no end.
-    fn checked_end(&mut self, attempt: AttemptId, end: AttemptEnd) -> AttemptEnd {
+    fn verify_length(&mut self, attempt: AttemptId, end: AttemptEnd) -> AttemptEnd {
         let AttemptEnd::Done { output, length } = &end else {
             return end;
         };
@@ -194,7 +194,7 @@
     }
 
     /// Forgets an attempt, and says whose it was.
-    pub(super) fn release(&mut self, now: Time, attempt: AttemptId) -> Option<(RequestId, TargetId, Span)> {
+    pub(super) fn release_attempt(&mut self, now: Time, attempt: AttemptId) -> Option<(RequestId, TargetId, Span)> {
         let state = self.attempts.remove(attempt)?;
         let id = self.attempt_owner.remove(&attempt)?;
         let request = self.requests.get_mut(id)?;
@@ -206,7 +206,7 @@
         Some((id, state.target, now.since(state.started)))
     }
 
-    fn judge_target(&mut self, now: Time, id: TargetId, took: Span, end: &AttemptEnd) {
+    fn record_target_result(&mut self, now: Time, id: TargetId, took: Span, end: &AttemptEnd) {
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
@@ -218,18 +218,18 @@
                 target.succeeded(&self.target_chart);
             }
             AttemptEnd::Refused { leaving: true, .. } => {
-                self.take_report(now, id, None, true);
+                self.apply_report(now, id, None, true);
             }
             AttemptEnd::Refused { rest, .. } => {
                 target.limit.shrink(now);
-                self.asked_rest(now, id, *rest);
+                self.start_cooldown(now, id, *rest);
             }
-            AttemptEnd::Unreachable | AttemptEnd::BrokenOff => self.target_failed(now, id),
+            AttemptEnd::Unreachable | AttemptEnd::BrokenOff => self.record_target_failure(now, id),
         }
     }
 
     /// A target wants nothing from this node for a while, by whichever lane.
-    fn asked_rest(&mut self, now: Time, id: TargetId, rest: Span) {
+    fn start_cooldown(&mut self, now: Time, id: TargetId, rest: Span) {
         let Some(target) = self.targets.get_mut(&id).filter(|_| rest > Span::ZERO) else {
             return;
         };
@@ -244,17 +244,17 @@
     }
 
     /// How long every target of a service that is not leaving wants nothing from this node; zero when one does not.
-    pub(super) fn all_rest(&self, now: Time, service: ServiceIx) -> Span {
+    pub(super) fn service_cooldown(&self, now: Time, service: ServiceIx) -> Span {
         let targets = &self.services[usize::from(service.0)].targets;
         let targets = targets.iter().filter_map(|id| self.targets.get(id));
-        let staying = targets.filter(|target| target.phase != TargetPhase::Leaving);
-        let rests = staying.map(|target| target.rest_until.since(now));
-        rests.min().unwrap_or_default()
+        let remaining = targets.filter(|target| target.phase != TargetPhase::Leaving);
+        let cooldowns = remaining.map(|target| target.rest_until.since(now));
+        cooldowns.min().unwrap_or_default()
     }
 
     /// Counts a failure of a target, and puts it into quarantine unless too many are there already: when
     /// most targets look down, what this node sees is suspect, not the fleet.
-    pub(super) fn target_failed(&mut self, now: Time, id: TargetId) {
+    pub(super) fn record_target_failure(&mut self, now: Time, id: TargetId) {
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
@@ -262,9 +262,9 @@
             return;
         }
         let service = usize::from(target.plan.service.0);
-        let all = &self.services[service].targets;
-        let out = |id: &&TargetId| self.targets.get(id).is_none_or(|target| !target.usable());
-        if (all.iter().filter(out).count() + 1) * 2 > all.len() && self.enforces(Guard::QuarantineCap) {
+        let listed = &self.services[service].targets;
+        let unusable = |id: &&TargetId| self.targets.get(id).is_none_or(|target| !target.usable());
+        if (listed.iter().filter(unusable).count() + 1) * 2 > listed.len() && self.enforces(Guard::QuarantineCap) {
             return self.count(Counter::QuarantineCapped);
         }
         self.count(Counter::Quarantined);
@@ -276,7 +276,7 @@
     // ------------------------------------------------------------------------
     // What becomes of the request
 
-    fn step_done(&mut self, now: Time, id: RequestId, output: &Payload) {
+    fn complete_step(&mut self, now: Time, id: RequestId, output: &Payload) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -285,7 +285,7 @@
             return self.give_up(now, id, Reason::AnswerTooLarge, None);
         }
         if request.last() {
-            self.forward(id);
+            self.forward_answer(id);
             return self.complete(now, id);
         }
         self.request_chart
@@ -301,12 +301,12 @@
     }
 
     /// Sends the present step again, if there is time, a target and a retry left.
-    pub(super) fn again(&mut self, now: Time, id: RequestId, failed: TargetId, reason: RetryReason) {
+    pub(super) fn retry_step(&mut self, now: Time, id: RequestId, failed: TargetId, reason: RetryReason) {
         let start_by = self.start_by(id);
         let late = start_by.is_none_or(|start_by| start_by < now);
         let service = self.requests.get(id).map(|request| request.stage().service);
-        let rest = service.map_or(Span::ZERO, |service| self.all_rest(now, service));
-        if rest > Span::ZERO && start_by.is_some_and(|start_by| start_by < now + rest) {
+        let cooldown = service.map_or(Span::ZERO, |service| self.service_cooldown(now, service));
+        if cooldown > Span::ZERO && start_by.is_some_and(|start_by| start_by < now + cooldown) {
             return self.give_up(now, id, Reason::TargetsRest, Some(Peer::Target(failed)));
         }
         let Some(request) = self.requests.get_mut(id) else {
@@ -316,10 +316,10 @@
         if late {
             return self.give_up(now, id, Reason::DeadlineMissed, peer);
         }
-        let plain =
+        let without_budget =
             !self.settings.policy.use_retry_budget || !self.settings.guards.enforces(Guard::RetryBudget);
-        let allowed = if plain {
-            request.sends < PLAIN_SENDS
+        let allowed = if without_budget {
+            request.sends < MAX_SENDS_WITHOUT_BUDGET
         } else {
             self.retry_budget.try_spend()
         };
@@ -340,7 +340,7 @@
     }
 
     /// Closes an attempt's connection and tells its target. The attempt stays until it is released.
-    pub(super) fn cancel(&mut self, attempt: AttemptId) {
+    pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         let Some(state) = self.attempts.get(attempt) else {
             return;
         };
--- a/crates/barleyspool_core/src/router/completion.rs
+++ b/crates/barleyspool_core/src/router/completion.rs
@@ -29,8 +29,8 @@
             return;
         };
         if let Some(attempt) = attempt {
-            self.cancel(attempt);
-            if let Some((_, _, took)) = self.release(now, attempt)
+            self.cancel_attempt(attempt);
+            if let Some((_, _, took)) = self.release_attempt(now, attempt)
                 && let Some(request) = self.requests.get_mut(id)
             {
                 request.touched = true;
@@ -38,22 +38,22 @@
                 request.spent.push((service, took));
             }
         }
-        self.unqueue(id);
+        self.dequeue(id);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         self.request_chart.step(&mut request.phase, RequestEvent::GivenUp);
         let touched = request.touched && self.settings.guards.enforces(Guard::NotRunProven);
-        let ran = touched || request.earlier == Earlier::Uncertain;
-        let verdict = if ran { Verdict::Unknown } else { Verdict::NotRun };
+        let may_have_run = touched || request.earlier == Earlier::Uncertain;
+        let verdict = if may_have_run { Verdict::Unknown } else { Verdict::NotRun };
         let step = Some(request.stage().service);
-        let counter = if ran {
+        let counter = if may_have_run {
             Counter::RefusedUnknown(reason)
         } else {
             Counter::RefusedNotRun(reason)
         };
         self.count(counter);
-        let come_back = self.come_back_after(now, id);
+        let come_back = self.retry_after(now, id);
         self.finish(
             id,
             &Outcome::Refused(Refusal {
@@ -68,7 +68,7 @@
     }
 
     /// When a caller whose request was given up should come back: when the present step's queue has drained.
-    fn come_back_after(&self, now: Time, id: RequestId) -> Span {
+    fn retry_after(&self, now: Time, id: RequestId) -> Span {
         let Some(request) = self.requests.get(id) else {
             return Span::ZERO;
         };
@@ -76,8 +76,8 @@
         let state = &self.services[usize::from(service.0)];
         let ahead = state.backlog.ahead(request.rank, request.org, request.weight);
         let above = state.backlog.rate_above(now, request.rank);
-        let wait = state.wait(ahead, f64::from(self.places(service)), above);
-        Span((wait as u64).max(state.took as u64)).max(self.all_rest(now, service))
+        let wait = state.wait(ahead, f64::from(self.capacity(service)), above);
+        Span((wait as u64).max(state.took as u64)).max(self.service_cooldown(now, service))
     }
 
     /// Tells every listener, settles the accounts and forgets the request.
@@ -94,7 +94,7 @@
             }
         }
         for listener in &request.listeners {
-            self.listening.remove(&listener.caller);
+            self.caller_requests.remove(&listener.caller);
             let (caller, outcome) = (listener.caller, outcome.clone());
             self.actions.push(TrafficAction::Finish {
                 caller,
@@ -104,9 +104,9 @@
         }
         if request.remembered {
             match outcome.verdict() {
-                Verdict::NotRun => self.memory.forget(request.key),
+                Verdict::NotRun => self.key_memory.forget(request.key),
                 _ => self
-                    .memory
+                    .key_memory
                     .end(request.key, Arc::from(request.answer), outcome.clone()),
             }
         }
@@ -123,8 +123,8 @@
 
     /// A caller closed its stream. Work that nobody waits for is cancelled, unless it is remembered for a
     /// repeat.
-    pub(super) fn caller_left(&mut self, now: Time, caller: CallerId) {
-        let Some(id) = self.listening.remove(&caller) else {
+    pub(super) fn handle_caller_left(&mut self, now: Time, caller: CallerId) {
+        let Some(id) = self.caller_requests.remove(&caller) else {
             return;
         };
         let Some(request) = self.requests.get_mut(id) else {
@@ -137,14 +137,14 @@
     }
 
     /// The time has come to look at a request again.
-    pub(super) fn wake(&mut self, now: Time, id: RequestId) {
+    pub(super) fn handle_timer(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let deadline = request.deadline;
         let Some(attempt) = request.attempt else {
-            let begun = request.touched;
-            let reason = if begun {
+            let started = request.touched;
+            let reason = if started {
                 Reason::DeadlineMissed
             } else {
                 Reason::DeadlineUnreachable
@@ -161,15 +161,15 @@
         if now >= deadline {
             // Nothing since the send: the target may hang. Slow is not counted as failed.
             if last_answer == self.attempts[attempt].started && self.overdue(now, id, last_answer) {
-                self.target_failed(now, target);
+                self.record_target_failure(now, target);
             }
             return self.give_up(now, id, Reason::DeadlineMissed, Some(Peer::Target(target)));
         }
-        let max_wait = self.wait_ends(last_answer, id);
+        let max_wait = self.next_check(last_answer, id);
         if now < max_wait {
             return self.set_wake(id, max_wait);
         }
-        self.impatient(now, id);
+        self.time_out_attempt(now, id);
     }
 
     /// Whether a step has taken several times as long as it should.
@@ -182,15 +182,15 @@
     }
 
     /// Gives up an attempt that takes far too long, and sends its step elsewhere.
-    fn impatient(&mut self, now: Time, id: RequestId) {
+    fn time_out_attempt(&mut self, now: Time, id: RequestId) {
         let Some(attempt) = self.requests.get(id).and_then(|request| request.attempt) else {
             return;
         };
-        self.cancel(attempt);
-        let Some((_, target, took)) = self.release(now, attempt) else {
+        self.cancel_attempt(attempt);
+        let Some((_, target, took)) = self.release_attempt(now, attempt) else {
             return;
         };
-        self.target_failed(now, target);
+        self.record_target_failure(now, target);
         if let Some(request) = self.requests.get_mut(id) {
             request.touched = true;
             let service = request.stage().service;
@@ -204,8 +204,8 @@
             } else {
                 RetryReason::TimedOut
             };
-            self.again(now, id, target, reason);
-            self.pump(now, service);
+            self.retry_step(now, id, target, reason);
+            self.dispatch_waiting(now, service);
         }
     }
 }
--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 
 /// An attempt is given up for another target after this many times the expected time.
-const TIMEOUT: f64 = 4.0;
+const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.0;
 /// But never before this: a fast service has short pauses too.
-const MAX_WAIT_LEAST: Span = Span::from_millis(50);
+const MIN_ATTEMPT_TIMEOUT: Span = Span::from_millis(50);
 /// What must be left of a step's expected time for starting it to make sense.
-const START_SHARE: f64 = 0.8;
+const MIN_TIME_SHARE: f64 = 0.8;
 /// The holder of a prefix is preferred while its load is at most this many times the average.
-const PREFIX_BOUND: f64 = 1.25;
+const PREFIX_LOAD_FACTOR: f64 = 1.25;
 
 impl Router {
     /// Puts a request into the queue of its present step.
@@ -39,24 +39,24 @@
         request.place = Some(place);
         let weight = request.weight;
         self.services[usize::from(service.0)].queue.push(place, weight);
-        *self.waiting.entry(place.rank).or_default() += 1;
+        *self.waiting_by_rank.entry(place.rank).or_default() += 1;
         self.set_wake(id, start_by);
-        self.pump(now, service);
+        self.dispatch_waiting(now, service);
     }
 
     /// Takes a request out of the queue it waits in.
-    pub(super) fn unqueue(&mut self, id: RequestId) {
+    pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         let Some(place) = request.place.take() else { return };
         let service = request.stage().service;
         self.services[usize::from(service.0)].queue.remove(place);
-        self.left_queue(place.rank);
+        self.count_dequeued(place.rank);
     }
 
-    fn left_queue(&mut self, rank: u8) {
-        if let Some(waiting) = self.waiting.get_mut(&rank) {
+    fn count_dequeued(&mut self, rank: u8) {
+        if let Some(waiting) = self.waiting_by_rank.get_mut(&rank) {
             *waiting -= 1;
         }
     }
@@ -71,29 +71,29 @@
             .rest()
             .iter()
             .map(|stage| self.services[usize::from(stage.service.0)].took);
-        Some(request.deadline - Span(rest.sum::<f64>() as u64).scale(START_SHARE))
+        Some(request.deadline - Span(rest.sum::<f64>() as u64).scale(MIN_TIME_SHARE))
     }
 
     /// Sends as many waiting steps of a service as there are places for.
-    pub(super) fn pump(&mut self, now: Time, service: ServiceIx) {
+    pub(super) fn dispatch_waiting(&mut self, now: Time, service: ServiceIx) {
         if self.plan_stale(now) {
             return;
         }
-        let mut passed: Vec<RequestId> = Vec::new();
+        let mut skipped: Vec<RequestId> = Vec::new();
         while self.any_free(service) {
-            let skip = |request: RequestId| passed.contains(&request);
+            let skip = |request: RequestId| skipped.contains(&request);
             let Some(place) = self.services[usize::from(service.0)].queue.pop(&skip) else {
                 return;
             };
             let id = place.waiting.request;
-            let Some(target) = self.choose(now, id) else {
+            let Some(target) = self.choose_target(now, id) else {
                 // No free target fits this one; others may still go.
                 let weight = self.requests.get(id).map_or(1, |request| request.weight);
                 self.services[usize::from(service.0)].queue.push(place, weight);
-                passed.push(id);
+                skipped.push(id);
                 continue;
             };
-            self.left_queue(place.rank);
+            self.count_dequeued(place.rank);
             if let Some(request) = self.requests.get_mut(id) {
                 request.place = None;
             }
@@ -114,7 +114,7 @@
     // The choice of a target
 
     /// The target for the present step of a request; `None` when none that fits is free.
-    fn choose(&mut self, now: Time, id: RequestId) -> Option<TargetId> {
+    fn choose_target(&mut self, now: Time, id: RequestId) -> Option<TargetId> {
         let request = self.requests.get(id)?;
         let (service, avoid, prefix) = (request.stage().service, request.avoid, request.prefix);
         let state = &self.services[usize::from(service.0)];
@@ -124,7 +124,7 @@
             .copied()
             .filter(|id| self.is_free(*id))
             .collect();
-        if free.len() > 1 && self.usable_others(service, avoid) {
+        if free.len() > 1 && self.has_usable_alternative(service, avoid) {
             free.retain(|id| Some(*id) != avoid);
         }
         if free.is_empty() {
@@ -140,7 +140,7 @@
             LoadBalancing::TwoChoices => {
                 let a = free[self.random.random_range(0..free.len())];
                 let b = free[self.random.random_range(0..free.len())];
-                Some(self.better(now, service, a, b))
+                Some(self.lower_latency(now, service, a, b))
             }
             LoadBalancing::LeastInFlight => free
                 .into_iter()
@@ -157,18 +157,18 @@
         self.targets.get(&id).is_some_and(TargetState::free)
     }
 
-    fn usable_others(&self, service: ServiceIx, avoid: Option<TargetId>) -> bool {
+    fn has_usable_alternative(&self, service: ServiceIx, avoid: Option<TargetId>) -> bool {
         let usable = |id: &&TargetId| self.targets.get(id).is_some_and(TargetState::usable);
         let targets = &self.services[usize::from(service.0)].targets;
         targets.iter().filter(usable).any(|id| Some(*id) != avoid)
     }
 
-    fn better(&self, now: Time, service: ServiceIx, a: TargetId, b: TargetId) -> TargetId {
-        let otherwise = self.services[usize::from(service.0)].took;
+    fn lower_latency(&self, now: Time, service: ServiceIx, a: TargetId, b: TargetId) -> TargetId {
+        let default_latency = self.services[usize::from(service.0)].took;
         let expected = |id| {
             self.targets
                 .get(&id)
-                .map_or(f64::MAX, |target| target.expected(now, otherwise))
+                .map_or(f64::MAX, |target| target.expected(now, default_latency))
         };
         if expected(b) < expected(a) { b } else { a }
     }
@@ -177,22 +177,22 @@
     fn prefix_holder(&self, service: ServiceIx, prefix: u128, free: &[TargetId]) -> Option<TargetId> {
         let state = &self.services[usize::from(service.0)];
         let average = f64::from(state.in_flight + 1) / state.targets.len().max(1) as f64;
-        let bound = (average * PREFIX_BOUND).ceil().max(1.0);
+        let max_in_flight = (average * PREFIX_LOAD_FACTOR).ceil().max(1.0);
         let ids = state.targets.iter().map(|id| u64::from(id.0));
         let ranked = rendezvous::rank(prefix, ids)
             .into_iter()
             .map(|id| TargetId(id as u32));
-        let light = |id: &TargetId| {
+        let lightly_loaded = |id: &TargetId| {
             self.targets
                 .get(id)
-                .is_some_and(|target| f64::from(target.in_flight) < bound)
+                .is_some_and(|target| f64::from(target.in_flight) < max_in_flight)
         };
         // Beyond the second place nothing is cached, so any target is as good.
-        ranked.take(2).find(|id| free.contains(id) && light(id))
+        ranked.take(2).find(|id| free.contains(id) && lightly_loaded(id))
     }
 
     /// The target that a request of this stage would most likely go to, for operators.
-    pub(super) fn likeliest(&self, now: Time, stage: &StagePlan) -> Option<TargetId> {
+    pub(super) fn likely_target(&self, now: Time, stage: &StagePlan) -> Option<TargetId> {
         let state = &self.services[usize::from(stage.service.0)];
         let usable = state
             .targets
@@ -220,7 +220,7 @@
         let stage = request.stage().clone();
         let echo = Echo {
             node: self.settings.node,
-            run: self.settings.run,
+            run: self.settings.incarnation,
             request: id.data().as_ffi(),
             step: request.step,
             attempt: request.attempts,
@@ -256,13 +256,13 @@
         };
         self.count(Counter::Dispatched(order.service));
         self.actions.push(TrafficAction::Dispatch { attempt, order });
-        let wake = self.wait_ends(now, id);
+        let wake = self.next_check(now, id);
         self.set_wake(id, wake);
     }
 
     /// When to look at a request whose step is at a target: at its deadline, or earlier when the step
     /// takes far too long and there is still time to run it elsewhere.
-    pub(super) fn wait_ends(&self, from: Time, id: RequestId) -> Time {
+    pub(super) fn next_check(&self, from: Time, id: RequestId) -> Time {
         let Some(request) = self.requests.get(id) else {
             return Time(0);
         };
@@ -272,8 +272,8 @@
         let took = |stage: &StagePlan| self.services[usize::from(stage.service.0)].took;
         let max_wait = from
             + Span(took(request.stage()) as u64)
-                .scale(TIMEOUT)
-                .max(MAX_WAIT_LEAST);
+                .scale(ATTEMPT_TIMEOUT_FACTOR)
+                .max(MIN_ATTEMPT_TIMEOUT);
         let rest: f64 = request.rest().iter().map(took).sum();
         if max_wait + Span(rest as u64) <= request.deadline {
             max_wait
--- a/crates/barleyspool_core/src/router/mod.rs
+++ b/crates/barleyspool_core/src/router/mod.rs
@@ -29,7 +29,7 @@
     /// This node.
     pub node: NodeId,
     /// This run of the node.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// How many traffic threads share this node's part of each target.
     pub lanes: u32,
     /// Seed of the random choices.
@@ -41,7 +41,7 @@
     /// The most unrepeatable keys that are remembered.
     pub max_keys: usize,
     /// The oldest plan that is acted on.
-    pub plan_age: Span,
+    pub max_plan_age: Span,
     /// How far clocks may disagree.
     pub skew: Span,
     /// The policy under load.
@@ -54,13 +54,13 @@
     fn default() -> Self {
         Self {
             node: NodeId(0),
-            run: Incarnation(0),
+            incarnation: Incarnation(0),
             lanes: 1,
             seed: 1,
             max_payload: 1 << 20,
             max_answer: 4 << 20,
             max_keys: 100_000,
-            plan_age: Span::from_secs(3),
+            max_plan_age: Span::from_secs(3),
             skew: Span::from_millis(500),
             policy: Policy::default(),
             guards: Guards::default(),
@@ -76,13 +76,13 @@
     requests: SlotMap<RequestId, Request>,
     attempts: SlotMap<AttemptId, Attempt>,
     attempt_owner: HashMap<AttemptId, RequestId>,
-    listening: HashMap<CallerId, RequestId>,
+    caller_requests: HashMap<CallerId, RequestId>,
     timers: BTreeSet<(Time, RequestId)>,
     services: Vec<ServiceState>,
     targets: BTreeMap<TargetId, TargetState>,
-    memory: KeyMemory,
+    key_memory: KeyMemory,
     retry_budget: RetryBudget,
-    waiting: BTreeMap<u8, u32>,
+    waiting_by_rank: BTreeMap<u8, u32>,
     counters: Counters,
     random: SmallRng,
     request_chart: Chart<RequestPhase, RequestEvent>,
@@ -97,7 +97,7 @@
     /// When a chart file does not fit the code; the daemons find that at start.
     pub fn new(settings: RouterSettings) -> Result<Self, ChartError> {
         Ok(Self {
-            memory: KeyMemory::new(settings.max_keys, settings.skew),
+            key_memory: KeyMemory::new(settings.max_keys, settings.skew),
             random: SmallRng::seed_from_u64(settings.seed),
             request_chart: Chart::load("request", REQUEST_CHART)?,
             target_chart: Chart::load("target", TARGET_CHART)?,
@@ -106,12 +106,12 @@
             requests: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             attempt_owner: HashMap::new(),
-            listening: HashMap::new(),
+            caller_requests: HashMap::new(),
             timers: BTreeSet::new(),
             services: Vec::new(),
             targets: BTreeMap::new(),
             retry_budget: RetryBudget::default(),
-            waiting: BTreeMap::new(),
+            waiting_by_rank: BTreeMap::new(),
             counters: Counters::default(),
             actions: Vec::new(),
         })
@@ -121,15 +121,15 @@
     pub fn step(&mut self, now: Time, event: TrafficEvent) -> Vec<TrafficAction> {
         self.run_timers(now);
         match event {
-            TrafficEvent::Arrive { caller, call } => self.arrive(now, caller, &call),
-            TrafficEvent::CallerLeft { caller } => self.caller_left(now, caller),
+            TrafficEvent::Arrive { caller, call } => self.handle_call(now, caller, &call),
+            TrafficEvent::CallerLeft { caller } => self.handle_caller_left(now, caller),
             TrafficEvent::Part {
                 attempt,
                 echo,
                 offset,
                 data,
-            } => self.part(now, attempt, echo, offset, &data),
-            TrafficEvent::TargetLeaves { attempt } => self.take_target_report(now, attempt, None, true),
+            } => self.handle_part(now, attempt, echo, offset, &data),
+            TrafficEvent::TargetLeaves { attempt } => self.apply_answer_report(now, attempt, None, true),
             TrafficEvent::Ended {
                 attempt,
                 echo,
@@ -137,8 +137,8 @@
                 report,
                 leaving,
             } => {
-                self.take_target_report(now, attempt, report, leaving);
-                self.ended(now, attempt, echo, end);
+                self.apply_answer_report(now, attempt, report, leaving);
+                self.handle_attempt_end(now, attempt, echo, end);
             }
             TrafficEvent::Probed {
                 target,
@@ -146,7 +146,7 @@
                 report,
                 leaving,
             } => {
-                self.probed(now, target, ok, report, leaving);
+                self.handle_probe_result(now, target, ok, report, leaving);
             }
             TrafficEvent::Tick => {}
         }
@@ -177,15 +177,15 @@
             }
         }
         if targets_changed {
-            self.take_targets();
+            self.apply_targets();
         }
         for service in 0..self.services.len() {
-            self.pump(now, ServiceIx(service as u16));
+            self.dispatch_waiting(now, ServiceIx(service as u16));
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn take_targets(&mut self) {
+    fn apply_targets(&mut self) {
         let plan = Arc::clone(&self.plan);
         for service in &mut self.services {
             service.targets.clear();
@@ -193,7 +193,7 @@
         for listed in plan.targets.iter() {
             if let Some(service) = self.services.get_mut(usize::from(listed.service.0)) {
                 service.targets.push(listed.id);
-                self.take_target(listed);
+                self.apply_target(listed);
             }
         }
         // A target that is off the list gets nothing new; what it still works on may finish.
@@ -202,7 +202,7 @@
             .retain(|id, target| listed.contains(id) || target.in_flight > 0);
     }
 
-    fn take_target(&mut self, listed: &PlanTarget) {
+    fn apply_target(&mut self, listed: &PlanTarget) {
         let mut listed = listed.clone();
         listed.share /= f64::from(self.settings.lanes.max(1));
         let policy = &self.settings.policy;
@@ -227,8 +227,8 @@
     // Timers
 
     fn run_timers(&mut self, now: Time) {
-        self.memory.expire(now);
-        self.timers_due(now);
+        self.key_memory.expire(now);
+        self.fire_request_timers(now);
         let due: Vec<TargetId> = self
             .targets
             .iter()
@@ -236,16 +236,16 @@
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            self.probe(id);
+            self.send_probe(id);
         }
     }
 
-    fn timers_due(&mut self, now: Time) {
+    fn fire_request_timers(&mut self, now: Time) {
         while let Some(&(at, request)) = self.timers.first()
             && at <= now
         {
             self.timers.pop_first();
-            self.wake(now, request);
+            self.handle_timer(now, request);
         }
     }
 
@@ -257,7 +257,7 @@
         }
     }
 
-    fn probe(&mut self, id: TargetId) {
+    fn send_probe(&mut self, id: TargetId) {
         if let Some(target) = self.targets.get_mut(&id) {
             target.probe_at = None;
             let address = target.plan.address.clone();
@@ -279,18 +279,18 @@
     }
 
     /// Requests that have been admitted and not ended.
-    pub fn live(&self) -> usize {
+    pub fn live_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Requests whose next step waits.
-    pub fn waiting(&self) -> u32 {
+    pub fn waiting_steps(&self) -> u32 {
         self.services.iter().map(|service| service.queue.len()).sum()
     }
 
     /// Unrepeatable keys that are remembered.
-    pub fn remembered(&self) -> usize {
-        self.memory.len()
+    pub fn remembered_keys(&self) -> usize {
+        self.key_memory.len()
     }
 
     /// Organisations for which this router holds state now.
@@ -311,8 +311,8 @@
         self.plan.serving == Serving::Stopping
     }
 
-    /// Another live entry node to go to, for callers that are turned away.
-    fn elsewhere(&self, spread: u128) -> Option<String> {
+    /// Another live entry node to go to, for callers that are rejection away.
+    fn redirect_address(&self, spread: u128) -> Option<String> {
         let peers = self.plan.addresses("", None, spread);
         let other = peers
             .iter()
@@ -326,7 +326,7 @@
 
     /// Whether the plan is too old to be acted on: the control thread hangs, or the process slept.
     fn plan_stale(&self, now: Time) -> bool {
-        !self.plan.fresh(now, self.settings.plan_age) && self.enforces(Guard::PlanAge)
+        !self.plan.fresh(now, self.settings.max_plan_age) && self.enforces(Guard::PlanAge)
     }
 
     fn count(&mut self, counter: Counter) {
--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -425,8 +425,8 @@
         let router = &self.bench.router;
         let in_flight: u32 = router.targets().map(|target| target.in_flight).sum();
         let left = (
-            router.live(),
-            router.waiting(),
+            router.live_requests(),
+            router.waiting_steps(),
             in_flight,
             router.active_organisations(),
         );
--- a/crates/barleyspool_core/tests/router.rs
+++ b/crates/barleyspool_core/tests/router.rs
@@ -195,7 +195,7 @@
     bench.answer_all(ms(5));
     bench.pass(ms(2000));
     assert_eq!(
-        bench.router.remembered(),
+        bench.router.remembered_keys(),
         0,
         "forgotten after the deadline and the skew"
     );
@@ -811,7 +811,7 @@
     bench.arrive(summary("b", "large", START + ms(1000)));
     assert!(bench.router.active_organisations() > 0);
     bench.answer_all(ms(5));
-    assert_eq!((bench.router.active_organisations(), bench.router.live()), (0, 0));
+    assert_eq!((bench.router.active_organisations(), bench.router.live_requests()), (0, 0));
 }
 
 /// The same events give the same actions: what was recorded can be replayed.
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -243,8 +243,8 @@
         };
         let stats = LaneStats {
             counters: self.router.counters().clone(),
-            live: self.router.live(),
-            waiting: self.router.waiting(),
+            live: self.router.live_requests(),
+            waiting: self.router.waiting_steps(),
             targets: self.router.targets().map(view).collect(),
         };
         self.log_changes(&stats);
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -154,13 +154,13 @@
         RouterSettings {
             node: self.node,
             // Each lane numbers its requests by itself, so each is a run of its own to targets.
-            run: Incarnation(run.0 + u64::from(lane)),
+            incarnation: Incarnation(run.0 + u64::from(lane)),
             lanes: self.lanes,
             seed: run.0 ^ (u64::from(self.node.0) << 32) ^ u64::from(lane),
             max_payload: self.max_payload,
             max_answer: self.max_answer,
             max_keys: self.max_keys.div_ceil(self.lanes as usize),
-            plan_age: self.plan_age,
+            max_plan_age: self.plan_age,
             skew: self.rules.skew,
             ..RouterSettings::default()
         }
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -458,10 +458,10 @@
     let mut bench = Bench::new(47_000, 9, 40)?;
     let before = resident(std::process::id());
     for active in [5, 500, 5_000, 23_500, 47_000] {
-        (bench.router.live()..active).for_each(|organisation| bench.arrive(organisation));
+        (bench.router.live_requests()..active).for_each(|organisation| bench.arrive(organisation));
         if active >= 5_000 {
             let used = resident(std::process::id()).saturating_sub(before);
-            memory.push((bench.router.live() as f64, used as f64 / 1e6));
+            memory.push((bench.router.live_requests() as f64, used as f64 / 1e6));
         }
         // Deciding about one more, with all of those waiting.
         let best = (0..5)
