--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The latest time at which the current step can start so that the remaining steps can meet the
-    /// deadline.
+    /// The latest time at which the current step can start so that it and the later steps can meet
+    /// the deadline.
     pub(super) fn start_by(&self, id: RequestId) -> Option<Time> {
         let request = self.requests.get(id)?;
         if !self.settings.policy.admission {
