--- a/crates/barleyspool_core/src/forward/evacuations.rs
+++ b/crates/barleyspool_core/src/forward/evacuations.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 /// How long a zone stays evacuated that is not in a copy from which the source came back: by then what the operator wrote is written again.
-const UNCONFIRMED: Span = Span::from_secs(10);
+const UNCONFIRMED_TTL: Span = Span::from_secs(10);
 
 /// The zones that the operator has evacuated, at one revision of the platform. Nothing new is sent to the targets of such a
 /// zone until it is opened again.
@@ -37,7 +37,7 @@
         }
         if self.at != Revision(0) && at.era() > self.at.era() {
             self.unconfirmed.clone_from(&self.zones);
-            self.until = now + UNCONFIRMED;
+            self.until = now + UNCONFIRMED_TTL;
         }
         self.unconfirmed.retain(|zone| !zones.contains(zone));
         if now < self.until {
@@ -45,18 +45,18 @@
         }
         let changed = self.zones != zones;
         self.zones = zones;
-        self.took(at, changed)
+        self.finish_update(at, changed)
     }
 
     /// Takes what another node knows; false when the zones are the same afterwards.
-    pub fn take(&mut self, now: Time, other: Self) -> bool {
+    pub fn merge(&mut self, now: Time, other: Self) -> bool {
         if other.at < self.at {
             return false;
         }
         let changed = self.replace(now, other.at, other.zones);
         if !other.unconfirmed.is_empty() {
             if self.unconfirmed.is_empty() {
-                self.until = now + UNCONFIRMED;
+                self.until = now + UNCONFIRMED_TTL;
             }
             self.unconfirmed.extend(other.unconfirmed);
         }
@@ -89,10 +89,10 @@
             }
         }
         let changed = self.zones != before;
-        self.took(at, changed)
+        self.finish_update(at, changed)
     }
 
-    fn took(&mut self, at: Revision, changed: bool) -> bool {
+    fn finish_update(&mut self, at: Revision, changed: bool) -> bool {
         self.at = at;
         if changed {
             self.changed_at = at;
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -1,6 +1,6 @@
 //! Which target answers a forwarded call, and whether a call may be sent again.
 
-use super::target_choice::own_tokens;
+use super::target_choice::unshared_tokens;
 use super::{
     Catalog, ForwardPlan, MemberView, RetryWindow, SendEnd, ServiceTargets, TargetChoice, TargetEntry,
     TargetKey, TargetQuery, TargetRecord, TargetTable,
@@ -180,7 +180,7 @@
         for (id, entry) in plan.targets.iter() {
             match self.by_id.get(id).and_then(|key| self.targets.get_mut(*key)) {
                 Some(record) if record.entry == *entry && record.entry.times == entry.times => {}
-                Some(record) if record.entry.run == entry.run => record.entry = entry.clone(),
+                Some(record) if record.entry.incarnation == entry.incarnation => record.entry = entry.clone(),
                 // Nothing that was seen of the run before holds for this one; its sends end without a record.
                 _ => self.insert(entry),
             }
@@ -210,13 +210,13 @@
     pub fn usable(&mut self, now: Time, id: &str) -> Option<TargetChoice> {
         let key = *self.by_id.get(id)?;
         let record = self.targets.get_mut(key)?;
-        let usable = record.usable(now, &self.chart) && record.rest(now) == Span::ZERO;
+        let usable = record.usable(now, &self.chart) && record.cooldown(now) == Span::ZERO;
         usable.then(|| TargetChoice {
             target: key,
             id: record.entry.id.clone(),
             address: record.entry.address.clone(),
             source: None,
-            bounded: false,
+            rate_limited: false,
             wait: Span::ZERO,
         })
     }
@@ -230,7 +230,7 @@
     pub fn leaving_incarnation(&self, sent: Time, id: &str) -> Option<IncarnationId> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         let entry = &record.entry;
-        (!entry.leaving && sent >= entry.times.restarted).then_some(record.mark)
+        (!entry.leaving && sent >= entry.times.restarted_at).then_some(record.incarnation_id)
     }
 
     /// What is known of one target.
@@ -245,11 +245,12 @@
     pub fn begin(&mut self, now: Time, need: &TargetQuery, target: TargetKey) -> SendKey {
         let (expected, unread, queue_tokens) = match need.engine_memory {
             Some(memory) => {
-                let unread = own_tokens(need) + self.unread_prefix(now, need, memory, target, None);
+                let unread =
+                    unshared_tokens(need) + self.uncached_prefix_tokens(now, need, memory, target, None);
                 let before = self
                     .targets
                     .get(target)
-                    .map_or(0.0, |record| record.unread_tokens);
+                    .map_or(0.0, |record| record.pending_prefill_tokens);
                 let tokens = before + unread;
                 (tokens / self.read_rate * 1000.0, unread, tokens)
             }
@@ -257,7 +258,7 @@
         };
         if let Some(record) = self.targets.get_mut(target) {
             record.in_flight += 1;
-            record.unread_tokens += unread;
+            record.pending_prefill_tokens += unread;
             if need.prefix != 0 {
                 record.prefixes.record(now, need.prefix, need.prefix_tokens);
             }
@@ -307,12 +308,12 @@
         let Some(record) = self.targets.get_mut(send.target) else {
             return;
         };
-        record.unread_tokens = (record.unread_tokens - send.unread).max(0.0);
+        record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
         if send.queue_tokens >= LEAST_TOKENS {
             let rate = send.queue_tokens * 1000.0 / took;
             self.read_rate += GAIN * (rate - self.read_rate);
             self.read_rate = self.read_rate.max(1.0);
-            record.answered(now, took / send.expected.max(10_000.0), false, &self.chart);
+            record.record_answer(now, took / send.expected.max(10_000.0), false, &self.chart);
         }
     }
 
@@ -328,12 +329,12 @@
         let service = record.entry.service.clone();
         record.in_flight = record.in_flight.saturating_sub(1);
         if !send.first_output {
-            record.unread_tokens = (record.unread_tokens - send.unread).max(0.0);
+            record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
         }
         match end {
             SendEnd::Answered { success } => {
                 if send.queue_tokens == 0.0 {
-                    record.answered(now, took / send.expected.max(1000.0), !success, &self.chart);
+                    record.record_answer(now, took / send.expected.max(1000.0), !success, &self.chart);
                     if success {
                         let average = self.answer_time.entry(service).or_insert(took);
                         *average += GAIN * (took - *average);
@@ -352,7 +353,7 @@
                 self.failed(now, send.target, false)
             }
             SendEnd::Unreachable => self.failed(now, send.target, true),
-            SendEnd::BrokenOff | SendEnd::Silent => self.failed(now, send.target, false),
+            SendEnd::BrokenOff | SendEnd::TimedOut => self.failed(now, send.target, false),
         }
     }
 
@@ -364,7 +365,7 @@
         if let Some(record) = self.targets.get_mut(send.target) {
             record.in_flight = record.in_flight.saturating_sub(1);
             if !send.first_output {
-                record.unread_tokens = (record.unread_tokens - send.unread).max(0.0);
+                record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
             }
         }
     }
@@ -392,7 +393,7 @@
             record.failing += 0.2 * (1.0 - record.failing);
             return false;
         }
-        record.failed(now, certain, &self.chart)
+        record.record_failure(now, certain, &self.chart)
     }
 
     // ------------------------------------------------------------------------
@@ -402,10 +403,10 @@
     pub fn count_request(&mut self, now: Time, service: &str) {
         let window = self.settings.retry_window;
         match self.retries.get_mut(service) {
-            Some(retries) => retries.request(now, window),
+            Some(retries) => retries.record_request(now, window),
             None => {
                 let mut retries = RetryWindow::default();
-                retries.request(now, window);
+                retries.record_request(now, window);
                 self.retries.insert(service.to_owned(), retries);
             }
         }
@@ -415,7 +416,7 @@
     pub fn allow_retry(&mut self, now: Time, service: &str) -> bool {
         let settings = &self.settings;
         let fixed = settings.retry_fixed / self.members.len().max(1) as f64;
-        self.retries.entry(service.to_owned()).or_default().spend(
+        self.retries.entry(service.to_owned()).or_default().try_spend(
             now,
             settings.retry_window,
             settings.retry_ratio,
--- a/crates/barleyspool_core/src/forward/initial_list_read.rs
+++ b/crates/barleyspool_core/src/forward/initial_list_read.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether it reads now.
-    pub fn reads(&self, now: Time, view: FleetView) -> bool {
+    pub fn should_read(&self, now: Time, view: FleetView) -> bool {
         if now >= self.fallback_at(view.nodes) {
             return true;
         }
@@ -55,7 +55,7 @@
     }
 
     /// When it looks again whether it reads, if it does not at `now`.
-    pub fn look_at(&self, now: Time, view: FleetView) -> Time {
+    pub fn next_check(&self, now: Time, view: FleetView) -> Time {
         let due = [(view.seed, SEED_WAIT), (view.reader, READER_WAIT)];
         let due = due.into_iter().filter(|(applies, _)| *applies);
         let due = due.map(|(_, wait)| self.started + wait).filter(|at| *at > now);
--- a/crates/barleyspool_core/src/forward/leaving_incarnations.rs
+++ b/crates/barleyspool_core/src/forward/leaving_incarnations.rs
@@ -11,7 +11,8 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingUpdate {
     /// The run of the target.
-    pub run: IncarnationId,
+    #[serde(rename = "run")]
+    pub incarnation: IncarnationId,
     /// How long ago a node read that, in milliseconds.
     pub age: u32,
 }
@@ -27,14 +28,14 @@
 
 impl LeavingIncarnations {
     /// Notes that a run leaves; false when that was known.
-    pub fn note(&mut self, now: Time, run: IncarnationId) -> bool {
+    pub fn record(&mut self, now: Time, run: IncarnationId) -> bool {
         self.insert(run, now)
     }
 
     /// Takes what another node passes on; false when it was known, or is too old to be passed on again.
-    pub fn take(&mut self, now: Time, update: LeavingUpdate) -> bool {
+    pub fn merge(&mut self, now: Time, update: LeavingUpdate) -> bool {
         let age = Span::from_millis(u64::from(update.age));
-        age < KEPT && self.insert(update.run, now - age)
+        age < KEPT && self.insert(update.incarnation, now - age)
     }
 
     /// Whether a run is known to leave.
@@ -51,11 +52,14 @@
     pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LeavingUpdate> {
         let read_at = self.read_at.get(&run)?;
         let age = u32::try_from(now.since(*read_at).as_millis()).unwrap_or(u32::MAX);
-        Some(LeavingUpdate { run, age })
+        Some(LeavingUpdate {
+            incarnation: run,
+            age,
+        })
     }
 
     /// Forgets runs of which nobody has read that for long, but for those that `keeps` names.
-    pub fn forget(&mut self, now: Time, keeps: impl Fn(IncarnationId) -> bool) {
+    pub fn expire(&mut self, now: Time, keeps: impl Fn(IncarnationId) -> bool) {
         self.read_at
             .retain(|run, at| now.since(*at) < KEPT || keeps(*run));
     }
--- a/crates/barleyspool_core/src/forward/packed_list.rs
+++ b/crates/barleyspool_core/src/forward/packed_list.rs
@@ -61,13 +61,16 @@
 impl PackedList {
     /// Packs a list.
     pub fn pack(table: &TargetTable) -> Self {
-        let runs = table.values().map(|entry| entry.run.0).filter(|run| *run != 0);
+        let runs = table
+            .values()
+            .map(|entry| entry.incarnation.0)
+            .filter(|run| *run != 0);
         let run_base = runs.min().unwrap_or_default();
         let mut services = Names::default();
         let mut zones = Names::default();
         let pack = |entry: &TargetEntry| PackedTarget {
             id: entry.id.clone(),
-            run: (entry.run != TargetIncarnation(0)).then(|| entry.run.0 - run_base),
+            run: (entry.incarnation != TargetIncarnation(0)).then(|| entry.incarnation.0 - run_base),
             sequence: entry.sequence,
             service: services.place(&entry.service),
             zone: zones.place(&entry.zone),
@@ -105,7 +108,7 @@
             let service = self.services.get(target.service);
             let zone = self.zones.get(target.zone);
             let entry = TargetEntry {
-                run: TargetIncarnation(target.run.map_or(0, |run| run.saturating_add(self.run_base))),
+                incarnation: TargetIncarnation(target.run.map_or(0, |run| run.saturating_add(self.run_base))),
                 sequence: target.sequence,
                 service: service.cloned().ok_or(UnpackError::Service(place))?,
                 address: unpack_address(target.address),
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -78,11 +78,11 @@
             !slow || retry_due || overloaded
         };
         let mut idle: Vec<IdleTarget> = usable()
-            .filter(|(_, target)| target.calls < slots && worth_using(target))
+            .filter(|(_, target)| target.in_flight < slots && worth_using(target))
             .map(|(id, target)| IdleTarget {
                 id: id.clone(),
                 zone: target.entry.zone.clone(),
-                suspect: target.overdue_row > 0,
+                suspect: target.overdue_streak > 0,
                 slowness: (target.slowness * 10.0) as u64,
             })
             .collect();
@@ -173,7 +173,7 @@
         target: &IdleTarget,
         size: u32,
     ) -> Vec<BatchItem> {
-        let room = |target: &PoolTarget| target.free_room(now, self.spec.room);
+        let room = |target: &PoolTarget| target.free_capacity(now, self.spec.result_capacity);
         let mut room = self.targets.get(&target.id).map_or(0, room);
         let mut items = Vec::new();
         for key in self.eligible(now, loads, target) {
--- a/crates/barleyspool_core/src/forward/piece_plan_update.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -20,7 +20,9 @@
     ) {
         self.spec = spec.clone();
         let same_incarnation = |id: &String, target: &PoolTarget| {
-            table.get(id).is_none_or(|entry| entry.run == target.entry.run)
+            table
+                .get(id)
+                .is_none_or(|entry| entry.incarnation == target.entry.incarnation)
         };
         let ended: Vec<(String, String)> = self
             .targets
@@ -32,7 +34,7 @@
             self.incarnation_ended(&id, &address);
         }
         self.targets
-            .retain(|id, target| table.contains_key(id) || target.calls > 0);
+            .retain(|id, target| table.contains_key(id) || target.in_flight > 0);
         for (id, entry) in table.iter().filter(|(_, entry)| mine(entry)) {
             let new = || PoolTarget::new(entry.clone());
             self.targets.entry(id.clone()).or_insert_with(new);
@@ -41,7 +43,7 @@
             match table.get(id) {
                 Some(entry) => {
                     target.owned = mine(entry);
-                    target.take_entry(entry, cold);
+                    target.apply_entry(entry, cold);
                 }
                 None => target.entry.leaving = true,
             }
@@ -51,14 +53,14 @@
     /// Takes what targets said of their limits, and what this node, of key `me`, may give out of the rates of the pool's targets.
     pub fn apply_rates(&mut self, now: Time, share: RateShare, me: u64, limit: impl Fn(&str) -> Option<f64>) {
         for (id, target) in &mut self.targets {
-            target.take_rate(now, limit(id), share, me);
+            target.apply_rate(now, limit(id), share, me);
         }
     }
 
     /// Takes until when each target wants nothing from this node.
     pub fn apply_cooldowns(&mut self, rest_until: impl Fn(&str) -> Time) {
         for (id, target) in &mut self.targets {
-            target.rest_until = rest_until(id);
+            target.cooldown_until = rest_until(id);
         }
     }
 
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -164,15 +164,15 @@
         let expected = self.call_time(items.len() as u32).scale(slowness);
         let bytes = |item: &BatchItem| self.orders.get(item.order).map_or(0, |order| order.order.bytes);
         let reserved = items.iter().map(bytes).sum();
-        let stored_before = self.targets.get(&target).map_or(0, |target| target.kept);
+        let stored_before = self.targets.get(&target).map_or(0, |target| target.stored_bytes);
         let (id, address, incarnation) = match self.targets.get_mut(&target) {
             Some(target) => {
-                target.sent(now);
-                target.kept += reserved;
+                target.record_call(now);
+                target.stored_bytes += reserved;
                 (
                     target.entry.id.clone(),
                     target.entry.address.clone(),
-                    target.entry.run,
+                    target.entry.incarnation,
                 )
             }
             None => (String::new(), String::new(), TargetIncarnation::default()),
@@ -219,8 +219,8 @@
         };
         if let Some(target) = self.target_of(&call) {
             // The place of an overdue call was given away when it became overdue.
-            target.calls = target.calls.saturating_sub(u32::from(!call.overdue));
-            target.kept = target.kept.saturating_sub(call.reserved);
+            target.in_flight = target.in_flight.saturating_sub(u32::from(!call.overdue));
+            target.stored_bytes = target.stored_bytes.saturating_sub(call.reserved);
         }
         match outcome {
             BatchOutcome::Done(outcomes) if self.matches_call(&call, &outcomes) => {
@@ -228,24 +228,24 @@
                 true
             }
             BatchOutcome::Refused { misdirected: false } => {
-                self.update_target(&call, |target| target.was_full(now));
+                self.update_target(&call, |target| target.record_full(now));
                 self.requeue(&call, false);
                 true
             }
             BatchOutcome::Refused { misdirected: true } | BatchOutcome::Unreachable => {
-                self.update_target(&call, |target| target.failed(now));
+                self.update_target(&call, |target| target.record_failure(now));
                 self.requeue(&call, false);
                 false
             }
             BatchOutcome::TargetCrashed => {
-                self.update_target(&call, |target| target.failed(now));
+                self.update_target(&call, |target| target.record_failure(now));
                 self.count_crash(&call);
                 self.requeue(&call, true);
                 false
             }
             // An answer that is none of this call says as little of its pieces as none at all.
             BatchOutcome::Done(_) | BatchOutcome::BrokenOff => {
-                self.update_target(&call, |target| target.failed(now));
+                self.update_target(&call, |target| target.record_failure(now));
                 self.requeue(&call, true);
                 false
             }
@@ -276,7 +276,7 @@
     /// a later one.
     fn target_of(&mut self, call: &InFlightCall) -> Option<&mut PoolTarget> {
         let target = self.targets.get_mut(&call.target);
-        target.filter(|target| target.entry.run == call.incarnation)
+        target.filter(|target| target.entry.incarnation == call.incarnation)
     }
 
     /// Whether an answer can belong to a call: one outcome for each piece, and no result that an earlier answer
@@ -293,7 +293,7 @@
     fn handle_answer(&mut self, now: Time, call: &InFlightCall, outcomes: Vec<PieceOutcome>) {
         let base = self.call_time(call.items.len() as u32).0.max(1) as f64;
         let relative = now.since(call.started).0 as f64 / base;
-        self.update_target(call, |target| target.answered(now, relative));
+        self.update_target(call, |target| target.record_answer(now, relative));
         // The slowdown of the whole pool changes slowly and little, so that one slow target does not look normal.
         self.slowdown = (self.slowdown * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
         let mut made = 0;
@@ -308,8 +308,8 @@
             self.handle_piece_outcome(now, call, item, outcome);
         }
         if let Some(bytes) = refused {
-            let (room, known) = (self.spec.room, call.stored_before + made);
-            self.update_target(call, |target| target.had_no_room(now, room, known, bytes));
+            let (room, known) = (self.spec.result_capacity, call.stored_before + made);
+            self.update_target(call, |target| target.record_no_capacity(now, room, known, bytes));
         }
     }
 
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -25,7 +25,7 @@
             };
             let copy = call.clone();
             call.overdue = true;
-            self.update_target(&copy, |target| target.overdue(now));
+            self.update_target(&copy, |target| target.record_overdue(now));
             for item in &copy.items {
                 self.requeue_item(item, true);
             }
@@ -45,14 +45,14 @@
             .targets
             .values()
             .filter(|_| has_waiting)
-            .map(|target| target.out_until.max(target.rest_until))
+            .map(|target| target.excluded_until.max(target.cooldown_until))
             .filter(|at| *at > now)
             .min();
         let rate = self
             .targets
             .values()
-            .filter(|target| has_waiting && target.works(now))
-            .map(|target| target.room_in(now))
+            .filter(|target| has_waiting && target.is_available(now))
+            .map(|target| target.capacity_wait(now))
             .filter(|wait| *wait > Span::ZERO)
             .min()
             .map(|wait| now + wait);
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -63,9 +63,11 @@
 
     /// When targets that ran again under their id were seen to, by address.
     pub fn restarts_by_address(targets: &TargetTable) -> HashMap<String, Time> {
-        let restarted = targets.values().filter(|entry| entry.times.restarted > Time(0));
+        let restarted = targets
+            .values()
+            .filter(|entry| entry.times.restarted_at > Time(0));
         restarted
-            .map(|entry| (entry.address.clone(), entry.times.restarted))
+            .map(|entry| (entry.address.clone(), entry.times.restarted_at))
             .collect()
     }
 
@@ -78,7 +80,7 @@
 
     /// How many listed targets name a limit.
     pub fn count_rate_limited(&self) -> usize {
-        let named = |entry: &&TargetEntry| self.limits.named(entry.mark()).is_some();
+        let named = |entry: &&TargetEntry| self.limits.named(entry.incarnation_id()).is_some();
         self.targets.values().filter(named).count()
     }
 
--- a/crates/barleyspool_core/src/forward/pool_shards.rs
+++ b/crates/barleyspool_core/src/forward/pool_shards.rs
@@ -52,7 +52,7 @@
             working: 0,
         };
         shards.create_shards();
-        for entry in entries().filter(|entry| entry.takes_work()) {
+        for entry in entries().filter(|entry| entry.accepts_work()) {
             shards.count_target(entry);
         }
         shards
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -32,23 +32,23 @@
     /// Whether it belongs to the shard of the pool that this node owns.
     pub owned: bool,
     /// Calls that it is working on for this node.
-    pub calls: u32,
+    pub in_flight: u32,
     /// Time of its calls over what was expected.
     pub slowness: f64,
     /// Bytes of results that it keeps.
-    pub kept: u64,
+    pub stored_bytes: u64,
     /// When it may get calls again.
-    pub out_until: Time,
+    pub excluded_until: Time,
     /// Until when it wants nothing from this node.
-    pub(super) rest_until: Time,
-    out_for: Span,
+    pub(super) cooldown_until: Time,
+    next_exclusion: Span,
     /// Calls in a row that took far too long.
-    pub overdue_row: u32,
+    pub overdue_streak: u32,
     full_for: Span,
-    /// Bytes that it kept, when it last had no room, of which this node does not know.
-    unknown: u64,
+    /// Bytes that it stored_bytes, when it last had no room, of which this node does not know.
+    unaccounted_bytes: u64,
     /// Until when that is reckoned with.
-    unknown_until: Time,
+    unaccounted_until: Time,
     /// When a call of it was last measured.
     pub measured: Time,
     /// How it is after a start, when it bears little then.
@@ -68,50 +68,51 @@
             entry,
             owned: true,
             slowness: 1.0,
-            out_for: OUT_FIRST,
+            next_exclusion: OUT_FIRST,
             full_for: FULL_FIRST,
             ..Self::default()
         }
     }
 
     /// Takes what the list says of it, and how its service is after a start.
-    pub fn take_entry(&mut self, entry: &TargetEntry, spec: Option<ColdSpec>) {
+    pub fn apply_entry(&mut self, entry: &TargetEntry, spec: Option<ColdSpec>) {
         self.entry = entry.clone();
         self.cold = spec;
     }
 
     /// Takes what it said of its limit, and what this node, of key `me`, may give out of its rate.
-    pub(super) fn take_rate(&mut self, now: Time, limit: Option<f64>, share: RateShare, me: u64) {
+    pub(super) fn apply_rate(&mut self, now: Time, limit: Option<f64>, share: RateShare, me: u64) {
         self.limit = limit;
         self.share = share;
         self.bucket.begin(now, share, (self.hash, me));
     }
 
     /// What bounds it now; `None` when nothing does.
-    fn bound(&self, now: Time) -> Option<RateLimit> {
+    fn rate_limit(&self, now: Time) -> Option<RateLimit> {
         lowest_rate_limit(now, &self.entry, self.cold, self.limit)
     }
 
     /// The calls a second that it may get from here; `None` when nothing bounds it.
     pub(super) fn rate(&self, now: Time) -> Option<f64> {
-        Some(self.bound(now)?.per_s * self.share.part)
+        Some(self.rate_limit(now)?.per_s * self.share.part)
     }
 
     /// How long until its rate allows it another call.
-    pub(super) fn room_in(&self, now: Time) -> Span {
-        let wait = |bound: RateLimit| bound.wait(now, self.bucket.wait(now, bound.per_s, self.share));
-        self.bound(now).map_or(Span::ZERO, wait)
+    pub(super) fn capacity_wait(&self, now: Time) -> Span {
+        let wait =
+            |rate_limit: RateLimit| rate_limit.wait(now, self.bucket.wait(now, rate_limit.per_s, self.share));
+        self.rate_limit(now).map_or(Span::ZERO, wait)
     }
 
     /// Whether it may be told now to drop results. That is one of the requests to which it limits itself; a target that is only cold
     /// does no work for it.
-    pub(super) fn takes_frees(&self, now: Time) -> bool {
-        let room = self.limit.is_none() || self.room_in(now) == Span::ZERO;
-        self.entry.takes_frees() && room && now >= self.rest_until
+    pub(super) fn accepts_release(&self, now: Time) -> bool {
+        let room = self.limit.is_none() || self.capacity_wait(now) == Span::ZERO;
+        self.entry.accepts_release() && room && now >= self.cooldown_until
     }
 
     /// It is told to drop results.
-    pub(super) fn count_free(&mut self, now: Time) {
+    pub(super) fn count_release(&mut self, now: Time) {
         if self.limit.is_some() {
             self.count(now);
         }
@@ -119,38 +120,43 @@
 
     /// Whether it may get calls now.
     pub fn usable(&self, now: Time) -> bool {
-        self.works(now) && self.room_in(now) == Span::ZERO
+        self.is_available(now) && self.capacity_wait(now) == Span::ZERO
     }
 
     /// Whether it could get calls now, but for its rate.
-    pub(super) fn works(&self, now: Time) -> bool {
-        self.owned && self.entry.takes_work() && now >= self.out_until.max(self.rest_until)
+    pub(super) fn is_available(&self, now: Time) -> bool {
+        self.owned && self.entry.accepts_work() && now >= self.excluded_until.max(self.cooldown_until)
     }
 
     /// A call is sent to it.
-    pub fn sent(&mut self, now: Time) {
-        self.calls += 1;
+    pub fn record_call(&mut self, now: Time) {
+        self.in_flight += 1;
         self.count(now);
     }
 
     fn count(&mut self, now: Time) {
-        if let Some(bound) = self.bound(now) {
-            self.bucket.take(now, bound.per_s, self.share);
+        if let Some(rate_limit) = self.rate_limit(now) {
+            self.bucket.take(now, rate_limit.per_s, self.share);
         }
     }
 
     /// What it still has room for, of `room` bytes.
-    pub fn free_room(&self, now: Time, room: u64) -> u64 {
-        let unknown = if now < self.unknown_until { self.unknown } else { 0 };
-        room.saturating_sub(self.kept).saturating_sub(unknown)
+    pub fn free_capacity(&self, now: Time, room: u64) -> u64 {
+        let unaccounted_bytes = if now < self.unaccounted_until {
+            self.unaccounted_bytes
+        } else {
+            0
+        };
+        room.saturating_sub(self.stored_bytes)
+            .saturating_sub(unaccounted_bytes)
     }
 
     /// A call ended well; `relative` is its time over the expected one.
-    pub fn answered(&mut self, now: Time, relative: f64) {
+    pub fn record_answer(&mut self, now: Time, relative: f64) {
         self.slowness += GAIN * (relative - self.slowness);
         self.measured = now;
-        self.overdue_row = 0;
-        self.out_for = OUT_FIRST;
+        self.overdue_streak = 0;
+        self.next_exclusion = OUT_FIRST;
         self.full_for = FULL_FIRST;
     }
 
@@ -160,29 +166,29 @@
     /// Sizes of results are approximate, so that a pool whose room is nearly used up has one result in a hundred turned away. Taking
     /// most of a target's room for used then made calls of 50 pieces where 70 fit and 1,000 waited. Reckoning with what is missing
     /// gave 0.017 of worth (standard error 0.006, ten paired days of the shifted deployment, docs/design/shifted.md).
-    pub fn had_no_room(&mut self, now: Time, room: u64, known: u64, bytes: u64) {
+    pub fn record_no_capacity(&mut self, now: Time, room: u64, known: u64, bytes: u64) {
         let explained = (room + 1).saturating_sub(known + bytes);
-        self.unknown = explained;
-        self.unknown_until = now + NO_ROOM;
+        self.unaccounted_bytes = explained;
+        self.unaccounted_until = now + NO_ROOM;
     }
 
     /// It said that it is full.
-    pub fn was_full(&mut self, now: Time) {
-        self.out_until = self.out_until.max(now + self.full_for);
+    pub fn record_full(&mut self, now: Time) {
+        self.excluded_until = self.excluded_until.max(now + self.full_for);
         self.full_for = FULL_LONGEST.min(self.full_for + self.full_for);
     }
 
     /// A call failed in a way that says something of the target.
-    pub fn failed(&mut self, now: Time) {
-        self.out_until = now + self.out_for;
-        self.out_for = OUT_LONGEST.min(self.out_for + self.out_for);
+    pub fn record_failure(&mut self, now: Time) {
+        self.excluded_until = now + self.next_exclusion;
+        self.next_exclusion = OUT_LONGEST.min(self.next_exclusion + self.next_exclusion);
     }
 
     /// A call takes far too long. One lost answer says nothing of the target; two in a row say that it is slow.
-    pub fn overdue(&mut self, now: Time) {
-        self.calls = self.calls.saturating_sub(1);
-        self.overdue_row += 1;
-        if self.overdue_row >= SLOW_ROW {
+    pub fn record_overdue(&mut self, now: Time) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.overdue_streak += 1;
+        if self.overdue_streak >= SLOW_ROW {
             self.slowness = self.slowness.max(TOO_SLOW + 1.0);
             self.measured = now;
         }
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -26,34 +26,34 @@
     }
 
     /// What bounds a target now; `None` when nothing does.
-    pub(super) fn bound(&self, now: Time, key: TargetKey, cold: Option<ColdSpec>) -> Option<RateLimit> {
+    pub(super) fn rate_limit(&self, now: Time, key: TargetKey, cold: Option<ColdSpec>) -> Option<RateLimit> {
         let record = &self.targets[key];
-        let limit = self.limits.per_s(record.mark);
+        let limit = self.limits.per_s(record.incarnation_id);
         lowest_rate_limit(now, &record.entry, cold, limit)
     }
 
     /// Whether any target of a service takes so many calls a second and no more now.
-    pub fn has_bounds(&self, now: Time, service: &str) -> bool {
-        self.working_bounds(now, service)
-            .any(|(_, bound)| bound.is_some())
+    pub fn has_rate_limits(&self, now: Time, service: &str) -> bool {
+        self.working_rate_limits(now, service)
+            .any(|(_, rate_limit)| rate_limit.is_some())
     }
 
     /// Whether every target of a service that may get work takes so many calls a second and no more now.
-    pub fn all_bounded(&self, now: Time, service: &str) -> bool {
-        let mut bounds = self.working_bounds(now, service).peekable();
-        bounds.peek().is_some() && bounds.all(|(_, bound)| bound.is_some())
+    pub fn all_rate_limited(&self, now: Time, service: &str) -> bool {
+        let mut bounds = self.working_rate_limits(now, service).peekable();
+        bounds.peek().is_some() && bounds.all(|(_, rate_limit)| rate_limit.is_some())
     }
 
     /// The targets of a service that may get work, if not at this moment, and what bounds each.
-    pub(super) fn working_bounds(
+    pub(super) fn working_rate_limits(
         &self,
         now: Time,
         service: &str,
     ) -> impl Iterator<Item = (&TargetRecord, Option<RateLimit>)> {
         let cold = self.cold_spec(service);
         let keys = self.by_service.get(service).into_iter().flatten();
-        let targets = keys.map(move |key| (&self.targets[*key], self.bound(now, *key, cold)));
-        targets.filter(|(record, _)| record.entry.takes_work())
+        let targets = keys.map(move |key| (&self.targets[*key], self.rate_limit(now, *key, cold)));
+        targets.filter(|(record, _)| record.entry.accepts_work())
     }
 
     // ------------------------------------------------------------------------
@@ -61,7 +61,7 @@
 
     /// Takes what the answer of a target to a call said that was sent at `sent`. Returns the limit that stands now when
     /// others are to be notified.
-    pub fn take_limit_report(
+    pub fn apply_limit_report(
         &mut self,
         now: Time,
         sent: Time,
@@ -72,27 +72,27 @@
             // As nearly always: each answer comes by here.
             return None;
         }
-        let run = self.targets.get(*self.by_id.get(id)?)?.mark;
+        let run = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
         let before = self.limits.named(run);
         let is_new = self.limits.take_answer(now, sent, run, report);
         let per_s = self.limits.named(run);
         is_new.then_some(ReportedLimit {
-            run,
+            incarnation: run,
             per_s,
             changed: before != per_s,
         })
     }
 
     /// How many listed targets name a limit, as far as this node knows.
-    pub fn limited(&self) -> usize {
-        let named = |record: &&TargetRecord| self.limits.named(record.mark).is_some();
+    pub fn limited_count(&self) -> usize {
+        let named = |record: &&TargetRecord| self.limits.named(record.incarnation_id).is_some();
         self.targets.values().filter(named).count()
     }
 
     /// The calls a second that the target of that id named as its limit.
     pub fn limit(&self, id: &str) -> Option<f64> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
-        self.limits.per_s(record.mark)
+        self.limits.per_s(record.incarnation_id)
     }
 
     // ------------------------------------------------------------------------
@@ -136,23 +136,29 @@
         };
         let service = self.targets[key].entry.service.clone();
         let cold = self.cold_spec(&service);
-        let Some(bound) = self.bound(now, key, cold) else {
+        let Some(rate_limit) = self.rate_limit(now, key, cold) else {
             return Grant::After(Span::ZERO);
         };
         let share = self.rate_share(now, self.shard_of(key), asker);
-        let wait = self.room_in(now, key, bound, share);
-        if wait > max_wait || bound.ends_within(now, wait) {
-            return Grant::NoCapacity(share.ask_again(bound.wait(now, wait)));
+        let wait = self.capacity_wait(now, key, rate_limit, share);
+        if wait > max_wait || rate_limit.ends_within(now, wait) {
+            return Grant::NoCapacity(share.ask_again(rate_limit.wait(now, wait)));
         }
-        self.targets[key].bucket.take(now, bound.per_s, share);
+        self.targets[key].bucket.take(now, rate_limit.per_s, share);
         Grant::After(wait)
     }
 
     /// How long until the rate of a target allows one more call.
-    pub(super) fn room_in(&mut self, now: Time, key: TargetKey, bound: RateLimit, share: RateShare) -> Span {
+    pub(super) fn capacity_wait(
+        &mut self,
+        now: Time,
+        key: TargetKey,
+        rate_limit: RateLimit,
+        share: RateShare,
+    ) -> Span {
         let record = &mut self.targets[key];
         record.bucket.begin(now, share, (record.hash, self.me));
-        record.bucket.wait(now, bound.per_s, share)
+        record.bucket.wait(now, rate_limit.per_s, share)
     }
 
     /// The key of the shard to which a target belongs whose service has no pools.
@@ -175,10 +181,10 @@
     // What this node was told
 
     /// The node that gives out the rate of a target said that there is no room before `until`.
-    pub fn no_room(&mut self, now: Time, target: TargetKey, until: Time) {
+    pub fn note_no_capacity(&mut self, now: Time, target: TargetKey, until: Time) {
         if let Some(record) = self.targets.get_mut(target) {
-            record.no_room_until = until;
-            record.no_room_at = now;
+            record.no_capacity_until = until;
+            record.no_capacity_at = now;
         }
     }
 }
@@ -187,7 +193,7 @@
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct ReportedLimit {
     /// The run of the target.
-    pub run: IncarnationId,
+    pub incarnation: IncarnationId,
     /// The calls a second that it takes; `None` when it limits nothing any more.
     pub per_s: Option<f64>,
     /// Whether that is another limit than before.
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -17,9 +17,9 @@
 
 impl PieceQueue {
     pub(super) fn store_result(&mut self, now: Time, target: &str, handle: &str, bytes: u64) {
-        let expires_at = now + self.spec.hold;
+        let expires_at = now + self.spec.result_ttl;
         if let Some(target) = self.targets.get_mut(target) {
-            target.kept += bytes;
+            target.stored_bytes += bytes;
         }
         let result = StoredResult {
             target: target.to_owned(),
@@ -53,8 +53,8 @@
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            if target.takes_frees(now) && !(has_waiting && target.limit.is_some()) {
-                target.count_free(now);
+            if target.accepts_release(now) && !(has_waiting && target.limit.is_some()) {
+                target.count_release(now);
                 by_holder.insert(id, (target.entry.address.clone(), vec![handle]));
             }
         }
@@ -72,7 +72,7 @@
             };
             let bytes = std::mem::take(&mut result.bytes);
             if let Some(target) = self.targets.get_mut(&result.target) {
-                target.kept = target.kept.saturating_sub(bytes);
+                target.stored_bytes = target.stored_bytes.saturating_sub(bytes);
             }
         }
     }
@@ -103,7 +103,7 @@
         self.results.retain(|_, result| {
             let expired = now > result.expires_at;
             if expired && let Some(target) = targets.get_mut(&result.target) {
-                target.kept = target.kept.saturating_sub(result.bytes);
+                target.stored_bytes = target.stored_bytes.saturating_sub(result.bytes);
             }
             !expired
         });
--- a/crates/barleyspool_core/src/forward/retry_window.rs
+++ b/crates/barleyspool_core/src/forward/retry_window.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 /// How much of its part a node uses, so that uneven traffic among nodes stays within the whole.
-const SAFETY: f64 = 0.7;
+const BUDGET_USAGE: f64 = 0.7;
 
 /// Counts first sends and repeats of one service over a sliding window.
 ///
@@ -14,23 +14,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 impl RetryWindow {
     /// A request came for the service.
-    pub fn request(&mut self, now: Time, window: Span) {
+    pub fn record_request(&mut self, now: Time, window: Span) {
         self.expire(now, window);
         self.requests.push_back(now);
     }
 
     /// Takes one repeat out of the budget; false when it is used up.
-    pub fn spend(&mut self, now: Time, window: Span, ratio: f64, fixed: f64) -> bool {
+    pub fn try_spend(&mut self, now: Time, window: Span, ratio: f64, fixed: f64) -> bool {
         self.expire(now, window);
-        let allowed = SAFETY * (ratio * self.requests.len() as f64 + fixed);
-        let enough = (self.repeats.len() as f64) + 1.0 <= allowed;
+        let allowed = BUDGET_USAGE * (ratio * self.requests.len() as f64 + fixed);
+        let enough = (self.retries.len() as f64) + 1.0 <= allowed;
         if enough {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         enough
     }
@@ -42,6 +42,6 @@
             }
         };
         past(&mut self.requests);
-        past(&mut self.repeats);
+        past(&mut self.retries);
     }
 }
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -22,7 +22,7 @@
     /// Something was written, and no whole answer came back.
     BrokenOff,
     /// Something was written, and nothing came back for too long.
-    Silent,
+    TimedOut,
 }
 
 impl SendEnd {
@@ -31,7 +31,7 @@
         match self {
             Self::Answered { .. } => Fate::Ran,
             Self::Refused { .. } | Self::Unreachable => Fate::NotRun,
-            Self::BrokenOff | Self::Silent => Fate::Unknown,
+            Self::BrokenOff | Self::TimedOut => Fate::Unknown,
         }
     }
 
@@ -41,7 +41,7 @@
             Self::Answered { .. } | Self::BrokenOff => RetryReason::BrokenOff,
             Self::Refused { .. } => RetryReason::Refused,
             Self::Unreachable => RetryReason::Unreachable,
-            Self::Silent => RetryReason::TimedOut,
+            Self::TimedOut => RetryReason::TimedOut,
         }
     }
 }
@@ -59,7 +59,7 @@
 
 impl SendHistory {
     /// Takes the end of a send into account.
-    pub fn ended(&mut self, end: SendEnd) {
+    pub fn record_end(&mut self, end: SendEnd) {
         match end {
             SendEnd::Unreachable => self.unreached += 1,
             _ => self.sends += 1,
@@ -82,7 +82,7 @@
 }
 
 /// Targets that could not be reached at all do not count as sends, but are not tried without end.
-const MOST_UNREACHED: u32 = 3;
+const MAX_UNREACHED: u32 = 3;
 
 /// What follows a send that ended with `end`; `history` includes it. Whether the retry budget allows a
 /// retry is asked afterwards.
@@ -94,7 +94,7 @@
     history: SendHistory,
     end: SendEnd,
 ) -> NextStep {
-    let again = history.sends < max_sends.max(1) && history.unreached < MOST_UNREACHED && now < deadline;
+    let again = history.sends < max_sends.max(1) && history.unreached < MAX_UNREACHED && now < deadline;
     match end {
         SendEnd::Answered { success: true } => NextStep::Deliver,
         SendEnd::Answered { success: false } if repeatable && again => NextStep::Retry,
--- a/crates/barleyspool_core/src/forward/service_spec.rs
+++ b/crates/barleyspool_core/src/forward/service_spec.rs
@@ -24,28 +24,32 @@
     /// Pieces of one call.
     pub batch: u32,
     /// What a call takes apart from its pieces.
-    pub call: Span,
+    #[serde(rename = "call")]
+    pub call_overhead: Span,
     /// What one piece adds; approximate.
-    pub item: Span,
+    #[serde(rename = "item")]
+    pub piece_time: Span,
     /// Room for results, in bytes.
-    pub room: u64,
+    #[serde(rename = "room")]
+    pub result_capacity: u64,
     /// How long a result is kept after its call.
-    pub hold: Span,
+    #[serde(rename = "hold")]
+    pub result_ttl: Span,
     /// What its link carries, in megabits a second; 0 when not known.
     pub link_mbps: u64,
 }
 
 /// How long a target that was sent a call is given to fetch inputs, besides the time on the link.
-const FETCH_LEAST: Span = Span::from_millis(120);
+const FETCH_TIME_MIN: Span = Span::from_millis(120);
 /// The time on the link is reckoned this many times, since others use it too.
-const FETCH_SHARE: u64 = 4;
+const LINK_SHARING_FACTOR: u64 = 4;
 
 impl PoolSpec {
     /// How long results of `bytes` are kept for a target that was sent a call which needs them. `None` when the
     /// link is not known: then its first output shows that it has them.
     pub fn fetch_time(&self, bytes: u64) -> Option<Span> {
         let on_link = (bytes * 8).checked_div(self.link_mbps)?;
-        Some(FETCH_LEAST + Span(on_link * FETCH_SHARE))
+        Some(FETCH_TIME_MIN + Span(on_link * LINK_SHARING_FACTOR))
     }
 }
 
--- a/crates/barleyspool_core/src/forward/service_targets.rs
+++ b/crates/barleyspool_core/src/forward/service_targets.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// A service with more engines than this is split into shards.
-const ENGINE_SHARD: usize = 32;
+const MAX_ENGINES_PER_SHARD: usize = 32;
 
 /// The targets of one service.
 #[derive(Clone, Debug, Default)]
@@ -77,12 +77,12 @@
             working: 0,
             zones: BTreeMap::new(),
             pool: PoolShards::new(table, service),
-            engines: Shards::new(listed, ENGINE_SHARD),
+            engines: Shards::new(listed, MAX_ENGINES_PER_SHARD),
         };
         (service.to_owned(), targets)
     };
     let mut services: HashMap<String, ServiceTargets> = listed.into_iter().map(new).collect();
-    for entry in table.values().filter(|entry| entry.takes_work()) {
+    for entry in table.values().filter(|entry| entry.accepts_work()) {
         let Some(service) = services.get_mut(&entry.service) else {
             continue;
         };
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -41,92 +41,95 @@
 
 impl Forwarder {
     /// The target for a call.
-    pub fn choose(&mut self, now: Time, need: &TargetQuery) -> ChooseResult {
-        let Some(keys) = self.by_service.get(&need.service).cloned() else {
+    pub fn choose(&mut self, now: Time, query: &TargetQuery) -> ChooseResult {
+        let Some(keys) = self.by_service.get(&query.service).cloned() else {
             return ChooseResult::Busy(BUSY_WAIT);
         };
         let mut usable: Vec<TargetKey> = Vec::with_capacity(keys.len());
         for key in &keys {
             if let Some(record) = self.targets.get_mut(*key)
-                && need.placing.is_none_or(|shard| shard.holds(record.hash))
+                && query.placing.is_none_or(|shard| shard.holds(record.hash))
                 && record.usable(now, &self.chart)
-                && (need.for_other || record.rest(now) == Span::ZERO)
+                && (query.for_other_node || record.cooldown(now) == Span::ZERO)
             {
                 usable.push(*key);
             }
         }
-        let room = self.with_room(now, need, &mut usable);
-        if usable.iter().any(|key| !need.avoid.contains(key)) {
-            usable.retain(|key| !need.avoid.contains(key));
+        let room = self.with_room(now, query, &mut usable);
+        if usable.iter().any(|key| !query.avoid.contains(key)) {
+            usable.retain(|key| !query.avoid.contains(key));
         }
         if usable.is_empty() {
-            return self.when_room(now, need, &room);
+            return self.when_room(now, query, &room);
         }
-        let chosen = match need.engine_memory {
-            Some(memory) => self.choose_engine(now, need, memory, &usable),
-            None => self.choose_plain(now, need, &usable),
+        let chosen = match query.engine_memory {
+            Some(memory) => self.choose_engine(now, query, memory, &usable),
+            None => self.choose_plain(now, query, &usable),
         };
-        let source = need
+        let source = query
             .engine_memory
-            .filter(|_| need.copies)
-            .and_then(|memory| self.prefix_source(now, need, memory, &usable, chosen));
-        let bounded = self.bound(now, chosen, self.cold_spec(&need.service)).is_some();
+            .filter(|_| query.copies)
+            .and_then(|memory| self.prefix_source(now, query, memory, &usable, chosen));
+        let bounded = self
+            .rate_limit(now, chosen, self.cold_spec(&query.service))
+            .is_some();
         self.send_to(chosen, source, bounded, Span::ZERO)
     }
 
     /// The target for a call that this node places for another one, or for itself. When the target takes so many calls a
     /// second and no more, this one is counted.
-    pub fn place(&mut self, now: Time, need: &TargetQuery, asker: u64) -> ChooseResult {
+    pub fn place(&mut self, now: Time, query: &TargetQuery, asker: u64) -> ChooseResult {
         // Other nodes may name a service or a shard that there is not, or not any more; nothing is kept for those.
-        let known = self.by_service.contains_key(&need.service);
-        let placing = need.placing.filter(|shard| known && shard.number < shard.of);
+        let known = self.by_service.contains_key(&query.service);
+        let placing = query.placing.filter(|shard| known && shard.number < shard.of);
         let share = placing.map(|shard| {
-            let shard = shard_key(&need.service, shard.number);
+            let shard = shard_key(&query.service, shard.number);
             self.rate_share(now, shard, asker)
         });
-        let choice = self.choose(now, need);
+        let choice = self.choose(now, query);
         if let (ChooseResult::Send(chosen), Some(share)) = (&choice, share) {
-            let bound = self.bound(now, chosen.target, self.cold_spec(&need.service));
-            if let (Some(bound), Some(record)) = (bound, self.targets.get_mut(chosen.target)) {
-                record.bucket.take(now, bound.per_s, share);
+            let rate_limit = self.rate_limit(now, chosen.target, self.cold_spec(&query.service));
+            if let (Some(rate_limit), Some(record)) = (rate_limit, self.targets.get_mut(chosen.target)) {
+                record.bucket.take(now, rate_limit.per_s, share);
             }
         }
         choice
     }
 
     /// Takes those out of `usable` that have been given all that they take. Returns when one of them has room again.
-    fn with_room(&mut self, now: Time, need: &TargetQuery, usable: &mut Vec<TargetKey>) -> Room {
+    fn with_room(&mut self, now: Time, query: &TargetQuery, usable: &mut Vec<TargetKey>) -> Room {
         let mut room = Room::default();
-        let cold = self.cold_spec(&need.service);
+        let cold = self.cold_spec(&query.service);
         if cold.is_none() && self.limits.is_empty() {
             return room;
         }
-        let share = need.placing.map(|shard| {
-            let shard = shard_key(&need.service, shard.number);
+        let share = query.placing.map(|shard| {
+            let shard = shard_key(&query.service, shard.number);
             self.known_share(now, shard)
         });
         usable.retain(|key| {
-            let Some(bound) = self.bound(now, *key, cold) else {
+            let Some(rate_limit) = self.rate_limit(now, *key, cold) else {
                 return true;
             };
             let wait = match share {
                 // It may give out nothing, and cannot say when it may.
                 Some(share) if share.part <= 0.0 => return false,
                 Some(share) => {
-                    let wait = self.room_in(now, *key, bound, share);
-                    if !bound.ends_within(now, wait) && room.first.is_none_or(|(_, least)| wait < least) {
+                    let wait = self.capacity_wait(now, *key, rate_limit, share);
+                    if !rate_limit.ends_within(now, wait) && room.first.is_none_or(|(_, least)| wait < least)
+                    {
                         room.first = Some((*key, wait));
                     }
-                    share.ask_again(bound.wait(now, wait))
+                    share.ask_again(rate_limit.wait(now, wait))
                 }
                 // Only their owner chooses among engines that have a rate.
-                None if need.engine_memory.is_some() => return false,
+                None if query.engine_memory.is_some() => return false,
                 // Whoever gives out its rate is asked, unless that would be in vain.
                 None => {
                     let record = &self.targets[*key];
-                    let wait = record.no_room_until.since(now);
-                    let old = now.since(record.no_room_at) >= NO_CAPACITY_TTL;
-                    if old || wait <= need.max_wait {
+                    let wait = record.no_capacity_until.since(now);
+                    let old = now.since(record.no_capacity_at) >= NO_CAPACITY_TTL;
+                    if old || wait <= query.max_wait {
                         Span::ZERO
                     } else {
                         wait
@@ -140,19 +143,19 @@
     }
 
     /// The answer when no target can be used at once.
-    fn when_room(&self, now: Time, need: &TargetQuery, room: &Room) -> ChooseResult {
-        let rest = self.all_rest(now, need);
-        if rest > need.max_wait {
-            return ChooseResult::Resting(rest);
+    fn when_room(&self, now: Time, query: &TargetQuery, room: &Room) -> ChooseResult {
+        let rest = self.service_cooldown(now, query);
+        if rest > query.max_wait {
+            return ChooseResult::CoolingDown(rest);
         }
         if let Some((key, wait)) = room.first
-            && wait <= need.max_wait
+            && wait <= query.max_wait
         {
             return self.send_to(key, None, true, wait);
         }
         match room.wait {
             // One that is only full for a moment, or warm in a moment, is worth waiting for.
-            Some(wait) if wait > need.max_wait && !self.has_unbounded(now, need) => {
+            Some(wait) if wait > query.max_wait && !self.has_unbounded(now, query) => {
                 ChooseResult::NoCapacity(wait)
             }
             _ => ChooseResult::Busy(BUSY_WAIT),
@@ -160,11 +163,11 @@
     }
 
     /// Whether any target that nothing bounds and that does not rest may get work, if not at this moment.
-    fn has_unbounded(&self, now: Time, need: &TargetQuery) -> bool {
-        let rests = |record: &TargetRecord| !need.for_other && record.rest(now) > Span::ZERO;
-        let placed_here = |hash| need.placing.is_none_or(|shard| shard.holds(hash));
-        self.working_bounds(now, &need.service)
-            .any(|(record, bound)| bound.is_none() && !rests(record) && placed_here(record.hash))
+    fn has_unbounded(&self, now: Time, query: &TargetQuery) -> bool {
+        let rests = |record: &TargetRecord| !query.for_other_node && record.cooldown(now) > Span::ZERO;
+        let placed_here = |hash| query.placing.is_none_or(|shard| shard.holds(hash));
+        self.working_rate_limits(now, &query.service)
+            .any(|(record, rate_limit)| rate_limit.is_none() && !rests(record) && placed_here(record.hash))
     }
 
     fn send_to(&self, target: TargetKey, source: Option<String>, bounded: bool, wait: Span) -> ChooseResult {
@@ -176,30 +179,30 @@
             id: record.entry.id.clone(),
             address: record.entry.address.clone(),
             source,
-            bounded,
+            rate_limited: bounded,
             wait,
         })
     }
 
     /// The zone of the target that a call would go to now.
-    pub fn likely_zone(&mut self, now: Time, need: &TargetQuery) -> Option<String> {
-        match self.choose(now, need) {
+    pub fn likely_zone(&mut self, now: Time, query: &TargetQuery) -> Option<String> {
+        match self.choose(now, query) {
             ChooseResult::Send(chosen) => Some(self.targets.get(chosen.target)?.entry.zone.clone()),
-            ChooseResult::NoCapacity(_) | ChooseResult::Resting(_) | ChooseResult::Busy(_) => None,
+            ChooseResult::NoCapacity(_) | ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => None,
         }
     }
 
     /// The zone in which a call should be answered.
-    fn zone<'a>(&'a self, need: &'a TargetQuery) -> &'a str {
-        if need.zone.is_empty() {
+    fn zone<'a>(&'a self, query: &'a TargetQuery) -> &'a str {
+        if query.zone.is_empty() {
             &self.settings.zone
         } else {
-            &need.zone
+            &query.zone
         }
     }
 
-    fn choose_plain(&mut self, now: Time, need: &TargetQuery, usable: &[TargetKey]) -> TargetKey {
-        let zone = self.zone(need).to_owned();
+    fn choose_plain(&mut self, now: Time, query: &TargetQuery, usable: &[TargetKey]) -> TargetKey {
+        let zone = self.zone(query).to_owned();
         let failing = |key: &TargetKey| self.targets[*key].failing_now(now);
         let least_failing = usable.iter().map(failing).fold(1.0, f64::min);
         let fastest = self.least_slowness(now, usable);
@@ -220,22 +223,24 @@
     fn choose_engine(
         &mut self,
         now: Time,
-        need: &TargetQuery,
+        query: &TargetQuery,
         memory: u64,
         usable: &[TargetKey],
     ) -> TargetKey {
-        let zone = self.zone(need).to_owned();
-        let home = self.prefix_home(need.prefix, usable);
-        let own = own_tokens(need);
-        let crossing = FAR_TOKENS + FAR_TOKENS_PER_MB * need.input_bytes as f64 / 1e6;
+        let zone = self.zone(query).to_owned();
+        let home = self.prefix_home(query.prefix, usable);
+        let own = unshared_tokens(query);
+        let crossing = FAR_TOKENS + FAR_TOKENS_PER_MB * query.input_bytes as f64 / 1e6;
         let score = |key: &TargetKey| {
             let record = &self.targets[*key];
             let far = if record.entry.zone == zone { 0.0 } else { crossing };
-            let prefix = self.unread_prefix(now, need, memory, *key, home);
+            let prefix = self.uncached_prefix_tokens(now, query, memory, *key, home);
             let unread = own + prefix * REREAD_WEIGHT;
             let running = RUNNING_TOKENS * f64::from(record.in_flight);
             let failing = FAILING_TOKENS * record.failing_now(now);
-            (record.unread_tokens + unread + running) * record.slowness_now(now, AS_EXPECTED) + far + failing
+            (record.pending_prefill_tokens + unread + running) * record.slowness_now(now, AS_EXPECTED)
+                + far
+                + failing
         };
         let scores: Vec<f64> = usable.iter().map(score).collect();
         self.least(usable, &scores)
@@ -248,26 +253,26 @@
     }
 
     /// The tokens of a call's shared prefix that a target would have to read, as far as is known.
-    pub(super) fn unread_prefix(
+    pub(super) fn uncached_prefix_tokens(
         &self,
         now: Time,
-        need: &TargetQuery,
+        query: &TargetQuery,
         memory: u64,
         key: TargetKey,
         home: Option<TargetKey>,
     ) -> f64 {
-        let held = if need.prefix == 0 {
+        let held = if query.prefix == 0 {
             0.0
-        } else if self.targets[key].prefixes.holds(now, need.prefix, memory) {
+        } else if self.targets[key].prefixes.holds(now, query.prefix, memory) {
             1.0
         } else if Some(key) == home {
             // Whoever places the calls of all nodes knows better what the home was sent, but not what an
             // owner before it did.
-            if need.placing.is_some() { HOME_TRUST } else { 1.0 }
+            if query.placing.is_some() { HOME_TRUST } else { 1.0 }
         } else {
             0.0
         };
-        f64::from(need.prefix_tokens) * (1.0 - held)
+        f64::from(query.prefix_tokens) * (1.0 - held)
     }
 
     /// The address of the engine from which the chosen one should take the shared beginning of a prompt: one that was
@@ -276,13 +281,13 @@
     fn prefix_source(
         &self,
         now: Time,
-        need: &TargetQuery,
+        query: &TargetQuery,
         memory: u64,
         usable: &[TargetKey],
         chosen: TargetKey,
     ) -> Option<String> {
-        let home = self.prefix_home(need.prefix, usable)?;
-        let holds = |key: &TargetKey| self.targets[*key].prefixes.holds(now, need.prefix, memory);
+        let home = self.prefix_home(query.prefix, usable)?;
+        let holds = |key: &TargetKey| self.targets[*key].prefixes.holds(now, query.prefix, memory);
         if holds(&chosen) {
             return None;
         }
@@ -320,6 +325,6 @@
 }
 
 /// The tokens of a call's prompt that no other call shares.
-pub(super) fn own_tokens(need: &TargetQuery) -> f64 {
-    f64::from(need.prompt_tokens.saturating_sub(need.prefix_tokens))
+pub(super) fn unshared_tokens(query: &TargetQuery) -> f64 {
+    f64::from(query.prompt_tokens.saturating_sub(query.prefix_tokens))
 }
--- a/crates/barleyspool_core/src/forward/target_cooldown.rs
+++ b/crates/barleyspool_core/src/forward/target_cooldown.rs
@@ -24,19 +24,19 @@
     /// A target asked for `rest` in the answer to a request sent at `sent`. Returns whether it rests now and did not before.
     ///
     /// A rest that was asked for before is not cut short.
-    pub fn take_rest(&mut self, now: Time, sent: Time, id: &str, rest: Span) -> bool {
+    pub fn apply_cooldown(&mut self, now: Time, sent: Time, id: &str, rest: Span) -> bool {
         self.resting.retain(|key| {
             let record = self.targets.get(*key);
-            record.is_some_and(|record| record.rest(now) > Span::ZERO)
+            record.is_some_and(|record| record.cooldown(now) > Span::ZERO)
         });
         let Some(key) = self.by_id.get(id).copied() else {
             return false;
         };
         let record = &mut self.targets[key];
-        if sent < record.entry.times.restarted || rest == Span::ZERO {
+        if sent < record.entry.times.restarted_at || rest == Span::ZERO {
             return false;
         }
-        record.rest_until = record.rest_until.max(now + rest.min(MAX_COOLDOWN));
+        record.cooldown_until = record.cooldown_until.max(now + rest.min(MAX_COOLDOWN));
         let begins = !self.resting.contains(&key);
         if begins {
             self.resting.push(key);
@@ -45,30 +45,30 @@
     }
 
     /// When the rest of a target is over.
-    pub fn rest_until(&self, id: &str) -> Time {
+    pub fn cooldown_until(&self, id: &str) -> Time {
         let record = self.by_id.get(id).and_then(|key| self.targets.get(*key));
-        record.map_or(Time(0), |record| record.rest_until)
+        record.map_or(Time(0), |record| record.cooldown_until)
     }
 
     /// The targets of a service that rest now.
-    pub fn resting(&self, now: Time, service: &str) -> impl Iterator<Item = TargetKey> {
+    pub fn in_cooldown(&self, now: Time, service: &str) -> impl Iterator<Item = TargetKey> {
         let rests = move |key: &TargetKey| {
             let record = self.targets.get(*key);
-            record.is_some_and(|record| record.entry.service == service && record.rest(now) > Span::ZERO)
+            record.is_some_and(|record| record.entry.service == service && record.cooldown(now) > Span::ZERO)
         };
         self.resting.iter().copied().filter(rests)
     }
 
     /// How long all targets of a call's service that may get work still rest; zero when one of them does not.
-    pub fn all_rest(&self, now: Time, need: &TargetQuery) -> Span {
-        if self.resting.is_empty() || need.for_other {
+    pub fn service_cooldown(&self, now: Time, query: &TargetQuery) -> Span {
+        if self.resting.is_empty() || query.for_other_node {
             return Span::ZERO;
         }
-        let keys = self.by_service.get(&need.service).into_iter().flatten();
+        let keys = self.by_service.get(&query.service).into_iter().flatten();
         let records = keys.filter_map(|key| self.targets.get(*key));
         let rests = records
-            .filter(|record| record.entry.takes_work())
-            .map(|record| record.rest(now));
+            .filter(|record| record.entry.accepts_work())
+            .map(|record| record.cooldown(now));
         rests.min().unwrap_or_default()
     }
 }
--- a/crates/barleyspool_core/src/forward/target_counts.rs
+++ b/crates/barleyspool_core/src/forward/target_counts.rs
@@ -36,6 +36,6 @@
         self.evacuated += usize::from(entry.evacuated);
         self.unreadable += usize::from(entry.unreadable);
         self.unverified += usize::from(entry.unverified);
-        self.restarted += usize::from(entry.times.restarted > Time(0));
+        self.restarted += usize::from(entry.times.restarted_at > Time(0));
     }
 }
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -14,11 +14,11 @@
 pub struct TargetTimes {
     /// When this run of it came onto a list that was known before, or its zone was opened again: it may be cold although its
     /// own word of that is not there yet. Zero for targets of the first list.
-    pub began: Time,
+    pub appeared_at: Time,
     /// Until when it is cold by its own word.
     pub warm_at: Time,
     /// When it was first seen to run again under its id. What the run before held is gone. Zero when it never did.
-    pub restarted: Time,
+    pub restarted_at: Time,
 }
 
 /// A target, as the platform lists it.
@@ -27,7 +27,8 @@
     /// Its name.
     pub id: String,
     /// Which start of it this is.
-    pub run: TargetIncarnation,
+    #[serde(rename = "run")]
+    pub incarnation: TargetIncarnation,
     /// Counts what this run of the target has written into its entry.
     pub sequence: u64,
     /// Its service.
@@ -59,7 +60,7 @@
 impl PartialEq for TargetEntry {
     fn eq(&self, other: &Self) -> bool {
         self.id == other.id
-            && self.run == other.run
+            && self.incarnation == other.incarnation
             && self.service == other.service
             && self.address == other.address
             && self.zone == other.zone
@@ -83,39 +84,39 @@
     }
 
     /// The mark of its run.
-    pub fn mark(&self) -> IncarnationId {
-        IncarnationId::of(&self.id, self.run.0)
+    pub fn incarnation_id(&self) -> IncarnationId {
+        IncarnationId::of(&self.id, self.incarnation.0)
     }
 
     /// Whether new work may go there. Every decision asks this and keeps no opinion of its own, so that a target that is
     /// taken out gets nothing by any way. What it is working on ends by itself.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         !self.leaving && !self.evacuated && !self.unreadable && !self.unverified
     }
 
     /// Whether it may be asked to drop results. One in an evacuated zone, or whose entry can't be read or relied on, gets nothing at all;
     /// results go by themselves after their time.
-    pub fn takes_frees(&self) -> bool {
+    pub fn accepts_release(&self) -> bool {
         !self.evacuated && !self.unreadable && !self.unverified
     }
 
     /// Until when it may be cold, for a service whose targets are cold for `start` after they have started.
     pub fn cold_until(&self, start: Span) -> Time {
-        let began = self.times.began;
+        let began = self.times.appeared_at;
         let start = if began == Time(0) { Time(0) } else { began + start };
         self.times.warm_at.max(start)
     }
 
     /// Whether this is the same report of the same run as `known`, or one that the run wrote before it.
     pub fn is_no_newer(&self, known: &Self) -> bool {
-        self.run == known.run && self.sequence <= known.sequence
+        self.incarnation == known.incarnation && self.sequence <= known.sequence
     }
 
     /// Whether this is an older word of the target than `known`: of an earlier run, or one that the same run wrote before.
     /// Words arrive late, and by way of other nodes.
     pub fn is_older(&self, known: (TargetIncarnation, u64)) -> bool {
-        let numbered = self.run != TargetIncarnation(0) && known.0 != TargetIncarnation(0);
-        numbered && (self.run, self.sequence) < known
+        let numbered = self.incarnation != TargetIncarnation(0) && known.0 != TargetIncarnation(0);
+        numbered && (self.incarnation, self.sequence) < known
     }
 }
 
--- a/crates/barleyspool_core/src/forward/target_log.rs
+++ b/crates/barleyspool_core/src/forward/target_log.rs
@@ -26,7 +26,7 @@
 
 impl TargetLog {
     /// Forgets everything: the list was read whole by a node that knew none.
-    pub fn restart(&mut self, at: Revision) {
+    pub fn reset(&mut self, at: Revision) {
         *self = Self {
             from: at,
             ..Self::default()
@@ -34,7 +34,7 @@
     }
 
     /// Notes what changed in the list up to revision `at`.
-    pub fn note(&mut self, at: Revision, changes: Vec<TargetChange>) {
+    pub fn append(&mut self, at: Revision, changes: Vec<TargetChange>) {
         if changes.is_empty() {
             return;
         }
--- a/crates/barleyspool_core/src/forward/target_query.rs
+++ b/crates/barleyspool_core/src/forward/target_query.rs
@@ -31,7 +31,7 @@
     /// Set when this node places the calls of all nodes at the engines of a shard.
     pub placing: Option<Shard>,
     /// Whether another node sends the call: a rest that a target has asked this node for does not concern it.
-    pub for_other: bool,
+    pub for_other_node: bool,
 }
 
 /// A part of the targets of a service: each belongs to one of `of` shards.
@@ -70,7 +70,7 @@
     /// The address of an engine that most likely holds the shared beginning of the prompt, when this one does not.
     pub source: Option<String>,
     /// Whether it takes so many calls a second and no more. Then the call may go there only when the owner of the target's rate says so.
-    pub bounded: bool,
+    pub rate_limited: bool,
     /// How long the call has to wait before it is sent.
     pub wait: Span,
 }
@@ -88,7 +88,7 @@
     /// Every target that is usable has been given all that it takes; when there is room again.
     NoCapacity(Span),
     /// All targets that may get work have asked this node for rest; when the first one's is over.
-    Resting(Span),
+    CoolingDown(Span),
     /// No target is usable now; when to come back.
     Busy(Span),
 }
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -34,13 +34,13 @@
     /// Its id as a key for rendezvous hashing.
     pub hash: u128,
     /// The mark of its run.
-    pub mark: IncarnationId,
+    pub incarnation_id: IncarnationId,
     /// Whether it is used.
     pub phase: TargetPhase,
     /// Calls of this node that it is working on.
     pub in_flight: u32,
     /// Prompt tokens that this node sent and that are not read yet, as far as is known.
-    pub unread_tokens: f64,
+    pub pending_prefill_tokens: f64,
     /// Prefixes that it most likely holds.
     pub prefixes: PrefixTracker,
     /// Time of an answer relative to what was expected; 1 is as expected.
@@ -50,17 +50,17 @@
     /// It said that it is full; until then it gets nothing.
     pub full_until: Time,
     /// Until when it wants nothing from this node.
-    pub rest_until: Time,
+    pub cooldown_until: Time,
     /// What this node has given out of its rate, while it has one.
     pub bucket: TargetBucket,
     /// Until when it has no room for another call, by the word of the node that gives out its rate.
-    pub no_room_until: Time,
+    pub no_capacity_until: Time,
     /// When that was told.
-    pub no_room_at: Time,
+    pub no_capacity_at: Time,
     measured: Time,
-    streak: u32,
-    out_until: Time,
-    out_for: Span,
+    failure_streak: u32,
+    quarantine_until: Time,
+    next_quarantine: Span,
 }
 
 impl TargetRecord {
@@ -68,34 +68,34 @@
     pub fn new(entry: TargetEntry) -> Self {
         Self {
             hash: rendezvous::text_key(&entry.id),
-            mark: entry.mark(),
+            incarnation_id: entry.incarnation_id(),
             entry,
             phase: TargetPhase::Live,
             in_flight: 0,
-            unread_tokens: 0.0,
+            pending_prefill_tokens: 0.0,
             prefixes: PrefixTracker::default(),
             slowness: AS_EXPECTED,
             failing: 0.0,
             full_until: Time(0),
-            rest_until: Time(0),
+            cooldown_until: Time(0),
             bucket: TargetBucket::default(),
-            no_room_until: Time(0),
-            no_room_at: Time(0),
+            no_capacity_until: Time(0),
+            no_capacity_at: Time(0),
             measured: Time(0),
-            streak: 0,
-            out_until: Time(0),
-            out_for: OUT_FIRST,
+            failure_streak: 0,
+            quarantine_until: Time(0),
+            next_quarantine: OUT_FIRST,
         }
     }
 
     /// How much longer it wants nothing from this node.
-    pub fn rest(&self, now: Time) -> Span {
-        self.rest_until.since(now)
+    pub fn cooldown(&self, now: Time) -> Span {
+        self.cooldown_until.since(now)
     }
 
     /// Whether it may get a call now, from this node if it does not rest. A quarantine that is over becomes a trial, one call at a time.
     pub fn usable(&mut self, now: Time, chart: &Chart<TargetPhase, TargetEvent>) -> bool {
-        if self.phase == TargetPhase::Quarantined && now >= self.out_until {
+        if self.phase == TargetPhase::Quarantined && now >= self.quarantine_until {
             // Probes are priced, and a call says more: the end of the wait counts as a good probe.
             chart.step(&mut self.phase, TargetEvent::ProbeOk);
         }
@@ -104,7 +104,7 @@
             TargetPhase::Trial => self.in_flight == 0,
             TargetPhase::Quarantined | TargetPhase::Leaving => false,
         };
-        phase_allows && self.entry.takes_work() && now >= self.full_until
+        phase_allows && self.entry.accepts_work() && now >= self.full_until
     }
 
     /// How slow it is to be reckoned with now; without measurements that goes towards `unmeasured`.
@@ -123,7 +123,7 @@
     }
 
     /// It answered; `relative` is the time it took over the time that was expected.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Time,
         relative: f64,
@@ -134,21 +134,26 @@
         self.slowness += GAIN * (relative - self.slowness);
         self.measured = now;
         self.failing += GAIN * (f64::from(u8::from(failure)) - self.failing);
-        self.streak = 0;
+        self.failure_streak = 0;
         if chart.step(&mut self.phase, TargetEvent::Answered) {
-            self.out_for = OUT_FIRST;
+            self.next_quarantine = OUT_FIRST;
         }
     }
 
     /// It failed in a way that says something of itself; true when it goes into quarantine.
-    pub fn failed(&mut self, now: Time, certain: bool, chart: &Chart<TargetPhase, TargetEvent>) -> bool {
-        self.streak += 1;
+    pub fn record_failure(
+        &mut self,
+        now: Time,
+        certain: bool,
+        chart: &Chart<TargetPhase, TargetEvent>,
+    ) -> bool {
+        self.failure_streak += 1;
         self.failing += GAIN * (1.0 - self.failing);
         self.measured = now;
-        let out = certain || self.streak >= STREAK || self.phase == TargetPhase::Trial;
+        let out = certain || self.failure_streak >= STREAK || self.phase == TargetPhase::Trial;
         if out && chart.step(&mut self.phase, TargetEvent::Failed) {
-            self.out_until = now + self.out_for;
-            self.out_for = OUT_LONGEST.min(self.out_for + self.out_for);
+            self.quarantine_until = now + self.next_quarantine;
+            self.next_quarantine = OUT_LONGEST.min(self.next_quarantine + self.next_quarantine);
             return true;
         }
         false
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -40,11 +40,11 @@
     /// Entries that were missing when the source came back, and when they are taken as gone.
     pub expired: BTreeMap<String, Time>,
     /// Until when what goes may have expired while the source was away.
-    back_until: Time,
+    grace_until: Time,
     /// The zones that are evacuated.
     evacuated: BTreeSet<String>,
     /// What is known of targets beside the list.
-    memory: TargetHistory,
+    history: TargetHistory,
     /// How it came to be, for nodes that know an older one.
     log: TargetLog,
 }
@@ -55,8 +55,8 @@
 
 impl TargetStore {
     /// The source answers again after it was away.
-    pub fn source_back(&mut self, now: Time) {
-        self.back_until = now + EXPIRY_GRACE;
+    pub fn source_recovered(&mut self, now: Time) {
+        self.grace_until = now + EXPIRY_GRACE;
     }
 
     /// Takes a list that was read whole; false when it is older than what is known.
@@ -65,30 +65,30 @@
             return false;
         }
         let first = self.at == Revision(0);
-        let fresh = self.enter(now, at);
+        let fresh = self.advance_to(now, at);
         self.expired.retain(|id, _| !table.contains_key(id));
         let before = Arc::clone(&self.table);
         let reports = table.into_values();
         let mut table: TargetTable = reports
-            .filter_map(|entry| self.newest(now, entry, fresh))
+            .filter_map(|entry| self.merge_report(now, entry, fresh))
             .map(|entry| (entry.id.clone(), entry))
             .collect();
         for entry in table.values() {
-            self.memory.note_verification(now, entry);
+            self.history.note_verification(now, entry);
         }
         if first {
-            self.log.restart(at);
+            self.log.reset(at);
         } else {
-            self.log.note(at, differences(&before, &table));
+            self.log.append(at, changes_between(&before, &table));
         }
         for (id, entry) in before.iter() {
             if table.contains_key(id) {
                 continue;
             }
-            if self.keeps(now, id) {
+            if self.retains_missing(now, id) {
                 table.insert(id.clone(), entry.clone());
             } else {
-                self.memory.gone(now, entry);
+                self.history.record_removed(now, entry);
             }
         }
         // The first list is told to others also when it is empty.
@@ -105,13 +105,15 @@
         if at < self.at {
             return false;
         }
-        let fresh = self.enter(now, at);
-        self.log.note(at, changes.clone());
+        let fresh = self.advance_to(now, at);
+        self.log.append(at, changes.clone());
         let mut changed = false;
         for change in changes {
             changed |= match change {
                 TargetChange::Put(entry) => self.put(now, entry, fresh),
-                TargetChange::Gone(id) if self.table.contains_key(&id) && self.keeps(now, &id) => false,
+                TargetChange::Gone(id) if self.table.contains_key(&id) && self.retains_missing(now, &id) => {
+                    false
+                }
                 TargetChange::Gone(id) => self.remove(now, &id),
             };
         }
@@ -121,7 +123,7 @@
     /// Goes on to revision `at`. Returns how far reports of targets there can be relied on.
     ///
     /// When that is a revision of a later era the source has come back from a copy. What was written since the copy is missing there until it is written again.
-    fn enter(&mut self, now: Time, at: Revision) -> Freshness {
+    fn advance_to(&mut self, now: Time, at: Revision) -> Freshness {
         let before = std::mem::replace(&mut self.at, at);
         if before == Revision(0) {
             return Freshness::First;
@@ -129,13 +131,13 @@
         if at.era() == before.era() {
             return Freshness::Newer;
         }
-        self.source_back(now);
-        Freshness::Copied
+        self.source_recovered(now);
+        Freshness::Restored
     }
 
     /// Takes which zones are evacuated; true when the list is another one afterwards. Targets of a zone that is opened
     /// again count as just begun: they may have turned cold shortly before, and their own word comes up to a heartbeat later.
-    pub fn evacuate(&mut self, now: Time, zones: &BTreeSet<String>) -> bool {
+    pub fn apply_evacuations(&mut self, now: Time, zones: &BTreeSet<String>) -> bool {
         self.evacuated.clone_from(zones);
         let wrong = |entry: &&TargetEntry| entry.evacuated != zones.contains(&entry.zone);
         let ids: Vec<String> = self
@@ -148,7 +150,7 @@
             if let Some(entry) = Arc::make_mut(&mut self.table).get_mut(id) {
                 entry.evacuated = !entry.evacuated;
                 if !entry.evacuated {
-                    entry.times.began = now;
+                    entry.times.appeared_at = now;
                 }
             }
         }
@@ -158,16 +160,16 @@
     /// A run of a target has said in an answer that it leaves; true when that is new to the list. It is no change at the source, so
     /// other nodes have nothing to ask for.
     pub fn note_leaving(&mut self, now: Time, run: IncarnationId) -> bool {
-        self.memory.note_leaving(now, run, &self.table);
+        self.history.note_leaving(now, run, &self.table);
         let mut listed = self.table.values();
-        let staying = listed.find(|entry| entry.mark() == run && !entry.leaving);
+        let staying = listed.find(|entry| entry.incarnation_id() == run && !entry.leaving);
         let Some(id) = staying.map(|entry| entry.id.clone()) else {
             return false;
         };
         if let Some(entry) = Arc::make_mut(&mut self.table).get_mut(&id) {
             entry.leaving = true;
         }
-        self.take_apart();
+        self.rebuild_indexes();
         true
     }
 
@@ -212,24 +214,24 @@
 
     /// Relies again on entries that came back and are still listed. Each node does so by itself, so others have nothing to ask for.
     fn expire_unverified(&mut self, now: Time) -> bool {
-        let confirmed = self.memory.take_confirmed(now);
+        let confirmed = self.history.take_verified(now);
         for id in &confirmed {
             if let Some(entry) = Arc::make_mut(&mut self.table).get_mut(id) {
                 entry.unverified = false;
             }
         }
         if !confirmed.is_empty() {
-            self.take_apart();
+            self.rebuild_indexes();
         }
         !confirmed.is_empty()
     }
 
     fn put(&mut self, now: Time, entry: TargetEntry, fresh: Freshness) -> bool {
         self.expired.remove(&entry.id);
-        let Some(entry) = self.newest(now, entry, fresh) else {
+        let Some(entry) = self.merge_report(now, entry, fresh) else {
             return false;
         };
-        self.memory.note_verification(now, &entry);
+        self.history.note_verification(now, &entry);
         Arc::make_mut(&mut self.table).insert(entry.id.clone(), entry.clone()) != Some(entry)
     }
 
@@ -237,34 +239,34 @@
         let Some(entry) = Arc::make_mut(&mut self.table).remove(id) else {
             return false;
         };
-        self.memory.gone(now, &entry);
+        self.history.record_removed(now, &entry);
         true
     }
 
     /// What is to be listed of a target after a report of it: the report with what this node knows besides, or what was known
     /// when that is newer; `None` when the target is gone and the report an older one.
-    fn newest(&mut self, now: Time, mut report: TargetEntry, fresh: Freshness) -> Option<TargetEntry> {
+    fn merge_report(&mut self, now: Time, mut report: TargetEntry, fresh: Freshness) -> Option<TargetEntry> {
         let known = self.table.get(&report.id);
         if let Some(known) = known
-            && self.memory.keeps(known, &report, fresh)
+            && self.history.prefers_known(known, &report, fresh)
         {
             return Some(known.clone());
         }
-        if fresh == Freshness::Copied && known.is_none() {
-            report.unverified |= self.memory.is_of_gone(&report);
+        if fresh == Freshness::Restored && known.is_none() {
+            report.unverified |= self.history.is_removed_target(&report);
         }
-        if let Some(known) =
-            known.filter(|known| report.unverified && !known.unverified && report.run == known.run)
+        if let Some(known) = known
+            .filter(|known| report.unverified && !known.unverified && report.incarnation == known.incarnation)
         {
             // Another node knew it to be gone, but the source has listed it here since.
             return Some(known.clone());
         }
         let last = known
-            .map(|known| (known.run, known.sequence))
-            .or_else(|| self.memory.last_report(now, &report.id));
+            .map(|known| (known.incarnation, known.sequence))
+            .or_else(|| self.history.last_report(now, &report.id));
         // A target that ever told which start of it this is always does.
-        let run_missing =
-            report.run == TargetIncarnation(0) && last.is_some_and(|(run, _)| run != TargetIncarnation(0));
+        let run_missing = report.incarnation == TargetIncarnation(0)
+            && last.is_some_and(|(run, _)| run != TargetIncarnation(0));
         if (report.unreadable || run_missing)
             && let Some(known) = known
         {
@@ -275,20 +277,21 @@
         if last.is_some_and(|last| report.is_older(last)) {
             return known.cloned();
         }
-        report.leaving |= self.memory.has_said_leaving(&report);
+        report.leaving |= self.history.has_reported_leaving(&report);
         report.evacuated = self.evacuated.contains(&report.zone);
         report.times = known.map(|known| known.times).unwrap_or_default();
         match last {
-            Some((run, _)) if run == report.run => {}
+            Some((run, _)) if run == report.incarnation => {}
             Some(_) => {
-                report.times.began = now;
-                report.times.restarted = now;
+                report.times.appeared_at = now;
+                report.times.restarted_at = now;
             }
             None if fresh == Freshness::First => {}
-            None => report.times.began = now,
+            None => report.times.appeared_at = now,
         }
         let same_report = known.is_some_and(|known| {
-            (known.run, known.sequence, known.cold) == (report.run, report.sequence, report.cold)
+            (known.incarnation, known.sequence, known.cold)
+                == (report.incarnation, report.sequence, report.cold)
         });
         if report.cold == Span::ZERO {
             report.times.warm_at = Time(0);
@@ -299,9 +302,9 @@
     }
 
     /// Whether an entry that is missing now is kept for a while, because it may have expired.
-    fn keeps(&mut self, now: Time, id: &str) -> bool {
-        if now < self.back_until {
-            self.expired.entry(id.to_owned()).or_insert(self.back_until);
+    fn retains_missing(&mut self, now: Time, id: &str) -> bool {
+        if now < self.grace_until {
+            self.expired.entry(id.to_owned()).or_insert(self.grace_until);
         }
         self.expired.get(id).is_some_and(|until| now < *until)
     }
@@ -309,13 +312,13 @@
     fn changed(&mut self, changed: bool) -> bool {
         if changed {
             self.changed_at = self.at;
-            self.take_apart();
+            self.rebuild_indexes();
         }
         changed
     }
 
     /// Works out what is looked up in the list, after a change of it.
-    fn take_apart(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.zones = Arc::new(ForwardPlan::zones_by_address(&self.table));
         self.restarts = Arc::new(ForwardPlan::restarts_by_address(&self.table));
         self.services = Arc::new(service_targets(&self.table));
@@ -323,7 +326,7 @@
 }
 
 /// What turns one list into another.
-fn differences(before: &TargetTable, after: &TargetTable) -> Vec<TargetChange> {
+fn changes_between(before: &TargetTable, after: &TargetTable) -> Vec<TargetChange> {
     let gone = before.keys().filter(|id| !after.contains_key(*id));
     let gone = gone.map(|id| TargetChange::Gone(id.clone()));
     let put = after
--- a/crates/barleyspool_core/src/forward/wait_estimate.rs
+++ b/crates/barleyspool_core/src/forward/wait_estimate.rs
@@ -12,7 +12,7 @@
 impl PieceQueue {
     /// How long `more` pieces that came now would take to be made, waiting included.
     pub fn expected_wait(&self, now: Time, more: u64) -> Span {
-        let available = |target: &&PoolTarget| target.works(now);
+        let available = |target: &&PoolTarget| target.is_available(now);
         let usable = self.targets.values().filter(available).count();
         if usable == 0 {
             // A pool without targets may get some; until then a call's time is the best guess.
@@ -40,14 +40,14 @@
     /// How long all targets that may get work still rest; zero when one of them does not.
     fn shortest_cooldown(&self, now: Time) -> Span {
         let working = self.targets.values();
-        let working = working.filter(|target| target.owned && target.entry.takes_work());
-        let cooldowns = working.map(|target| target.rest_until.since(now));
+        let working = working.filter(|target| target.owned && target.entry.accepts_work());
+        let cooldowns = working.map(|target| target.cooldown_until.since(now));
         cooldowns.min().unwrap_or_default()
     }
 
     /// How long it takes until the rates of the targets have allowed so many calls. A target that nothing bounds takes one after the other.
     fn rate_limit_wait(&self, now: Time, calls: f64) -> Span {
-        let working = || self.targets.values().filter(|target| target.works(now));
+        let working = || self.targets.values().filter(|target| target.is_available(now));
         if working().all(|target| target.rate(now).is_none()) {
             return Span::ZERO;
         }
@@ -55,7 +55,7 @@
         let rates = working().map(|target| target.rate(now).unwrap_or(unlimited));
         let rate: f64 = rates.sum();
         let first = working()
-            .map(|target| target.room_in(now))
+            .map(|target| target.capacity_wait(now))
             .min()
             .unwrap_or_default();
         if rate <= 0.0 {
@@ -85,6 +85,6 @@
 
     /// The expected time of a call with `pieces` pieces.
     pub fn call_time(&self, pieces: u32) -> Span {
-        (self.spec.call + Span(self.spec.item.0 * u64::from(pieces))).scale(self.slowdown)
+        (self.spec.call_overhead + Span(self.spec.piece_time.0 * u64::from(pieces))).scale(self.slowdown)
     }
 }
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -31,7 +31,7 @@
 
     /// This node has read in an answer that a run of a target leaves.
     pub(super) fn target_leaves(&mut self, now: Time, run: IncarnationId) {
-        if self.leaving.runs.note(now, run) {
+        if self.leaving.runs.record(now, run) {
             self.spread_leaving(now, run, NOTIFIED_FIRST);
         }
     }
@@ -39,8 +39,8 @@
     /// Takes what another node passes on.
     pub(super) fn take_leaving(&mut self, now: Time, updates: &[LeavingUpdate]) {
         for update in updates {
-            if self.leaving.runs.take(now, *update) {
-                self.spread_leaving(now, update.run, NOTIFIED_NEXT);
+            if self.leaving.runs.merge(now, *update) {
+                self.spread_leaving(now, update.incarnation, NOTIFIED_NEXT);
             }
         }
     }
@@ -50,7 +50,7 @@
         if self.leaving.runs.is_empty() {
             return;
         }
-        self.leaving.runs.forget(now, |_| false);
+        self.leaving.runs.expire(now, |_| false);
         for to in self.some_reachable(1) {
             self.share_leaving(now, &to);
         }
--- a/crates/barleyspool_core/tests/cold_targets.rs
+++ b/crates/barleyspool_core/tests/cold_targets.rs
@@ -171,7 +171,7 @@
 fn a_target_that_has_just_come_is_cold_before_its_own_word_says_so() {
     let mut entry = TargetEntry::default();
     assert_eq!(entry.cold_until(COLD), Time(0));
-    entry.times.began = Time::from_millis(500);
+    entry.times.appeared_at = Time::from_millis(500);
     assert_eq!(entry.cold_until(COLD), Time::from_millis(3500));
     entry.times.warm_at = Time::from_millis(4000);
     assert_eq!(entry.cold_until(COLD), Time::from_millis(4000));
--- a/crates/barleyspool_core/tests/forward_catalog.rs
+++ b/crates/barleyspool_core/tests/forward_catalog.rs
@@ -163,7 +163,7 @@
     let at = Time::from_millis;
     let mut store = TargetStore::default();
     store.replace(at(0), Revision(1), table(&["a", "b", "c", "d"]));
-    store.source_back(at(10_000));
+    store.source_recovered(at(10_000));
     assert!(
         !store.replace(at(10_000), Revision(5), table(&["d"])),
         "three expired"
--- a/crates/barleyspool_core/tests/forward_choice.rs
+++ b/crates/barleyspool_core/tests/forward_choice.rs
@@ -64,7 +64,7 @@
 fn choose(forwarder: &mut Forwarder, now: Time, need: &TargetQuery) -> TargetChoice {
     match forwarder.choose(now, need) {
         ChooseResult::Send(chosen) => chosen,
-        ChooseResult::NoCapacity(_) | ChooseResult::Resting(_) | ChooseResult::Busy(_) => {
+        ChooseResult::NoCapacity(_) | ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => {
             panic!("a target is free")
         }
     }
--- a/crates/barleyspool_core/tests/forward_pieces.rs
+++ b/crates/barleyspool_core/tests/forward_pieces.rs
@@ -17,10 +17,10 @@
         slots: 1,
         queue: 2,
         batch: BATCH,
-        call: Span::from_millis(150),
-        item: Span::from_millis(10),
-        room: 1000,
-        hold: Span::from_secs(4),
+        call_overhead: Span::from_millis(150),
+        piece_time: Span::from_millis(10),
+        result_capacity: 1000,
+        result_ttl: Span::from_secs(4),
         link_mbps: 1000,
     }
 }
--- a/crates/barleyspool_core/tests/forward_sends.rs
+++ b/crates/barleyspool_core/tests/forward_sends.rs
@@ -16,7 +16,7 @@
     },
     SendEnd::Unreachable,
     SendEnd::BrokenOff,
-    SendEnd::Silent,
+    SendEnd::TimedOut,
 ];
 
 /// Every sequence of ends, for every kind of call: at most one run of what may run once, a promise only when
@@ -42,7 +42,7 @@
     let mut history = SendHistory::default();
     let mut may_have_run = 0;
     for end in row {
-        history.ended(*end);
+        history.record_end(*end);
         may_have_run += u32::from(end.fate() != Fate::NotRun);
         assert!(history.sends <= max_sends, "more sends than allowed: {row:?}");
         match next_step(Time(0), Time(1), repeatable, max_sends, history, *end) {
@@ -73,7 +73,7 @@
 fn nothing_is_sent_again_after_the_deadline() {
     for end in ENDS {
         let mut history = SendHistory::default();
-        history.ended(*end);
+        history.record_end(*end);
         let step = next_step(Time(5), Time(5), true, 3, history, *end);
         assert_ne!(step, NextStep::Retry, "{end:?}");
     }
@@ -91,9 +91,9 @@
         for (node, wait, fails) in events {
             now = now + Span::from_millis(u64::from(wait) % 500);
             let node = &mut nodes[usize::from(node) % NODES];
-            node.request(now, window);
+            node.record_request(now, window);
             requests.push(now);
-            if fails && node.spend(now, window, ratio, fixed / NODES as f64) {
+            if fails && node.try_spend(now, window, ratio, fixed / NODES as f64) {
                 repeats.push(now);
             }
             let within = |times: &[Time]| times.iter().filter(|at| now.since(**at) <= window).count() as f64;
--- a/crates/barleyspool_core/tests/limited_targets.rs
+++ b/crates/barleyspool_core/tests/limited_targets.rs
@@ -189,7 +189,7 @@
     }
     for node in fleet.nodes.values_mut() {
         for place in 0..ENGINES {
-            node.take_limit_report(at(10.0), at(10.0), &format!("i-{place}"), named(4.0));
+            node.apply_limit_report(at(10.0), at(10.0), &format!("i-{place}"), named(4.0));
         }
     }
     for number in 0..800 {
--- a/crates/barleyspool_core/tests/source_reading/changes.rs
+++ b/crates/barleyspool_core/tests/source_reading/changes.rs
@@ -187,7 +187,7 @@
     teller.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
     let mut taker = TargetStore::default();
     taker.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
-    teller.source_back(at(1000));
+    teller.source_recovered(at(1000));
     teller.replace(at(1000), Revision(5), table(&[(1, false)]));
     assert_eq!(teller.table.len(), 2, "it may come back");
     taker.note_expiring(at(1500), teller.at, teller.expiring(at(1500)));
--- a/crates/barleyspool_core/tests/source_reading/first_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/first_list.rs
@@ -87,7 +87,7 @@
             "i-{:010x}",
             rendezvous::place(7, place as u64) as u64 & 0xff_ffff_ffff
         ),
-        run: TargetIncarnation(1_700_000_000_000 + place as u64 * 17),
+        incarnation: TargetIncarnation(1_700_000_000_000 + place as u64 * 17),
         sequence: 40,
         service: format!("service-{}", place % 5),
         address: format!("10.{}.{}.{}:8080", place % 5, place / 250, place % 250),
@@ -232,7 +232,7 @@
             self.has(place);
             return;
         }
-        let goes_on = node.pages > 0 || node.first.reads(now, node.view);
+        let goes_on = node.pages > 0 || node.first.should_read(now, node.view);
         if node.page_at.is_some() || !goes_on {
             return;
         }
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -147,7 +147,7 @@
                 if let Rates::Limit(per_s) = rates {
                     for place in 0..ENGINES {
                         let word = LimitReport::PerSecond(*per_s);
-                        forwarder.take_limit_report(Time(0), Time(0), &format!("i-{place}"), word);
+                        forwarder.apply_limit_report(Time(0), Time(0), &format!("i-{place}"), word);
                     }
                 }
                 fleet.nodes.insert(member.key, forwarder);
@@ -250,7 +250,7 @@
             let ChooseResult::Send(chosen) = forwarder.choose(now, &need) else {
                 break;
             };
-            let wait = if chosen.bounded {
+            let wait = if chosen.rate_limited {
                 let shard = forwarder.shard_of_target(&chosen.id).expect("it is listed");
                 let owner = self.asked(part, shard);
                 let owner = self.nodes.get_mut(&owner).expect("it is a node");
@@ -258,7 +258,7 @@
                     Grant::After(wait) => wait,
                     Grant::NoCapacity(wait) => {
                         let forwarder = self.nodes.get_mut(&asker).expect("it is a node");
-                        forwarder.no_room(now, chosen.target, now + wait);
+                        forwarder.note_no_capacity(now, chosen.target, now + wait);
                         continue;
                     }
                 }
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -21,7 +21,7 @@
 fn entry(id: &str, run: u64, sequence: u64) -> TargetEntry {
     TargetEntry {
         id: id.to_owned(),
-        run: TargetIncarnation(run),
+        incarnation: TargetIncarnation(run),
         sequence,
         service: "s".to_owned(),
         address: format!("10.0.0.{id}:80"),
@@ -71,8 +71,8 @@
 fn a_later_run_replaces_the_earlier_one_although_it_counts_from_the_start_again() {
     let mut store = store(&[leaving(entry("1", 1000, 50))]);
     assert!(put(&mut store, at(10), entry("1", 2000, 1)));
-    assert!(store.table["1"].takes_work(), "the new run does not leave");
-    assert_eq!(store.table["1"].times.restarted, at(10));
+    assert!(store.table["1"].accepts_work(), "the new run does not leave");
+    assert_eq!(store.table["1"].times.restarted_at, at(10));
 }
 
 /// Guards against an entry that calls a target ready after one of its answers has said that it leaves.
@@ -81,8 +81,8 @@
     for run in [0, 1000] {
         let mut store = store(&[entry("1", run, 5), entry("2", run, 5)]);
         let changed_at = store.changed_at;
-        assert!(store.note_leaving(at(10), entry("1", run, 0).mark()));
-        assert!(!store.note_leaving(at(11), entry("1", run, 0).mark()));
+        assert!(store.note_leaving(at(10), entry("1", run, 0).incarnation_id()));
+        assert!(!store.note_leaving(at(11), entry("1", run, 0).incarnation_id()));
         assert_eq!(store.changed_at, changed_at, "the source has told nothing new");
         assert_eq!(store.services["s"].working, 1);
         let ready = |sequence| TargetEntry {
@@ -90,13 +90,13 @@
             ..entry("1", run, sequence)
         };
         put(&mut store, at(20), ready(6));
-        assert!(!store.table["1"].takes_work());
+        assert!(!store.table["1"].accepts_work());
         store.replace(at(30), Revision(90), table(&[ready(7), entry("2", run, 6)]));
-        assert!(!store.table["1"].takes_work());
+        assert!(!store.table["1"].accepts_work());
         store.apply(at(40), Revision(91), vec![TargetChange::Gone("1".to_owned())]);
         put(&mut store, at(50), ready(8));
-        assert!(!store.table["1"].takes_work(), "its entry had expired");
-        assert!(store.table["2"].takes_work());
+        assert!(!store.table["1"].accepts_work(), "its entry had expired");
+        assert!(store.table["2"].accepts_work());
     }
 }
 
@@ -104,12 +104,12 @@
 #[test]
 fn the_run_after_one_that_said_it_leaves_gets_work() {
     let mut store = store(&[entry("1", 1000, 5)]);
-    store.note_leaving(at(10), entry("1", 1000, 0).mark());
+    store.note_leaving(at(10), entry("1", 1000, 0).incarnation_id());
     put(&mut store, at(20), entry("1", 2000, 1));
-    assert!(store.table["1"].takes_work());
+    assert!(store.table["1"].accepts_work());
     let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
     forwarder.apply_plan(&plan(&store));
-    let run = entry("1", 2000, 0).mark();
+    let run = entry("1", 2000, 0).incarnation_id();
     assert_eq!(
         forwarder.leaving_incarnation(at(19), "1"),
         None,
@@ -122,9 +122,9 @@
 #[test]
 fn a_run_that_is_listed_after_it_was_read_to_leave_gets_nothing() {
     let mut store = store(&[entry("2", 0, 1)]);
-    assert!(!store.note_leaving(at(10), entry("1", 0, 0).mark()));
+    assert!(!store.note_leaving(at(10), entry("1", 0, 0).incarnation_id()));
     put(&mut store, at(20), entry("1", 0, 1));
-    assert!(!store.table["1"].takes_work());
+    assert!(!store.table["1"].accepts_work());
 }
 
 #[test]
@@ -140,7 +140,7 @@
         !store.replace(at(30), Revision(100), whole),
         "also in a whole list"
     );
-    assert_eq!(store.table["1"].run, TargetIncarnation(2000));
+    assert_eq!(store.table["1"].incarnation, TargetIncarnation(2000));
 }
 
 #[test]
@@ -151,13 +151,13 @@
     assert!(!put(&mut store, at(500), entry("1", 2000, 6)));
     assert!(store.table.is_empty());
     assert!(put(&mut store, at(600), entry("1", 2000, 8)), "it writes again");
-    assert_eq!(store.table["1"].times.began, Time(0), "and is no new one");
+    assert_eq!(store.table["1"].times.appeared_at, Time(0), "and is no new one");
     store.apply(at(700), Revision(90), vec![TargetChange::Gone("1".to_owned())]);
     assert!(
         put(&mut store, at(800), entry("1", 3000, 1)),
         "nor is a later run older"
     );
-    assert_eq!(store.table["1"].times.restarted, at(800));
+    assert_eq!(store.table["1"].times.restarted_at, at(800));
 }
 
 /// Deployments whose targets do not tell when they started give each start another id, and the order of the source counts.
@@ -166,15 +166,15 @@
     let mut store = store(&[entry("1", 0, 9)]);
     assert!(put(&mut store, at(10), leaving(entry("1", 0, 3))));
     assert!(store.table["1"].leaving);
-    assert_eq!(store.table["1"].times.restarted, Time(0));
+    assert_eq!(store.table["1"].times.restarted_at, Time(0));
 }
 
 #[test]
 fn an_entry_that_cannot_be_read_names_no_target_also_where_a_good_one_stood_before() {
     let mut store = store(&[entry("1", 1000, 1), entry("2", 1000, 1)]);
     assert!(put(&mut store, at(10), TargetEntry::unreadable("1")));
-    assert!(!store.table["1"].takes_work() && !store.table["1"].takes_frees());
-    assert!(store.table["2"].takes_work(), "the others hold");
+    assert!(!store.table["1"].accepts_work() && !store.table["1"].accepts_release());
+    assert!(store.table["2"].accepts_work(), "the others hold");
     assert_eq!(store.services["s"].working, 1);
     assert!(
         !put(&mut store, at(20), TargetEntry::unreadable("1")),
@@ -185,12 +185,12 @@
         "an old word is no good one"
     );
     assert!(put(&mut store, at(30), entry("1", 1000, 2)));
-    assert!(store.table["1"].takes_work());
+    assert!(store.table["1"].accepts_work());
     let mut without = entry("1", 0, 3);
     without.leaving = false;
     put(&mut store, at(40), without);
     assert!(
-        !store.table["1"].takes_work(),
+        !store.table["1"].accepts_work(),
         "a target that told its start always does"
     );
 }
@@ -213,13 +213,13 @@
             }
             let mut word = entry("1", u64::from(run % 4) + 1, u64::from(sequence % 8));
             word.leaving = leaves;
-            if (word.run, word.sequence) >= newest {
-                newest = (word.run, word.sequence);
+            if (word.incarnation, word.sequence) >= newest {
+                newest = (word.incarnation, word.sequence);
                 good = !leaves;
             }
             put(&mut store, now, word);
             let held = &store.table["1"];
-            if (held.run, held.sequence) != newest || held.takes_work() != good {
+            if (held.incarnation, held.sequence) != newest || held.accepts_work() != good {
                 return false;
             }
         }
@@ -236,7 +236,7 @@
 }
 
 fn ids(store: &TargetStore) -> Vec<&str> {
-    let used = store.table.values().filter(|entry| entry.takes_work());
+    let used = store.table.values().filter(|entry| entry.accepts_work());
     used.map(|entry| entry.id.as_str()).collect()
 }
 
@@ -361,7 +361,7 @@
     forgotten.replace(at(1000), in_later_era(20), zones(&["b"]));
     assert_eq!(forgotten.zones, zones(&["a", "b"]));
     let mut other = Evacuations::default();
-    other.take(at(2000), forgotten.clone());
+    other.merge(at(2000), forgotten.clone());
     for (evacuations, over) in [(&mut forgotten, at(11_000)), (&mut other, at(12_000))] {
         assert!(!evacuations.replace(at(3000), in_later_era(22), zones(&["b"])));
         assert!(!evacuations.expire(over - Span::from_millis(1)));
@@ -407,11 +407,11 @@
 #[test]
 fn nothing_goes_to_an_evacuated_zone_and_targets_that_come_meanwhile_belong_to_it() {
     let mut store = store(&[entry("1", 0, 1), entry("2", 0, 1), entry("7", 0, 1)]);
-    assert!(store.evacuate(at(10), &zones(&["a"])));
+    assert!(store.apply_evacuations(at(10), &zones(&["a"])));
     put(&mut store, at(20), entry("3", 0, 1));
     put(&mut store, at(20), entry("1", 0, 2));
     let open = |store: &TargetStore| {
-        let open = store.table.values().filter(|entry| entry.takes_work());
+        let open = store.table.values().filter(|entry| entry.accepts_work());
         open.map(|entry| entry.id.clone()).collect::<Vec<_>>()
     };
     assert_eq!(open(&store), ["7"]);
@@ -419,7 +419,7 @@
         store.services["s"].working, 1,
         "forecasts reckon with what is left"
     );
-    assert!(store.evacuate(at(30), &zones(&[])));
+    assert!(store.apply_evacuations(at(30), &zones(&[])));
     assert_eq!(open(&store), ["1", "2", "3", "7"]);
     assert_eq!(
         store.table["1"].cold_until(Span::from_millis(3000)),
@@ -438,7 +438,7 @@
         service: "s".to_owned(),
         ..TargetQuery::default()
     };
-    store.evacuate(at(10), &zones(&["a"]));
+    store.apply_evacuations(at(10), &zones(&["a"]));
     forwarder.apply_plan(&plan(&store));
     for _ in 0..20 {
         let ChooseResult::Send(chosen) = forwarder.choose(at(20), &need) else {
@@ -446,7 +446,7 @@
         };
         assert_eq!(chosen.id, "7");
     }
-    store.evacuate(at(30), &zones(&["a", "b"]));
+    store.apply_evacuations(at(30), &zones(&["a", "b"]));
     forwarder.apply_plan(&plan(&store));
     assert!(matches!(forwarder.choose(at(40), &need), ChooseResult::Busy(_)));
     assert_eq!(plan(&store).count_working("s"), 0);
@@ -479,7 +479,7 @@
     forwarder.end(at(20), send, SendEnd::Unreachable);
     let record = forwarder.target(now_key).expect("it is known");
     assert_eq!((record.in_flight, record.failing), (0, 0.0));
-    assert!(record.unread_tokens.abs() < f64::EPSILON);
+    assert!(record.pending_prefill_tokens.abs() < f64::EPSILON);
     assert!(!record.prefixes.holds(at(20), 9, 600_000), "its memory is empty");
     assert!(matches!(forwarder.choose(at(20), &need), ChooseResult::Send(_)));
 }
@@ -489,10 +489,10 @@
         slots: 1,
         queue: 2,
         batch: 2,
-        call: Span::from_millis(150),
-        item: Span::from_millis(10),
-        room: 1000,
-        hold: Span::from_secs(4),
+        call_overhead: Span::from_millis(150),
+        piece_time: Span::from_millis(10),
+        result_capacity: 1000,
+        result_ttl: Span::from_secs(4),
         link_mbps: 1000,
     }
 }
@@ -567,7 +567,7 @@
     let Some((_, OrderOutcome::Computed(handles))) = queue.take_ended().pop() else {
         panic!("they were made");
     };
-    store.evacuate(at(210), &zones(&["a"]));
+    store.apply_evacuations(at(210), &zones(&["a"]));
     queue.apply_plan(&spec(), None, &store.table, |_| true);
     queue.release(handles);
     assert!(queue.take_releasable(Time(0)).is_empty());
@@ -583,7 +583,7 @@
     let mut other = Evacuations::default();
     other.replace(at(0), Revision(40), zones(&[]));
     other.replace(at(1000), in_later_era(20), zones(&["b"]));
-    assert!(knows.take(at(1000), other));
+    assert!(knows.merge(at(1000), other));
     assert_eq!(knows.zones, zones(&["a", "b"]));
     assert!(knows.expire(at(11_000)));
     assert_eq!(knows.zones, zones(&["b"]));
--- a/crates/barleyspool_core/tests/targets_at_rest.rs
+++ b/crates/barleyspool_core/tests/targets_at_rest.rs
@@ -78,7 +78,7 @@
         let now = at(step * 5);
         let chosen = match forwarder.choose(now, &need()) {
             ChooseResult::Send(chosen) => chosen,
-            ChooseResult::Resting(wait) => {
+            ChooseResult::CoolingDown(wait) => {
                 resting += 1;
                 assert!(wait > Span::ZERO && wait <= REST, "{wait:?}");
                 continue;
@@ -90,7 +90,7 @@
         let send = forwarder.begin(now, &need(), chosen.target);
         let place: usize = chosen.id[2..].parse().expect("a place");
         assert!(
-            forwarder.rest_until(&chosen.id) <= now,
+            forwarder.cooldown_until(&chosen.id) <= now,
             "{} rests at {now:?}",
             chosen.id
         );
@@ -102,7 +102,7 @@
             SendEnd::Answered { success: true }
         } else {
             refused += 1;
-            forwarder.take_rest(now, now, &chosen.id, REST);
+            forwarder.apply_cooldown(now, now, &chosen.id, REST);
             SendEnd::Refused {
                 misdirected: false,
                 inputs_gone: false,
@@ -119,22 +119,22 @@
 #[test]
 fn a_rest_lasts_as_long_as_was_asked_and_ends_with_the_run() {
     let mut forwarder = forwarder(1);
-    assert!(forwarder.take_rest(at(0), at(0), "i-0", REST));
-    assert!(!forwarder.take_rest(at(1000), at(0), "i-0", Span::from_millis(500)));
+    assert!(forwarder.apply_cooldown(at(0), at(0), "i-0", REST));
+    assert!(!forwarder.apply_cooldown(at(1000), at(0), "i-0", Span::from_millis(500)));
     assert_eq!(
         forwarder.choose(at(1000), &need()),
-        ChooseResult::Resting(Span::from_secs(2))
+        ChooseResult::CoolingDown(Span::from_secs(2))
     );
     assert!(forwarder.usable(at(2999), "i-0").is_none());
     assert_eq!(sent_to(forwarder.choose(at(3000), &need())).id, "i-0");
-    forwarder.take_rest(at(4000), at(4000), "i-0", REST);
+    forwarder.apply_cooldown(at(4000), at(4000), "i-0", REST);
     let mut again = entry(0);
-    again.run = TargetIncarnation(5);
-    again.times.restarted = at(4500);
+    again.incarnation = TargetIncarnation(5);
+    again.times.restarted_at = at(4500);
     forwarder.apply_plan(&plan([("i-0".to_owned(), again)].into()));
     assert_eq!(sent_to(forwarder.choose(at(4500), &need())).id, "i-0");
     assert!(
-        !forwarder.take_rest(at(4600), at(4400), "i-0", REST),
+        !forwarder.apply_cooldown(at(4600), at(4400), "i-0", REST),
         "an answer of the run before"
     );
     assert_eq!(sent_to(forwarder.choose(at(4600), &need())).id, "i-0");
@@ -144,9 +144,9 @@
 #[test]
 fn a_call_waits_for_a_rest_that_is_over_in_a_moment() {
     let mut forwarder = forwarder(2);
-    forwarder.take_rest(at(0), at(0), "i-0", REST);
+    forwarder.apply_cooldown(at(0), at(0), "i-0", REST);
     assert_eq!(sent_to(forwarder.choose(at(0), &need())).id, "i-1");
-    forwarder.take_rest(at(0), at(0), "i-1", Span::from_millis(40));
+    forwarder.apply_cooldown(at(0), at(0), "i-1", Span::from_millis(40));
     let patient = TargetQuery {
         max_wait: Span::from_millis(75),
         ..need()
@@ -154,7 +154,7 @@
     assert!(matches!(forwarder.choose(at(0), &patient), ChooseResult::Busy(_)));
     assert_eq!(
         forwarder.choose(at(0), &need()),
-        ChooseResult::Resting(Span::from_millis(40))
+        ChooseResult::CoolingDown(Span::from_millis(40))
     );
     assert_eq!(sent_to(forwarder.choose(at(40), &patient)).id, "i-1");
 }
@@ -163,19 +163,19 @@
 #[test]
 fn an_owner_places_calls_of_others_where_it_rests_itself() {
     let mut forwarder = forwarder(1);
-    forwarder.take_rest(at(0), at(0), "i-0", REST);
+    forwarder.apply_cooldown(at(0), at(0), "i-0", REST);
     let own = TargetQuery {
         engine_memory: Some(100_000),
         placing: Some(Shard::WHOLE),
         ..need()
     };
     let other = TargetQuery {
-        for_other: true,
+        for_other_node: true,
         ..own.clone()
     };
     assert_eq!(
         forwarder.place(at(1), &own, ME),
-        ChooseResult::Resting(Span::from_millis(2999))
+        ChooseResult::CoolingDown(Span::from_millis(2999))
     );
     assert_eq!(sent_to(forwarder.place(at(1), &other, 2)).id, "i-0");
 }
@@ -188,10 +188,10 @@
         slots: 1,
         queue: 2,
         batch: 8,
-        call: Span::from_millis(150),
-        item: Span::from_millis(10),
-        room: 1000,
-        hold: Span::from_secs(4),
+        call_overhead: Span::from_millis(150),
+        piece_time: Span::from_millis(10),
+        result_capacity: 1000,
+        result_ttl: Span::from_secs(4),
         link_mbps: 1000,
     }
 }
--- a/crates/barleyspool_core/tests/unmeasured_targets.rs
+++ b/crates/barleyspool_core/tests/unmeasured_targets.rs
@@ -106,7 +106,7 @@
     for calls in [5, 10, 20, 40] {
         let mut node = Node::new(calls);
         node.list(entry("i-near", "a"));
-        node.forwarder.take_rest(node.now, node.now, "i-near", REST);
+        node.forwarder.apply_cooldown(node.now, node.now, "i-near", REST);
         node.list(entry("i-far", "b"));
         node.now = node.now + REST;
         node.now = Time(node.now.0 - GAP.0 * calls);
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -30,7 +30,7 @@
     };
     TargetEntry {
         id: format!("t{id}"),
-        run: TargetIncarnation(run),
+        incarnation: TargetIncarnation(run),
         sequence: run / 3,
         service: format!("service-{service}"),
         address,
@@ -153,12 +153,12 @@
 #[test]
 fn a_seed_reads_soon_a_reader_later_and_neither_when_a_node_has_the_list() {
     let first = InitialListRead::new(START, 0.5);
-    assert!(!first.reads(at(20), view(true, true, false)));
-    assert!(first.reads(at(100), view(true, false, false)));
-    assert!(!first.reads(at(100), view(true, true, true)));
-    assert!(!first.reads(at(500), view(false, true, false)));
-    assert!(first.reads(at(1100), view(false, true, false)));
-    assert!(!first.reads(at(2000), view(false, false, false)));
+    assert!(!first.should_read(at(20), view(true, true, false)));
+    assert!(first.should_read(at(100), view(true, false, false)));
+    assert!(!first.should_read(at(100), view(true, true, true)));
+    assert!(!first.should_read(at(500), view(false, true, false)));
+    assert!(first.should_read(at(1100), view(false, true, false)));
+    assert!(!first.should_read(at(2000), view(false, false, false)));
 }
 
 /// Nobody waits for ever for nodes that have the list and cannot be reached, and the source bears all who stop waiting.
@@ -169,15 +169,15 @@
     let reading = |after| {
         firsts
             .iter()
-            .filter(|first| first.reads(at(after), view(false, false, true)))
+            .filter(|first| first.should_read(at(after), view(false, false, true)))
             .count()
     };
     assert_eq!(reading(2900), 0);
     assert!(reading(5000) <= 25, "{}", reading(5000));
     assert_eq!(reading(3000 + 58_500), 585);
     for first in &firsts {
-        let look_at = first.look_at(at(100), view(false, false, true));
-        assert!(first.reads(look_at, view(false, false, true)));
+        let look_at = first.next_check(at(100), view(false, false, true));
+        assert!(first.should_read(look_at, view(false, false, true)));
     }
 }
 
--- a/crates/barleyspool_gateway/src/control/reading.rs
+++ b/crates/barleyspool_gateway/src/control/reading.rs
@@ -136,14 +136,14 @@
     /// Whether a feed reads the source now because this node has nothing of it.
     fn wants_whole(&self, now: Time, feed: Feed) -> bool {
         let missing = self.missing[feed as usize].get();
-        missing && (feed == Feed::Configuration || self.first_list.reads(now, self.fleet.get()))
+        missing && (feed == Feed::Configuration || self.first_list.should_read(now, self.fleet.get()))
     }
 
     /// When a feed that does not read the source looks again whether it should.
     fn look_at(&self, now: Time, feed: Feed) -> Time {
         let alone_at = self.watch.borrow().next_check();
         if feed == Feed::Targets && self.missing[feed as usize].get() {
-            return alone_at.min(self.first_list.look_at(now, self.fleet.get()));
+            return alone_at.min(self.first_list.next_check(now, self.fleet.get()));
         }
         alone_at
     }
@@ -214,7 +214,7 @@
             .map(|(since, _)| *since);
         let away = since.is_some_and(|since| self.now().since(since) > SOURCE_LOST);
         if feed == Feed::Targets && away {
-            self.targets.borrow_mut().source_back(self.now());
+            self.targets.borrow_mut().source_recovered(self.now());
         }
     }
 
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -113,7 +113,7 @@
 
     /// Takes the zones that another node knows to be evacuated.
     pub fn take_evacuations(&self, evacuations: Evacuations, from: Origin) {
-        let changed = self.evacuations.borrow_mut().take(self.now(), evacuations);
+        let changed = self.evacuations.borrow_mut().merge(self.now(), evacuations);
         if changed {
             self.evacuations_changed(from);
         }
@@ -130,7 +130,7 @@
             from: from.name(),
         };
         self.log.write(self.now(), &line);
-        let changed = self.targets.borrow_mut().evacuate(self.now(), &zones);
+        let changed = self.targets.borrow_mut().apply_evacuations(self.now(), &zones);
         if changed {
             self.targets_changed(from);
         } else {
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -107,7 +107,7 @@
         .unwrap_or_default();
     let all = mine as f64 * plan.members.len().max(1) as f64;
     let places = plan.count_working(service).max(1) as f64 * f64::from(pool.slots.max(1));
-    let full_call = pool.call + Span(pool.item.0 * u64::from(pool.batch));
+    let full_call = pool.call_overhead + Span(pool.piece_time.0 * u64::from(pool.batch));
     full_call.scale(all / f64::from(pool.batch.max(1)) / places)
 }
 
@@ -154,7 +154,7 @@
         .service(service)
         .and_then(|service| service.pool.as_ref());
     let Some(spec) = spec else { return start };
-    let alone = spec.call + Span(spec.item.0 * u64::from(spec.batch));
+    let alone = spec.call_overhead + Span(spec.piece_time.0 * u64::from(spec.batch));
     let queued = Span(reported_wait(call, stage).0.saturating_sub(alone.0));
     let planned = planned_time(call, plan, service, spec);
     // While the stages before run, the pool works on.
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -286,7 +286,7 @@
             copies: self.copies,
             max_wait: Span::ZERO,
             placing: None,
-            for_other: false,
+            for_other_node: false,
         }
     }
 
@@ -389,7 +389,7 @@
                 .and_then(|service| service.pool.as_ref());
             pool.map_or(Span::ZERO, |pool| {
                 let full = pool.batch.min(pieces.max(pool.batch / 2));
-                pool.call + Span(pool.item.0 * u64::from(full))
+                pool.call_overhead + Span(pool.piece_time.0 * u64::from(full))
             })
         });
         times.max().unwrap_or_default()
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -213,7 +213,7 @@
 
 fn note(call: &Call, end: SendEnd) {
     let mut history = call.history.get();
-    history.ended(end);
+    history.record_end(end);
     call.history.set(history);
 }
 
@@ -298,7 +298,7 @@
         Ok(Ok(sent)) => sent,
         Ok(Err(SendFailure::NotWritten)) => return Err(SendEnd::Unreachable),
         Ok(Err(SendFailure::BrokenOff)) => return Err(SendEnd::BrokenOff),
-        Err(_) => return Err(SendEnd::Silent),
+        Err(_) => return Err(SendEnd::TimedOut),
     };
     let (parts, body) = response.into_parts();
     let asked = Asked {
--- a/crates/barleyspool_gateway/src/traffic/grants.rs
+++ b/crates/barleyspool_gateway/src/traffic/grants.rs
@@ -28,7 +28,7 @@
     };
     let now = traffic.now();
     let mut forwarder = traffic.forwarder.borrow_mut();
-    forwarder.no_room(now, chosen.target, now + room);
+    forwarder.note_no_capacity(now, chosen.target, now + room);
     None
 }
 
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -102,10 +102,10 @@
     }
     let first = shard(call, &need);
     // What was told holds while all engines have a rate: one that has none any more has room, whatever was told before.
-    let all_bounded = traffic
+    let all_rate_limited = traffic
         .forwarder
         .borrow()
-        .all_bounded(traffic.now(), &need.service);
+        .all_rate_limited(traffic.now(), &need.service);
     let mut least: Option<Span> = None;
     for step in 0..first.of {
         let id = PoolId {
@@ -115,7 +115,7 @@
         let place = traffic
             .peers
             .no_room(traffic.now(), &id)
-            .filter(|wait| all_bounded && *wait > max_wait);
+            .filter(|wait| all_rate_limited && *wait > max_wait);
         let place = match place {
             Some(wait) => Place::NoRoom(wait),
             None => place_in(call, &id, max_wait).await,
@@ -141,7 +141,12 @@
         Owner::Other(address) => {
             let asked = traffic.peers.place(address, request);
             let answer = timer::timeout(ANSWER, asked).await.ok().flatten();
-            if answer.is_none() && traffic.forwarder.borrow().has_bounds(traffic.now(), &id.service) {
+            if answer.is_none()
+                && traffic
+                    .forwarder
+                    .borrow()
+                    .has_rate_limits(traffic.now(), &id.service)
+            {
                 // Nobody else gives out what such engines take; the next time another node is asked.
                 traffic.peers.leave_out(traffic.now(), address);
             }
@@ -175,7 +180,7 @@
     };
     chosen.source = placed.source;
     chosen.wait = placed.wait;
-    chosen.bounded = placed.bounded;
+    chosen.rate_limited = placed.bounded;
     Place::At(chosen, placement)
 }
 
@@ -192,7 +197,7 @@
     let need = call.need();
     let forwarder = call.traffic.forwarder.borrow();
     // What rests for this node does not rest for the owner.
-    let resting = forwarder.resting(call.traffic.now(), &need.service);
+    let resting = forwarder.in_cooldown(call.traffic.now(), &need.service);
     let avoid = need.avoid.iter().copied().chain(resting);
     let avoid = avoid.filter_map(|key| forwarder.target(key));
     Some(PlaceRequest {
@@ -238,12 +243,12 @@
         copies: request.copies,
         max_wait: request.max_wait,
         placing: Some(shard),
-        for_other: request.from != traffic.plan().me,
+        for_other_node: request.from != traffic.plan().me,
     };
     let chosen = match forwarder.place(now, &need, request.from) {
         ChooseResult::Send(chosen) => chosen,
         ChooseResult::NoCapacity(wait) => return PlaceAnswer::NoRoom(wait),
-        ChooseResult::Resting(_) | ChooseResult::Busy(_) => return PlaceAnswer::Busy,
+        ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => return PlaceAnswer::Busy,
     };
     let send = forwarder.begin(now, &need, chosen.target);
     let mut placements = traffic.placements.borrow_mut();
@@ -262,7 +267,7 @@
         target: chosen.id,
         source: chosen.source,
         wait: chosen.wait,
-        bounded: chosen.bounded,
+        bounded: chosen.rate_limited,
     })
 }
 
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -186,7 +186,7 @@
     }
     let share = forwarder.rate_share(now, pool.key, me);
     queue.apply_rates(now, share, me, |id| forwarder.limit(id));
-    queue.apply_cooldowns(|id| forwarder.rest_until(id));
+    queue.apply_cooldowns(|id| forwarder.cooldown_until(id));
 }
 
 async fn run_call(traffic: Rc<Traffic>, pool: Rc<Pool>, call: BatchCall) {
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -208,7 +208,7 @@
         let mut history = call.history.get();
         match sent {
             Ok(Sent::Stream(_, body, connection, head)) => {
-                history.ended(SendEnd::Answered { success: true });
+                history.record_end(SendEnd::Answered { success: true });
                 call.history.set(history);
                 relay.body = Some(body);
                 relay.connection = Some(connection);
@@ -216,11 +216,11 @@
                 return true;
             }
             Ok(Sent::Whole(..)) => {
-                history.ended(SendEnd::Answered { success: false });
+                history.record_end(SendEnd::Answered { success: false });
                 relay.send.end(SendEnd::Answered { success: false });
             }
             Err(end) => {
-                history.ended(end);
+                history.record_end(end);
                 relay.send.end(end);
                 target_ends::note(&call, &relay.send.chosen, end);
             }
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -85,7 +85,10 @@
 pub async fn reserve(call: &Call, ahead: Span) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let max_wait = ahead + call.route.objective.scale(FULL_SHARE);
-    let rest = traffic.forwarder.borrow().all_rest(traffic.now(), &call.need());
+    let rest = traffic
+        .forwarder
+        .borrow()
+        .service_cooldown(traffic.now(), &call.need());
     if rest > max_wait {
         return Err(at_rest(call, Span(rest.0.saturating_sub(ahead.0))));
     }
@@ -93,7 +96,7 @@
     let bounded = traffic
         .forwarder
         .borrow()
-        .all_bounded(traffic.now() + ahead, &call.service);
+        .all_rate_limited(traffic.now() + ahead, &call.service);
     if !bounded {
         return Ok(());
     }
@@ -135,7 +138,7 @@
         let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &need);
         match choice {
             // Each question that is answered with no takes a target out of the choice.
-            ChooseResult::Send(mut chosen) if chosen.bounded => {
+            ChooseResult::Send(mut chosen) if chosen.rate_limited => {
                 if let Some(wait) = grants::ask(traffic, &chosen, max_wait).await {
                     chosen.wait = wait;
                     return Look::At(Box::new((chosen, None)));
@@ -143,7 +146,7 @@
             }
             ChooseResult::Send(chosen) => return Look::At(Box::new((chosen, None))),
             ChooseResult::NoCapacity(wait) => return Look::NoRoom(wait),
-            ChooseResult::Resting(wait) => return Look::Resting(wait),
+            ChooseResult::CoolingDown(wait) => return Look::Resting(wait),
             ChooseResult::Busy(come_back) => return Look::Busy(come_back),
         }
     }
@@ -159,7 +162,7 @@
     }
     let now = traffic.now();
     let usable = traffic.forwarder.borrow_mut().usable(now, &chosen.id).is_some();
-    usable && (!chosen.bounded || now.since(due) < MOST_LATE)
+    usable && (!chosen.rate_limited || now.since(due) < MOST_LATE)
 }
 
 fn no_room(call: &Call, wait: Span) -> CallFailure {
@@ -168,7 +171,7 @@
         id: &call.head.id,
         service: &call.service,
         wait_ms: wait.as_millis(),
-        limited: traffic.forwarder.borrow().limited(),
+        limited: traffic.forwarder.borrow().limited_count(),
         steady: traffic.plan().reach.steady,
     };
     traffic.log.write(traffic.now(), &line);
--- a/crates/barleyspool_gateway/src/traffic/target_ends.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_ends.rs
@@ -82,7 +82,7 @@
             return;
         }
         let plan = traffic.plan();
-        let run = plan.targets.get(target).map_or(0, |entry| entry.run.0);
+        let run = plan.targets.get(target).map_or(0, |entry| entry.incarnation.0);
         let run = IncarnationId::of(target, run);
         // The control thread is gone only when the process ends.
         let _ = self.sightings.send(Sighting::Ended { print, run });
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -84,7 +84,7 @@
     let begins = traffic
         .forwarder
         .borrow_mut()
-        .take_rest(now, asked.sent, asked.target, rest);
+        .apply_cooldown(now, asked.sent, asked.target, rest);
     if !begins {
         return;
     }
@@ -105,9 +105,9 @@
     let reported = traffic
         .forwarder
         .borrow_mut()
-        .take_limit_report(now, asked.sent, asked.target, report);
+        .apply_limit_report(now, asked.sent, asked.target, report);
     let Some(reported) = reported else { return };
-    let (run, per_s) = (reported.run, reported.per_s);
+    let (run, per_s) = (reported.incarnation, reported.per_s);
     traffic.reports.send(Sighting::Limit { run, per_s });
     if reported.changed {
         let line = Line::TargetLimit {
