--- a/crates/barleyspool_core/src/forward/catalog.rs
+++ b/crates/barleyspool_core/src/forward/catalog.rs
@@ -1,94 +1,95 @@
-//! Routes, services and keys for forwarded calls, checked whole before they are in force.
+//! Configuration of forwarded calls: routes, services and API keys. A document is validated as a whole before it is
+//! applied.
 
 use super::ForwardService;
 use crate::{Revision, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Whether a call may run again.
+/// How often a call may be executed.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Any number of times.
+    /// Idempotent: the call may be executed any number of times.
     Repeatable,
-    /// At most once.
+    /// Not idempotent: the call may be executed at most once.
     #[default]
     Unrepeatable,
-    /// At most once, and the answer is a stream of events. See [`Route::resumable`].
+    /// Executed at most once, with an event stream as its response. See [`Route::resumable`] for the exception.
     Streaming,
 }
 
-/// A service's share of a route.
+/// The share of a route's calls that one service receives.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficShare {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its weight among the shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// A stage that must be complete before the call itself can run.
+/// A preparatory stage, which must complete before the call itself is sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageSpec {
-    /// The pool that runs it.
+    /// Name of the pool service that runs the stage.
     pub service: String,
-    /// The stages whose results it needs, by their place in the route.
+    /// Indexes (in [`Route::stages`]) of the stages whose results it needs.
     pub needs: Vec<usize>,
-    /// The approximate size of one piece's result, in bytes.
+    /// Approximate size of the result of one piece, in bytes.
     pub bytes: u64,
 }
 
-/// How calls to one host and path prefix are served.
+/// How calls for one host and path prefix are served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host that a call names.
+    /// Host name that a call must carry; compared without regard to ASCII case.
     pub host: String,
-    /// What the call's path begins with; it starts and ends with a slash.
+    /// Path prefix, which starts and ends with a slash.
     pub path: String,
-    /// Whether a call may run again.
+    /// How often a call may be executed.
     pub kind: RouteKind,
-    /// The longest time a call is held.
+    /// Maximum time that a call may take.
     pub timeout: Span,
-    /// The time within which an answer is worth most; streams: their first event.
+    /// Latency objective: the time within which a call should be answered, or a stream should yield its first event.
     #[serde(rename = "aim")]
     pub objective: Span,
-    /// The priority; 0 is the most important.
+    /// Priority; 0 is the highest.
     pub rank: u8,
-    /// The services that answer, with their weights.
+    /// The services that answer calls, with their weights.
     pub shares: Vec<TrafficShare>,
-    /// The most targets to which one call may be sent.
+    /// Maximum number of targets to which one call may be sent.
     pub max_sends: u32,
-    /// What must be complete before the call runs.
+    /// Stages that must complete before the call is sent.
     pub stages: Vec<StageSpec>,
-    /// Whether no key is needed.
+    /// Whether calls are accepted without an API key.
     pub public: bool,
-    /// Whether calls that share a prefix should meet at the same target.
+    /// Whether calls with the same prompt prefix should be routed to the same target.
     pub affinity: bool,
-    /// Whether a stream may go on at another target after its last event.
+    /// Whether an interrupted stream may be resumed at another target after the last event that was delivered.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a call may be sent again although it may have run.
+    /// Whether a call may be sent again although an earlier attempt may have been executed.
     pub fn repeatable(&self) -> bool {
         self.kind == RouteKind::Repeatable || (self.kind == RouteKind::Streaming && self.resumable)
     }
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a call's head.
+    /// Maximum size of the request line and headers, in bytes.
     #[serde(rename = "head_bytes")]
     pub max_header_bytes: usize,
-    /// Bytes of a call's body.
+    /// Maximum size of the body, in bytes.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Maximum time in which the headers must arrive.
     #[serde(rename = "head_time")]
     pub header_timeout: Span,
-    /// How long a connection may rest.
+    /// Maximum time for which a connection may stay idle.
     #[serde(rename = "idle_time")]
     pub idle_timeout: Span,
 }
@@ -104,106 +105,107 @@
     }
 }
 
-/// An organisation with its keys.
+/// An organisation with its API keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardOrganisation {
-    /// The organisation.
+    /// Name of the organisation.
     pub name: String,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<String>,
-    /// Its priority, which goes before that of the route.
+    /// Its priority, which takes precedence over that of the route.
     pub rank: Option<u8>,
 }
 
-/// A whole configuration for forwarded calls, as read or relayed.
+/// A complete configuration of forwarded calls, as read from the platform or received from another node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogDocument {
-    /// The operator's version; it only rises.
+    /// Version set by the operator; it only increases.
     pub version: Revision,
-    /// Routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Services.
+    /// The services.
     pub services: Vec<ForwardService>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Organisations; none at all means that no key is asked for.
+    /// The organisations. If there are none, calls need no API key.
     #[serde(rename = "holders")]
     pub organisations: Vec<ForwardOrganisation>,
 }
 
-/// One thing that is wrong with a configuration.
+/// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum CatalogError {
     /// route {route}: service "{service}" is not defined
     UndefinedService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service that it names.
+        /// Name of the service.
         service: String,
     },
-    /// route {route}: it names no service
+    /// route {route}: no service is named
     NoService {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// route {route}: path "{path}" does not start and end with a slash
     InvalidPath {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// Its path.
+        /// Path prefix of the route.
         path: String,
     },
-    /// route {route}: stage {stage} needs stage {needed}, which does not stand before it
+    /// route {route}: stage {stage} needs stage {needed}, which does not precede it
     StageOrder {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The stage.
+        /// Index of the stage.
         stage: usize,
-        /// What it needs.
+        /// Index of the stage that it needs.
         needed: usize,
     },
     /// route {route}: stage {stage} names "{service}", which is not a stage pool
     NotAPool {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The stage.
+        /// Index of the stage.
         stage: usize,
-        /// The service that it names.
+        /// Name of the service.
         service: String,
     },
 }
 
 impl std::error::Error for CatalogError {}
 
-/// A configuration that has been checked and indexed.
+/// A validated and indexed configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// What it was made of.
+    /// The document from which the catalog was built.
     pub document: CatalogDocument,
     routes_by_host: HashMap<String, Vec<usize>>,
     route_names: HashSet<String>,
     services_by_name: HashMap<String, usize>,
     organisations_by_key: HashMap<String, usize>,
-    /// The priorities that calls can have, the most important first: that of the organisation, then that of the route.
+    /// All priorities that a call can have, as (organisation, route), highest first.
     ranks: BTreeSet<(u8, u8)>,
 }
 
 impl Catalog {
-    /// Checks `document` whole and indexes it. The verdict depends on nothing else, so all nodes judge alike.
+    /// Validates and indexes `document`. The result depends on the document alone, so all nodes accept or reject it
+    /// alike.
     ///
     /// # Errors
-    /// Everything that is wrong, not just the first.
+    /// Returns all errors of the document, not just the first.
     pub fn build(document: CatalogDocument) -> Result<Self, Vec<CatalogError>> {
         let services_by_name: HashMap<String, usize> = document
             .services
             .iter()
             .enumerate()
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         let pool = |name: &str| {
             services_by_name
                 .get(name)
-                .is_some_and(|place| document.services[*place].pool.is_some())
+                .is_some_and(|index| document.services[*index].pool.is_some())
         };
         let errors: Vec<CatalogError> = document
             .routes
@@ -214,21 +216,21 @@
             return Err(errors);
         }
         let mut routes_by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in document.routes.iter().enumerate() {
+        for (index, route) in document.routes.iter().enumerate() {
             routes_by_host
                 .entry(route.host.to_ascii_lowercase())
                 .or_default()
-                .push(place);
+                .push(index);
         }
-        // The longest prefix wins, so it is tried first.
-        for places in routes_by_host.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(document.routes[*place].path.len()));
+        // The longest matching prefix wins, so longer prefixes are tried first.
+        for indexes in routes_by_host.values_mut() {
+            indexes.sort_by_key(|index| std::cmp::Reverse(document.routes[*index].path.len()));
         }
         let organisations_by_key = document
             .organisations
             .iter()
             .enumerate()
-            .flat_map(|(place, organisation)| organisation.keys.iter().map(move |key| (key.clone(), place)))
+            .flat_map(|(index, organisation)| organisation.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
         let ranks = ranks(&document);
         let route_names = document.routes.iter().map(|route| route.name.clone()).collect();
@@ -242,50 +244,50 @@
         })
     }
 
-    /// The version.
+    /// Version of the configuration.
     pub fn version(&self) -> Revision {
         self.document.version
     }
 
-    /// The route of a call.
+    /// The route for a call to `host` (with or without a port) and `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let places = match self.routes_by_host.get(host) {
-            Some(places) => places,
+        let indexes = match self.routes_by_host.get(host) {
+            Some(indexes) => indexes,
             None => self.routes_by_host.get(&host.to_ascii_lowercase())?,
         };
-        places
+        indexes
             .iter()
-            .map(|place| &self.document.routes[*place])
+            .map(|index| &self.document.routes[*index])
             .find(|route| path.starts_with(&route.path))
     }
 
-    /// Whether there is a route of that name.
+    /// Whether a route with this name exists.
     pub fn has_route(&self, name: &str) -> bool {
         self.route_names.contains(name)
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&ForwardService> {
-        let place = self.services_by_name.get(name)?;
-        self.document.services.get(*place)
+        let index = self.services_by_name.get(name)?;
+        self.document.services.get(*index)
     }
 
-    /// The organisation that holds a key.
+    /// The organisation that owns an API key.
     pub fn organisation(&self, key: &str) -> Option<&ForwardOrganisation> {
-        let place = self.organisations_by_key.get(key)?;
-        self.document.organisations.get(*place)
+        let index = self.organisations_by_key.get(key)?;
+        self.document.organisations.get(*index)
     }
 
-    /// The place of a call among all that the configuration knows; 0 is the most important. Organisations go before
-    /// routes, and what one organisation sends is told apart by its routes.
+    /// The rank of a call among all priorities of the configuration; 0 is the highest. The priority of the
+    /// organisation decides first; calls of equal organisation priority are ordered by the priority of their route.
     pub fn rank(&self, organisation: Option<&ForwardOrganisation>, route: &Route) -> u8 {
         let rank = rank_pair(organisation, route);
         let before = self.ranks.range(..rank).count();
         u8::try_from(before).unwrap_or(u8::MAX)
     }
 
-    /// Whether calls need a key at all.
+    /// Whether calls need an API key, apart from those on public routes.
     pub fn requires_key(&self) -> bool {
         !self.document.organisations.is_empty()
     }
@@ -299,7 +301,7 @@
 }
 
 fn ranks(document: &CatalogDocument) -> BTreeSet<(u8, u8)> {
-    // Whether organisations have priorities does not depend on the route, so few pairs come of many of both.
+    // Only distinct priorities are combined, so many organisations and routes yield few pairs.
     let organisations: BTreeSet<Option<u8>> = document
         .organisations
         .iter()
@@ -338,18 +340,18 @@
             });
         }
     }
-    for (place, stage) in route.stages.iter().enumerate() {
+    for (index, stage) in route.stages.iter().enumerate() {
         if !pool(&stage.service) {
             errors.push(CatalogError::NotAPool {
                 route: name(),
-                stage: place,
+                stage: index,
                 service: stage.service.clone(),
             });
         }
-        for &needed in stage.needs.iter().filter(|needed| **needed >= place) {
+        for &needed in stage.needs.iter().filter(|needed| **needed >= index) {
             errors.push(CatalogError::StageOrder {
                 route: name(),
-                stage: place,
+                stage: index,
                 needed,
             });
         }
--- a/crates/barleyspool_core/src/forward/catalog_change.rs
+++ b/crates/barleyspool_core/src/forward/catalog_change.rs
@@ -1,51 +1,53 @@
-//! What differs between two configurations, so that a change costs its own size and not that of the whole.
+//! Differences between two configurations, so that nodes exchange only what changed and not the whole document.
 
 use super::{CallerLimits, CatalogDocument, ForwardOrganisation, ForwardService, Route};
 use crate::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most changes that are kept: at one every 100 ms those of the last six seconds.
-const MOST_CHANGES: usize = 64;
-/// The most routes, services and organisations in them, so that a row of large changes costs memory of one large
-/// configuration at the most.
-const MOST_PARTS: usize = 4096;
+/// Maximum number of changes kept. At one change every 100 ms they cover the last six seconds.
+const MAX_CHANGES: usize = 64;
+/// Maximum number of routes, services and organisations in all changes kept. It limits their memory to that of one
+/// large configuration.
+const MAX_ENTRIES: usize = 4096;
 
-/// What is new, different or gone in one named list of a configuration.
+/// The difference between two versions of one list of a configuration, with entries identified by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ListChange<T> {
-    put: Vec<T>,
-    gone: Vec<String>,
+    #[serde(rename = "put")]
+    upserted: Vec<T>,
+    #[serde(rename = "gone")]
+    removed: Vec<String>,
 }
 
 impl<T: Clone + PartialEq> ListChange<T> {
     fn between(before: &[T], after: &[T], name: fn(&T) -> &str) -> Self {
-        let old: BTreeMap<&str, &T> = before.iter().map(|part| (name(part), part)).collect();
-        let new: BTreeMap<&str, &T> = after.iter().map(|part| (name(part), part)).collect();
-        let differs = |part: &&T| old.get(name(part)) != Some(part);
-        let gone = old.keys().filter(|name| !new.contains_key(*name));
+        let old: BTreeMap<&str, &T> = before.iter().map(|entry| (name(entry), entry)).collect();
+        let new: BTreeMap<&str, &T> = after.iter().map(|entry| (name(entry), entry)).collect();
+        let differs = |entry: &&T| old.get(name(entry)) != Some(entry);
+        let removed = old.keys().filter(|name| !new.contains_key(*name));
         Self {
-            put: after.iter().filter(differs).cloned().collect(),
-            gone: gone.map(|name| (*name).to_owned()).collect(),
+            upserted: after.iter().filter(differs).cloned().collect(),
+            removed: removed.map(|name| (*name).to_owned()).collect(),
         }
     }
 
-    fn apply(self, parts: &mut Vec<T>, name: fn(&T) -> &str) {
-        parts.retain(|part| !self.gone.iter().any(|gone| gone == name(part)));
-        for new in self.put {
-            match parts.iter_mut().find(|part| name(part) == name(&new)) {
-                Some(part) => *part = new,
-                None => parts.push(new),
+    fn apply(self, entries: &mut Vec<T>, name: fn(&T) -> &str) {
+        entries.retain(|entry| !self.removed.iter().any(|removed| removed == name(entry)));
+        for new in self.upserted {
+            match entries.iter_mut().find(|entry| name(entry) == name(&new)) {
+                Some(entry) => *entry = new,
+                None => entries.push(new),
             }
         }
     }
 
-    fn parts(&self) -> usize {
-        self.put.len() + self.gone.len()
+    fn entries(&self) -> usize {
+        self.upserted.len() + self.removed.len()
     }
 }
 
-/// What a version of the configuration changes in the one before it.
+/// The difference between a version of the configuration and the version before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CatalogChange {
     version: Revision,
@@ -57,7 +59,8 @@
 }
 
 impl CatalogChange {
-    /// What turns `before` into `after`; `None` when names stand twice, so that nothing less than the whole tells it.
+    /// The change that turns `before` into `after`. `None` when one of them has duplicate names, since entries are
+    /// identified by name; the whole document has to be sent then.
     pub fn between(before: &CatalogDocument, after: &CatalogDocument) -> Option<Self> {
         if !has_unique_names(before) || !has_unique_names(after) {
             return None;
@@ -75,13 +78,13 @@
         })
     }
 
-    /// The version that it leads to.
+    /// The version that results from the change.
     pub fn version(&self) -> Revision {
         self.version
     }
 
-    /// Makes the change. The order of routes, services and organisations may be another one than in the original,
-    /// which no decision looks at while names are unique.
+    /// Applies the change to `document`. The order of routes, services and organisations may differ from that of the
+    /// original document; it has no effect as long as names are unique.
     pub fn apply(self, document: &mut CatalogDocument) {
         document.version = self.version;
         document.limits = self.limits;
@@ -91,8 +94,8 @@
             .apply(&mut document.organisations, organisation_name);
     }
 
-    fn parts(&self) -> usize {
-        self.routes.parts() + self.services.parts() + self.organisations.parts()
+    fn entries(&self) -> usize {
+        self.routes.entries() + self.services.entries() + self.organisations.entries()
     }
 }
 
@@ -109,50 +112,52 @@
 }
 
 fn has_unique_names(document: &CatalogDocument) -> bool {
-    fn unique<T>(parts: &[T], name: fn(&T) -> &str) -> bool {
-        let names: std::collections::HashSet<&str> = parts.iter().map(name).collect();
-        names.len() == parts.len()
+    fn unique<T>(entries: &[T], name: fn(&T) -> &str) -> bool {
+        let names: std::collections::HashSet<&str> = entries.iter().map(name).collect();
+        names.len() == entries.len()
     }
     unique(&document.routes, route_name)
         && unique(&document.services, service_name)
         && unique(&document.organisations, organisation_name)
 }
 
-/// The last changes of the configuration, for nodes that have an older version.
+/// The latest changes of the configuration, for nodes that have an older version.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogLog {
-    /// The oldest version from which the changes lead to the newest one.
-    from: Revision,
+    /// The oldest version that the changes can bring up to date.
+    base_version: Revision,
     changes: VecDeque<CatalogChange>,
-    parts: usize,
+    /// Number of entries in all `changes`.
+    entries: usize,
 }
 
 impl CatalogLog {
-    /// Notes that `after` came into force, and what was in force before.
-    pub fn note(&mut self, before: Option<&CatalogDocument>, after: &CatalogDocument) {
+    /// Records that `after` has replaced `before`.
+    pub fn record(&mut self, before: Option<&CatalogDocument>, after: &CatalogDocument) {
         let change = before.and_then(|before| CatalogChange::between(before, after));
         let Some(change) = change else {
             *self = Self {
-                from: after.version,
+                base_version: after.version,
                 ..Self::default()
             };
             return;
         };
-        self.parts += change.parts();
+        self.entries += change.entries();
         self.changes.push_back(change);
-        while self.changes.len() > MOST_CHANGES || self.parts > MOST_PARTS {
+        while self.changes.len() > MAX_CHANGES || self.entries > MAX_ENTRIES {
             let Some(oldest) = self.changes.pop_front() else {
                 break;
             };
-            self.parts -= oldest.parts();
-            self.from = oldest.version;
+            self.entries -= oldest.entries();
+            self.base_version = oldest.version;
         }
     }
 
-    /// The changes that lead from `version` to the newest one, oldest first; `None` when they are not known.
+    /// The changes from `version` to the newest version, oldest first; `None` when they are not kept.
     pub fn since(&self, version: Revision) -> Option<Vec<CatalogChange>> {
         let newer = self.changes.iter().filter(|change| change.version > version);
-        let known = version == self.from || self.changes.iter().any(|change| change.version == version);
+        let known =
+            version == self.base_version || self.changes.iter().any(|change| change.version == version);
         known.then(|| newer.cloned().collect())
     }
 }
--- a/crates/barleyspool_core/src/forward/catalog_store.rs
+++ b/crates/barleyspool_core/src/forward/catalog_store.rs
@@ -1,39 +1,39 @@
-//! The configuration that the platform last told, itself or by way of other nodes.
+//! The newest configuration received from the platform, directly or through other nodes.
 
 use super::catalog_change::CatalogLog;
 use super::{Catalog, CatalogChange, CatalogDocument, CatalogError};
 use crate::Revision;
 use std::sync::Arc;
 
-/// What became of a configuration that was offered.
+/// Result of offering a configuration to a [`CatalogStore`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// It is in force now.
+    /// The configuration was applied.
     Accepted,
-    /// It is not newer than the one in force.
+    /// It is not newer than the current configuration.
     Outdated,
-    /// It is wrong; the one in force stays.
+    /// It has errors; the current configuration is kept.
     Invalid(Vec<CatalogError>),
 }
 
-/// The configuration in force. Its version only rises, whoever offers another.
+/// Holds the current configuration. Its version only increases, whichever node a configuration comes from.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogStore {
-    /// The configuration in force; `None` before the first.
+    /// The current configuration; `None` before the first is received.
     pub catalog: Option<Arc<Catalog>>,
-    /// How it came to be, for nodes that have an older one.
+    /// The latest changes, for nodes that have an older version.
     log: CatalogLog,
 }
 
 impl CatalogStore {
-    /// The version in force; zero before the first.
+    /// The current version; zero before the first configuration is received.
     pub fn version(&self) -> Revision {
         self.catalog
             .as_ref()
             .map_or(Revision(0), |catalog| catalog.version())
     }
 
-    /// Takes a configuration when it is newer and right.
+    /// Applies a configuration if it is newer than the current one and has no errors.
     pub fn offer(&mut self, document: CatalogDocument) -> OfferResult {
         if self.catalog.is_some() && document.version <= self.version() {
             return OfferResult::Outdated;
@@ -41,7 +41,7 @@
         match Catalog::build(document) {
             Ok(catalog) => {
                 let before = self.catalog.as_ref().map(|before| &before.document);
-                self.log.note(before, &catalog.document);
+                self.log.record(before, &catalog.document);
                 self.catalog = Some(Arc::new(catalog));
                 OfferResult::Accepted
             }
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The changes that lead from `version` to the one in force; `None` when they are not known.
+    /// The changes from `version` to the current version; `None` when they are not kept.
     pub fn changes_since(&self, version: Revision) -> Option<Vec<CatalogChange>> {
         self.log.since(version)
     }
 
-    /// Takes changes that lead from the version in force to a newer one.
+    /// Applies changes from the current version to a newer one.
     pub fn apply(&mut self, changes: Vec<CatalogChange>) -> OfferResult {
         let Some(catalog) = self.catalog.as_ref().filter(|_| !changes.is_empty()) else {
             return OfferResult::Outdated;
--- a/crates/barleyspool_core/src/forward/feed_cursor.rs
+++ b/crates/barleyspool_core/src/forward/feed_cursor.rs
@@ -1,44 +1,50 @@
-//! Where a node stands in a feed of the platform: what to ask next, and when.
+//! The position of a node in a feed of the platform: what to request next, and when to retry.
 
 use crate::{Revision, Span};
 
-/// The first wait after an error.
-const RETRY_FIRST: Span = Span::from_millis(60);
-/// The longest. Each call is priced, also one that fails, and other nodes tell what the platform does not.
-const RETRY_LONGEST: Span = Span::from_millis(1500);
+/// Maximum delay before the first retry after an error.
+const MIN_RETRY_DELAY: Span = Span::from_millis(60);
+/// Limit of the exponential backoff. The platform charges for each call, including failed ones, and updates also arrive
+/// from other nodes meanwhile.
+const MAX_RETRY_DELAY: Span = Span::from_millis(1500);
 
-/// How long the watch of a node that watches for a short time may wait (see [`super::source_role`]). With [`WATCH_MARGIN`]
-/// and the time to read it is below the three seconds after which nodes are bound again by what the platform says.
-const SHORT_WAIT: Span = Span::from_secs(2);
-/// How long any other watch may wait; each one is a call, so few and long ones are cheap.
-const LONG_WAIT: Span = Span::from_secs(20);
-/// What a watch may take beyond its own time: an answer of a slow platform takes some 250 ms.
+/// Timeout of a short watch (see [`super::source_role`]). Together with [`WATCH_MARGIN`] and the time to read the feed
+/// it stays below the three seconds after which nodes must follow the state of the platform again.
+const SHORT_WATCH_TIMEOUT: Span = Span::from_secs(2);
+/// Timeout of any other watch. The platform charges per call, so few long watches are cheaper.
+const LONG_WATCH_TIMEOUT: Span = Span::from_secs(20);
+/// Time allowed for the response after the timeout of a watch: a slow platform takes about 250 ms to respond.
 pub const WATCH_MARGIN: Span = Span::from_millis(500);
 
-/// How long a watch may wait.
+/// How long the platform may hold a watch before it responds without changes.
 pub fn watch_timeout(short: bool) -> Span {
-    if short { SHORT_WAIT } else { LONG_WAIT }
+    if short {
+        SHORT_WATCH_TIMEOUT
+    } else {
+        LONG_WATCH_TIMEOUT
+    }
 }
 
-/// What to ask of a feed next.
+/// The next request for a feed.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum FeedStep {
-    /// Read it whole.
+    /// Read the whole feed.
     Read,
     /// Wait for changes after this revision.
     Watch(Revision),
 }
 
-/// Where a node stands in a feed.
+/// The position of a node in a feed.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedCursor {
+    /// Revision up to which changes are known; `None` when the whole feed has to be read.
     since: Option<Revision>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
 }
 
 impl FeedCursor {
-    /// What to ask next.
+    /// The next request to make.
     pub fn next_step(&self) -> FeedStep {
         match self.since {
             Some(since) => FeedStep::Watch(since),
@@ -46,30 +52,32 @@
         }
     }
 
-    /// An answer came; it stands at `at`. A revision never goes back: a source that does enters a later era.
+    /// Records a successful response as of revision `at`. The position never moves backwards: a source whose revisions
+    /// restart enters a later era.
     pub fn advance(&mut self, at: Revision) {
         self.failures = 0;
         self.since = Some(self.since.map_or(at, |since| since.max(at)));
     }
 
-    /// Everything has to be read: the platform has forgotten what came after the revision asked for, or another node
-    /// knows what a watch should have told.
+    /// Makes the next request read the whole feed: the platform no longer keeps the changes after the requested
+    /// revision, or another node knows of a change that a watch should have delivered.
     pub fn reset(&mut self) {
         self.since = None;
     }
 
-    /// Goes on from what another node has told, if that stands at a revision that is known; otherwise everything has to be read. After a failure
-    /// of this node's own too: what expired at the source meanwhile can only be seen by a whole read.
+    /// Continues from the revision of data received from another node. The whole feed is read instead if that revision is
+    /// unknown, or if this node's last request failed: entries that expired at the source meanwhile are only noticed by
+    /// a whole read.
     pub fn resume(&mut self, held: Option<Revision>) {
         self.since = held.filter(|_| self.failures == 0);
     }
 
-    /// The question failed; returns the longest wait before the next. A watch that broke may have missed
-    /// changes that a new one does not tell, so everything is read again.
+    /// Records a failed request and returns the maximum delay before the next. A broken watch may have missed changes
+    /// that a new watch does not deliver, so the whole feed is read again.
     pub fn record_failure(&mut self) -> Span {
         self.since = None;
-        let doubled = Span(RETRY_FIRST.0 << self.failures.min(6));
+        let doubled = Span(MIN_RETRY_DELAY.0 << self.failures.min(6));
         self.failures += 1;
-        doubled.min(RETRY_LONGEST)
+        doubled.min(MAX_RETRY_DELAY)
     }
 }
