--- a/crates/barleyspool_core/src/crashes/answered_calls.rs
+++ b/crates/barleyspool_core/src/crashes/answered_calls.rs
@@ -23,7 +23,7 @@
 
 impl AnsweredCalls {
     /// A target gave a call a whole answer, good or bad.
-    pub fn answered(&mut self, now: Time, print: CallFingerprint) {
+    pub fn insert(&mut self, now: Time, print: CallFingerprint) {
         self.turn(now);
         self.newer.insert(print);
     }
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -61,9 +61,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
     /// The call.
-    pub print: CallFingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: CallFingerprint,
     /// The runs of targets, each with the age of its end in milliseconds.
-    pub ends: Vec<(IncarnationId, u32)>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<(IncarnationId, u32)>,
 }
 
 /// What a node learns from a word about a call.
@@ -104,18 +106,18 @@
 
 impl CrashTable {
     /// A run of a target has ended while it had a call.
-    pub fn ended(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) -> CrashKnowledge {
+    pub fn record_crash(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) -> CrashKnowledge {
         self.add(now, print, &[End { run, at: now }])
     }
 
     /// Takes what another node tells.
-    pub fn take(&mut self, now: Time, update: &CrashUpdate) -> CrashKnowledge {
+    pub fn apply_update(&mut self, now: Time, update: &CrashUpdate) -> CrashKnowledge {
         let end = |(run, age): &(IncarnationId, u32)| End {
             run: *run,
             at: now - Span::from_millis(u64::from(*age)),
         };
-        let ends: Vec<End> = update.ends.iter().take(MOST_ENDS).map(end).collect();
-        self.add(now, update.print, &ends)
+        let ends: Vec<End> = update.crashes.iter().take(MOST_ENDS).map(end).collect();
+        self.add(now, update.fingerprint, &ends)
     }
 
     /// What this node can tell of a call.
@@ -124,13 +126,13 @@
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         let ends = record.ends.iter().map(|end| (end.run, age(end.at)));
         Some(CrashUpdate {
-            print,
-            ends: ends.collect(),
+            fingerprint: print,
+            crashes: ends.collect(),
         })
     }
 
     /// The calls that get no target now.
-    pub fn refused(&self, now: Time) -> BlockedCalls {
+    pub fn blocked(&self, now: Time) -> BlockedCalls {
         let until = |(print, record): (&CallFingerprint, &Record)| Some((*print, record.refused_until()?));
         let refused = self.records.iter().filter_map(until);
         BlockedCalls(refused.filter(|(_, until)| *until > now).collect())
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -80,7 +80,7 @@
 
     /// How many listed targets name a limit.
     pub fn count_rate_limited(&self) -> usize {
-        let named = |entry: &&TargetEntry| self.limits.named(entry.incarnation_id()).is_some();
+        let named = |entry: &&TargetEntry| self.limits.reported(entry.incarnation_id()).is_some();
         self.targets.values().filter(named).count()
     }
 
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -84,7 +84,7 @@
     pub(super) fn apply_rate(&mut self, now: Time, limit: Option<f64>, share: RateShare, me: u64) {
         self.limit = limit;
         self.share = share;
-        self.bucket.begin(now, share, (self.hash, me));
+        self.bucket.set_share(now, share, (self.hash, me));
     }
 
     /// What bounds it now; `None` when nothing does.
@@ -94,7 +94,7 @@
 
     /// The calls a second that it may get from here; `None` when nothing bounds it.
     pub(super) fn rate(&self, now: Time) -> Option<f64> {
-        Some(self.rate_limit(now)?.per_s * self.share.part)
+        Some(self.rate_limit(now)?.per_s * self.share.fraction)
     }
 
     /// How long until its rate allows it another call.
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -73,9 +73,9 @@
             return None;
         }
         let run = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
-        let before = self.limits.named(run);
-        let is_new = self.limits.take_answer(now, sent, run, report);
-        let per_s = self.limits.named(run);
+        let before = self.limits.reported(run);
+        let is_new = self.limits.apply_report(now, sent, run, report);
+        let per_s = self.limits.reported(run);
         is_new.then_some(ReportedLimit {
             incarnation: run,
             per_s,
@@ -85,7 +85,7 @@
 
     /// How many listed targets name a limit, as far as this node knows.
     pub fn limited_count(&self) -> usize {
-        let named = |record: &&TargetRecord| self.limits.named(record.incarnation_id).is_some();
+        let named = |record: &&TargetRecord| self.limits.reported(record.incarnation_id).is_some();
         self.targets.values().filter(named).count()
     }
 
@@ -116,7 +116,7 @@
             ownership.update(self.members_since, owns);
         }
         // Also before this node knows the others: who asks now and waits does not ask again.
-        ownership.asked(now, asker);
+        ownership.record_request(now, asker);
         self.known_share(now, shard)
     }
 
@@ -142,7 +142,7 @@
         let share = self.rate_share(now, self.shard_of(key), asker);
         let wait = self.capacity_wait(now, key, rate_limit, share);
         if wait > max_wait || rate_limit.ends_within(now, wait) {
-            return Grant::NoCapacity(share.ask_again(rate_limit.wait(now, wait)));
+            return Grant::NoCapacity(share.retry_after(rate_limit.wait(now, wait)));
         }
         self.targets[key].bucket.take(now, rate_limit.per_s, share);
         Grant::After(wait)
@@ -157,7 +157,7 @@
         share: RateShare,
     ) -> Span {
         let record = &mut self.targets[key];
-        record.bucket.begin(now, share, (record.hash, self.me));
+        record.bucket.set_share(now, share, (record.hash, self.me));
         record.bucket.wait(now, rate_limit.per_s, share)
     }
 
--- a/crates/barleyspool_core/src/forward/source_watch.rs
+++ b/crates/barleyspool_core/src/forward/source_watch.rs
@@ -140,7 +140,7 @@
             return;
         }
         let (since, before) = self.ahead.unwrap_or((now, state));
-        self.ahead = Some((since, before.newest(state)));
+        self.ahead = Some((since, before.merge(state)));
     }
 
     /// Whether this node should ask another one for what is newer there. One that watches the source itself gives its
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -113,14 +113,14 @@
             };
             let wait = match share {
                 // It may give out nothing, and cannot say when it may.
-                Some(share) if share.part <= 0.0 => return false,
+                Some(share) if share.fraction <= 0.0 => return false,
                 Some(share) => {
                     let wait = self.capacity_wait(now, *key, rate_limit, share);
                     if !rate_limit.ends_within(now, wait) && room.first.is_none_or(|(_, least)| wait < least)
                     {
                         room.first = Some((*key, wait));
                     }
-                    share.ask_again(rate_limit.wait(now, wait))
+                    share.retry_after(rate_limit.wait(now, wait))
                 }
                 // Only their owner chooses among engines that have a rate.
                 None if query.engine_memory.is_some() => return false,
--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -70,7 +70,7 @@
 impl Membership {
     /// Whether what this node knows of the others is likely to be all there is. Before that it should not act as
     /// the only owner of anything.
-    pub fn settled(&self, now: Time) -> bool {
+    pub fn converged(&self, now: Time) -> bool {
         let Some(started) = self.catch_up.started else {
             return false;
         };
@@ -95,7 +95,7 @@
         if !self.young(now) || now < self.catch_up.next {
             return;
         }
-        let settled = self.settled(now);
+        let settled = self.converged(now);
         self.catch_up.next = now + if settled { ASK_SETTLED } else { ASK_EVERY };
         let anybody: Vec<String> = self.reachable().collect();
         let partner = anybody.into_iter().choose(&mut self.random);
@@ -131,7 +131,7 @@
             .collect();
         // Those who ask at the same moment are told different things, which they then tell each other.
         missing.shuffle(&mut self.random);
-        let most_updates = self.settings.most_updates.max(1);
+        let most_updates = self.settings.max_updates.max(1);
         let members = self.members.len() as u32;
         let nothing = [Vec::new()];
         let parts: Vec<Vec<MemberUpdate>> = missing.chunks(most_updates).map(<[_]>::to_vec).collect();
@@ -197,6 +197,6 @@
 
 /// A short mark of what is known of a node.
 fn mark(member: &Member) -> u32 {
-    let state = member.incarnation.0 ^ (member.change << 32) ^ (member.health as u64) << 60;
+    let state = member.incarnation.0 ^ (member.facts_version << 32) ^ (member.health as u64) << 60;
     rendezvous::place(member.key, state) as u32
 }
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -39,7 +39,7 @@
 
     /// This node has seen a run of a target end while it had a call.
     pub(super) fn crashed(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) {
-        match self.crashes.table.ended(now, print, run) {
+        match self.crashes.table.record_crash(now, print, run) {
             CrashKnowledge::Unchanged => {}
             CrashKnowledge::Suspected => self.notify_keepers(now, print),
             CrashKnowledge::Confirmed => self.spread(now, print, NOTIFIED_FIRST),
@@ -49,11 +49,11 @@
     /// Takes what another node tells of such calls.
     pub(super) fn take_crashes(&mut self, now: Time, updates: &[CrashUpdate]) {
         for update in updates {
-            let first_end = update.ends.len() == 1;
-            if self.crashes.table.take(now, update) == CrashKnowledge::Confirmed {
+            let first_end = update.crashes.len() == 1;
+            if self.crashes.table.apply_update(now, update) == CrashKnowledge::Confirmed {
                 // Whoever puts two words together is the first to know.
                 let count = if first_end { NOTIFIED_FIRST } else { NOTIFIED_NEXT };
-                self.spread(now, update.print, count);
+                self.spread(now, update.fingerprint, count);
             }
         }
     }
--- a/crates/barleyspool_core/src/membership/event.rs
+++ b/crates/barleyspool_core/src/membership/event.rs
@@ -24,21 +24,21 @@
     /// A run of a target was seen to end while it had a call.
     Crashed {
         /// The call.
-        print: CallFingerprint,
+        fingerprint: CallFingerprint,
         /// The run.
-        run: IncarnationId,
+        incarnation: IncarnationId,
     },
     /// An answer of a target said what it takes.
     LimitReceived {
         /// The run of the target.
-        run: IncarnationId,
+        incarnation: IncarnationId,
         /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
         per_s: Option<f64>,
     },
     /// An answer of a target said that it leaves.
     TargetLeaves {
         /// The run of the target.
-        run: IncarnationId,
+        incarnation: IncarnationId,
     },
     /// A planned stop begins.
     Leave,
@@ -68,7 +68,7 @@
     /// A target has said that it leaves, in an answer to this node or another one.
     TargetLeaves {
         /// The run of the target.
-        run: IncarnationId,
+        incarnation: IncarnationId,
     },
     /// Targets take more or less than was known.
     LimitsChanged,
@@ -89,7 +89,7 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
     /// Nodes whose updates are to be passed on.
-    pub waiting: usize,
+    pub queued_updates: usize,
     /// Suspicions that were ignored because the teller knew older facts of the same run.
-    pub outdated: u64,
+    pub outdated_suspicions: u64,
 }
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -66,7 +66,7 @@
     }
 
     fn spread_leaving(&mut self, now: Time, run: IncarnationId, nodes: usize) {
-        self.actions.push(MemberAction::TargetLeaves { run });
+        self.actions.push(MemberAction::TargetLeaves { incarnation: run });
         self.leaving.turn.put_first(run);
         let updates: Vec<LeavingUpdate> = self.leaving.runs.update_of(now, run).into_iter().collect();
         for to in self.some_reachable(nodes) {
--- a/crates/barleyspool_core/src/membership/limit_updates.rs
+++ b/crates/barleyspool_core/src/membership/limit_updates.rs
@@ -33,9 +33,9 @@
     /// This node has read in an answer what a target takes; `None` when it limits nothing any more.
     pub(super) fn limit_received(&mut self, now: Time, run: IncarnationId, per_s: Option<f64>) {
         let report = per_s.map_or(LimitReport::None, LimitReport::PerSecond);
-        let before = self.limits.table.named(run);
-        let is_new = self.limits.table.take_answer(now, now, run, report);
-        if before != self.limits.table.named(run) {
+        let before = self.limits.table.reported(run);
+        let is_new = self.limits.table.apply_report(now, now, run, report);
+        if before != self.limits.table.reported(run) {
             self.actions.push(MemberAction::LimitsChanged);
         }
         if is_new {
@@ -46,9 +46,9 @@
     /// Takes what another node tells.
     pub(super) fn take_limits(&mut self, now: Time, updates: &[LimitUpdate]) {
         for update in updates {
-            if self.limits.table.take(now, update) {
+            if self.limits.table.apply_update(now, update) {
                 self.actions.push(MemberAction::LimitsChanged);
-                self.spread_limit(now, update.run, NOTIFIED_NEXT);
+                self.spread_limit(now, update.incarnation, NOTIFIED_NEXT);
             }
         }
     }
--- a/crates/barleyspool_core/src/membership/member.rs
+++ b/crates/barleyspool_core/src/membership/member.rs
@@ -34,9 +34,11 @@
     /// Where it is probed: IP number and port, by UDP.
     pub address: String,
     /// Where callers connect.
-    pub callers: String,
+    #[serde(rename = "callers")]
+    pub caller_address: String,
     /// Where other nodes hand it pieces and fetch from it.
-    pub peers: String,
+    #[serde(rename = "peers")]
+    pub peer_address: String,
     /// Its zone.
     pub zone: String,
     /// Whether it takes calls.
@@ -64,7 +66,7 @@
 
 impl SourceState {
     /// How far both together have read.
-    pub fn newest(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         Self {
             version: self.version.max(other.version),
             list: self.list.max(other.list),
@@ -82,17 +84,17 @@
     /// Which run of it, raised also to refute a suspicion.
     pub incarnation: Incarnation,
     /// Counts changes of the facts within an incarnation.
-    pub change: u64,
+    pub facts_version: u64,
     /// How it is.
     pub health: MemberHealth,
     /// Its address as a key for hashing.
     pub key: u128,
     /// When its health last changed.
-    pub since: Time,
+    pub health_since: Time,
     /// How far it had read the source when it last spoke.
     pub source: SourceState,
     /// Whether it ever spoke to this node itself.
-    pub spoke: bool,
+    pub heard_directly: bool,
     /// Whether it went in order, by its own word.
-    pub left: bool,
+    pub left_gracefully: bool,
 }
--- a/crates/barleyspool_core/src/membership/message.rs
+++ b/crates/barleyspool_core/src/membership/message.rs
@@ -12,7 +12,8 @@
     /// Which run of it.
     pub incarnation: Incarnation,
     /// Which change of its facts.
-    pub change: u64,
+    #[serde(rename = "change")]
+    pub facts_version: u64,
     /// How it is.
     pub health: MemberHealth,
 }
@@ -70,7 +71,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberMessage {
     /// What it wants.
-    pub question: MessageKind,
+    #[serde(rename = "question")]
+    pub kind: MessageKind,
     /// How far the sender has read the source.
     pub source: SourceState,
     /// Updates, the sender's own first.
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -21,9 +21,9 @@
         if now < self.next_round {
             return;
         }
-        let crowded = self.updates.health_waits() > self.settings.most_updates;
+        let crowded = self.updates.health_waits() > self.settings.max_updates;
         let pace = if crowded { CROWDED_PACE } else { 1.0 };
-        self.next_round = now + self.settings.round.scale(pace);
+        self.next_round = now + self.settings.probe_interval.scale(pace);
         self.notice_reach(now);
         self.limits_round(now);
         self.leaving_round(now);
@@ -71,7 +71,7 @@
         let late: Vec<u64> = self
             .probes
             .iter()
-            .filter(|(_, probe)| now.since(probe.sent) >= self.settings.answer)
+            .filter(|(_, probe)| now.since(probe.sent) >= self.settings.probe_timeout)
             .map(|(number, _)| *number)
             .collect();
         for number in late {
@@ -102,7 +102,7 @@
             .collect();
         let helpers = others
             .into_iter()
-            .choose_multiple(&mut self.random, self.settings.helpers);
+            .choose_multiple(&mut self.random, self.settings.indirect_probes);
         for helper in helpers {
             let target = probe.target.clone();
             self.send(now, helper, MessageKind::IndirectProbe { number, target });
@@ -115,20 +115,22 @@
     }
 
     pub(super) fn check_suspects(&mut self, now: Time) {
-        let refute = self.settings.refute;
+        let refute = self.settings.suspicion_timeout;
         let overdue: Vec<String> = self
             .members
             .iter()
-            .filter(|(_, member)| member.health == MemberHealth::Suspect && now.since(member.since) > refute)
+            .filter(|(_, member)| {
+                member.health == MemberHealth::Suspect && now.since(member.health_since) > refute
+            })
             .map(|(address, _)| address.clone())
             .collect();
         for address in overdue {
             self.set_health(now, &address, MemberHealth::Dead, Evidence::Silence);
         }
-        let forget = self.settings.forget;
+        let forget = self.settings.dead_retention;
         self.members.retain(|_, member| {
             !matches!(member.health, MemberHealth::Dead | MemberHealth::Leaving)
-                || now.since(member.since) < forget
+                || now.since(member.health_since) < forget
         });
     }
 
--- a/crates/barleyspool_core/src/membership/reachability.rs
+++ b/crates/barleyspool_core/src/membership/reachability.rs
@@ -14,17 +14,19 @@
 
 impl Membership {
     /// How many of the nodes that were there lately this one hears, itself included. Nodes that went in order are not missed.
-    pub fn reach(&self, now: Time) -> Reachability {
+    pub fn reachability(&self, now: Time) -> Reachability {
         let reached = 1 + self.members.values().filter(|member| is_reached(member)).count();
         let missed = |since: Span| {
             let missed = |member: &&Member| {
-                member.health == MemberHealth::Dead && !member.left && now.since(member.since) < since
+                member.health == MemberHealth::Dead
+                    && !member.left_gracefully
+                    && now.since(member.health_since) < since
             };
             self.members.values().filter(missed).count()
         };
         let few = reached <= missed(MISSED_BY_FEW);
         let known = reached + missed(if few { MISSED_BY_FEW } else { MISSED });
-        let steady = self.age(now) >= STEADY && self.settled(now);
+        let steady = self.age(now) >= STEADY && self.converged(now);
         Reachability {
             reached: reached as u32,
             known: known as u32,
--- a/crates/barleyspool_core/src/membership/receive.rs
+++ b/crates/barleyspool_core/src/membership/receive.rs
@@ -14,18 +14,18 @@
             self.take_update(now, update, place == 0);
         }
         if let Some(member) = self.members.get_mut(from) {
-            member.spoke = true;
+            member.heard_directly = true;
             member.source = message.source;
             // Only of members: what they say keeps calls from targets.
             self.take_crashes(now, &message.crashes);
-            match &message.question {
+            match &message.kind {
                 MessageKind::Limits { updates } => self.take_limits(now, updates),
                 MessageKind::Leaving { updates } => self.take_leaving(now, updates),
                 _ => {}
             }
-            self.source_reported(message.source, message.question == MessageKind::Announce);
+            self.source_reported(message.source, message.kind == MessageKind::Announce);
         }
-        match message.question {
+        match message.kind {
             MessageKind::Probe { number } => {
                 self.send(now, from.to_owned(), MessageKind::Ack { number });
             }
@@ -60,7 +60,7 @@
             return;
         };
         if let Some(member) = self.members.get_mut(&probe.target) {
-            member.spoke = true;
+            member.heard_directly = true;
             // It answered, so it is there, whatever others say; it refutes by itself when it hears of it.
             if member.health == MemberHealth::Suspect {
                 self.set_health(now, &probe.target, MemberHealth::Alive, Evidence::Answer);
@@ -88,15 +88,18 @@
             self.learn(now, address, &update, evidence);
             return;
         };
-        let newer = (update.incarnation, update.change) > (known.incarnation, known.change);
+        let newer = (update.incarnation, update.facts_version) > (known.incarnation, known.facts_version);
         let same_run = update.incarnation == known.incarnation;
         if same_run && update.health == MemberHealth::Dead && !believes_death(known) {
             update.health = MemberHealth::Suspect;
         }
-        let worse = same_run && update.change >= known.change && update.health > known.health;
+        let worse = same_run && update.facts_version >= known.facts_version && update.health > known.health;
         // A node that speaks for itself is alive, however it was thought of.
-        let speaks = first_hand && same_run && update.change >= known.change && update.health != known.health;
-        if same_run && update.change < known.change && update.health > known.health {
+        let speaks = first_hand
+            && same_run
+            && update.facts_version >= known.facts_version
+            && update.health != known.health;
+        if same_run && update.facts_version < known.facts_version && update.health > known.health {
             self.outdated += 1;
         }
         if !newer && !worse && !speaks {
@@ -122,7 +125,7 @@
         let same_run = update.incarnation == known.incarnation;
         let serving_changed = known.facts.serving != update.facts.serving;
         known.incarnation = update.incarnation;
-        known.change = update.change;
+        known.facts_version = update.facts_version;
         known.facts = update.facts;
         let health = known.health;
         if same_run {
@@ -156,13 +159,13 @@
         let member = Member {
             facts: update.facts.clone(),
             incarnation: update.incarnation,
-            change: update.change,
+            facts_version: update.facts_version,
             health: update.health,
             source: SourceState::default(),
             key: rendezvous::text_key(&update.facts.address),
-            since: now,
-            spoke: false,
-            left: update.health == MemberHealth::Leaving,
+            health_since: now,
+            heard_directly: false,
+            left_gracefully: update.health == MemberHealth::Leaving,
         };
         let health = member.health;
         self.note_learnt();
@@ -184,9 +187,10 @@
         if member.health == health {
             return;
         }
-        member.left = health == MemberHealth::Leaving || (member.left && health == MemberHealth::Dead);
+        member.left_gracefully =
+            health == MemberHealth::Leaving || (member.left_gracefully && health == MemberHealth::Dead);
         member.health = health;
-        member.since = now;
+        member.health_since = now;
         self.updates.add_health(address);
         self.actions.push(MemberAction::Changed {
             address: address.to_owned(),
@@ -202,5 +206,5 @@
 /// 7,140 pairs of others took each other for dead two seconds after one node of 86 was back from a cut of 8 s; now 197.
 /// So the first word of a death only gives the node the time to refute it, unless it never spoke to this one.
 fn believes_death(member: &Member) -> bool {
-    member.health == MemberHealth::Suspect || !member.spoke
+    member.health == MemberHealth::Suspect || !member.heard_directly
 }
--- a/crates/barleyspool_core/src/membership/table.rs
+++ b/crates/barleyspool_core/src/membership/table.rs
@@ -61,7 +61,7 @@
         let me = MemberUpdate {
             facts: settings.facts.clone(),
             incarnation: settings.incarnation,
-            change: 0,
+            facts_version: 0,
             health: MemberHealth::Alive,
         };
         Self {
@@ -97,9 +97,15 @@
             MemberEvent::Serving(serving) => self.serves(serving),
             MemberEvent::Source(source) => self.source = source,
             MemberEvent::Announce(audience) => self.announce(audience),
-            MemberEvent::Crashed { print, run } => self.crashed(now, print, run),
-            MemberEvent::LimitReceived { run, per_s } => self.limit_received(now, run, per_s),
-            MemberEvent::TargetLeaves { run } => self.target_leaves(now, run),
+            MemberEvent::Crashed {
+                fingerprint: print,
+                incarnation: run,
+            } => self.crashed(now, print, run),
+            MemberEvent::LimitReceived {
+                incarnation: run,
+                per_s,
+            } => self.limit_received(now, run, per_s),
+            MemberEvent::TargetLeaves { incarnation: run } => self.target_leaves(now, run),
             MemberEvent::Leave => self.leave(),
             MemberEvent::Seeds(seeds) => self.settings.seeds = seeds,
         }
@@ -117,7 +123,7 @@
         let probe = self
             .probes
             .values()
-            .map(|probe| probe.sent + self.settings.answer)
+            .map(|probe| probe.sent + self.settings.probe_timeout)
             .min();
         probe.map_or(self.next_round, |at| at.min(self.next_round))
     }
@@ -135,8 +141,8 @@
     /// How well updates travel.
     pub fn counts(&self) -> MemberCounts {
         MemberCounts {
-            waiting: self.updates.len(),
-            outdated: self.outdated,
+            queued_updates: self.updates.len(),
+            outdated_suspicions: self.outdated,
         }
     }
 
@@ -163,19 +169,19 @@
             return;
         }
         self.me.facts.serving = serving;
-        self.me.change += 1;
+        self.me.facts_version += 1;
         self.notify_some();
     }
 
     fn leave(&mut self) {
         self.me.health = MemberHealth::Leaving;
-        self.me.change += 1;
+        self.me.facts_version += 1;
         self.notify_some();
     }
 
     /// Notifies some others at once of what this node says of itself, and nothing else; they pass it on.
     pub(super) fn notify_some(&mut self) {
-        for address in self.some_reachable(self.settings.most_updates * 4) {
+        for address in self.some_reachable(self.settings.max_updates * 4) {
             self.notify(address, MessageKind::Update, Vec::new());
         }
     }
@@ -194,7 +200,7 @@
         crashes: Vec<CrashUpdate>,
     ) {
         let message = MemberMessage {
-            question,
+            kind: question,
             source: self.source,
             updates,
             crashes,
@@ -217,7 +223,7 @@
             let asleep = now.since(self.last_step);
             for member in self.members.values_mut() {
                 if member.health == MemberHealth::Suspect {
-                    member.since = member.since + asleep;
+                    member.health_since = member.health_since + asleep;
                 }
             }
         }
@@ -225,7 +231,7 @@
     }
 
     pub(super) fn notice_reach(&mut self, now: Time) {
-        let reach = self.reach(now);
+        let reach = self.reachability(now);
         if reach != self.reach {
             self.reach = reach;
             self.actions.push(MemberAction::ReachabilityChanged);
@@ -263,7 +269,7 @@
 
     fn next_updates(&mut self) -> Vec<MemberUpdate> {
         let often = (SPREAD * ((self.members.len() + 2) as f64).log2()).ceil() as u32;
-        let next = self.updates.take(self.settings.most_updates, often);
+        let next = self.updates.take(self.settings.max_updates, often);
         let known = next.iter().filter_map(|address| self.members.get(address));
         known.map(update_of).collect()
     }
@@ -273,7 +279,7 @@
     MemberUpdate {
         facts: member.facts.clone(),
         incarnation: member.incarnation,
-        change: member.change,
+        facts_version: member.facts_version,
         health: member.health,
     }
 }
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -33,11 +33,13 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// The run of the target.
-    pub run: IncarnationId,
+    #[serde(rename = "run")]
+    pub incarnation: IncarnationId,
     /// The calls a second that it takes from all nodes; `None` when a limit is over.
     pub per_s: Option<f64>,
     /// How long ago it said so, in milliseconds.
-    pub age: u32,
+    #[serde(rename = "age")]
+    pub age_ms: u32,
 }
 
 /// The limits that targets have named, as far as this node has heard.
@@ -53,7 +55,7 @@
     ///
     /// An answer without a limit ends one only when its call was sent after the limit was known: others were on their way already when the
     /// target named it.
-    pub fn take_answer(&mut self, now: Time, sent: Time, run: IncarnationId, report: LimitReport) -> bool {
+    pub fn apply_report(&mut self, now: Time, sent: Time, run: IncarnationId, report: LimitReport) -> bool {
         let known = self.reports.get(&run);
         let per_s = match report {
             LimitReport::PerSecond(per_s) => Some(per_s),
@@ -79,7 +81,7 @@
     }
 
     /// Takes the update of another node. Returns whether it is new, so that others are to be notified.
-    pub fn take(&mut self, now: Time, update: &LimitUpdate) -> bool {
+    pub fn apply_update(&mut self, now: Time, update: &LimitUpdate) -> bool {
         let per_s = match update.per_s.map(LimitReport::of) {
             Some(LimitReport::PerSecond(per_s)) => Some(per_s),
             None => None,
@@ -87,10 +89,10 @@
         };
         let report = Report {
             per_s,
-            at: now - Span::from_millis(u64::from(update.age)),
+            at: now - Span::from_millis(u64::from(update.age_ms)),
             notified: now,
         };
-        self.take_report(now, update.run, report)
+        self.take_report(now, update.incarnation, report)
     }
 
     /// Takes what another table of this node knows. Returns the targets of which that changes what is known.
@@ -126,7 +128,7 @@
     }
 
     /// What a run of a target named itself.
-    pub fn named(&self, run: IncarnationId) -> Option<f64> {
+    pub fn reported(&self, run: IncarnationId) -> Option<f64> {
         self.reports.get(&run)?.per_s
     }
 
@@ -134,14 +136,14 @@
     pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LimitUpdate> {
         let report = self.reports.get(&run)?;
         Some(LimitUpdate {
-            run,
+            incarnation: run,
             per_s: report.per_s,
-            age: u32::try_from(now.since(report.at).as_millis()).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(now.since(report.at).as_millis()).unwrap_or(u32::MAX),
         })
     }
 
     /// How many targets name a limit.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.reports
             .values()
             .filter(|report| report.per_s.is_some())
--- a/crates/barleyspool_core/src/rate_limits/ownership.rs
+++ b/crates/barleyspool_core/src/rate_limits/ownership.rs
@@ -27,17 +27,17 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub struct RateShare {
     /// Its part of each rate.
-    pub part: f64,
+    pub fraction: f64,
     /// Why.
-    pub standing: RateRole,
+    pub role: RateRole,
     /// Since when.
     pub since: Time,
 }
 
 impl RateShare {
     /// When to ask again, for a call that would have to wait so long. Who gives out what is about to change while a node stands in.
-    pub fn ask_again(&self, wait: Span) -> Span {
-        match self.standing {
+    pub fn retry_after(&self, wait: Span) -> Span {
+        match self.role {
             RateRole::Owner => wait,
             RateRole::Fallback => wait.min(STAND_IN_WAIT),
         }
@@ -69,7 +69,7 @@
     }
 
     /// The node of that key asks.
-    pub fn asked(&mut self, now: Time, asker: u64) {
+    pub fn record_request(&mut self, now: Time, asker: u64) {
         self.askers.retain(|_, at| now.since(*at) < ASKING);
         if self.askers.is_empty() {
             self.asked_since = now;
@@ -81,16 +81,16 @@
     pub fn share(&self, now: Time, reach: Reachability, members: usize) -> RateShare {
         match self.owned_since {
             Some(since) if now.since(since) >= HANDOVER => RateShare {
-                part: reach.part(),
-                standing: RateRole::Owner,
+                fraction: reach.rate_fraction(),
+                role: RateRole::Owner,
                 since,
             },
             _ => {
                 let asking = self.askers.values().filter(|at| now.since(**at) < ASKING).count();
                 let known = (reach.known as usize).max(members).max(1);
                 RateShare {
-                    part: (asking as f64 / known as f64).min(reach.part()),
-                    standing: RateRole::Fallback,
+                    fraction: (asking as f64 / known as f64).min(reach.rate_fraction()),
+                    role: RateRole::Fallback,
                     since: self.owned_since.unwrap_or(self.asked_since),
                 }
             }
--- a/crates/barleyspool_core/src/rate_limits/reachability.rs
+++ b/crates/barleyspool_core/src/rate_limits/reachability.rs
@@ -20,7 +20,7 @@
 
 impl Reachability {
     /// The part of each rate that the nodes that are reached may use.
-    pub fn part(&self) -> f64 {
+    pub fn rate_fraction(&self) -> f64 {
         let share = if self.known == 0 {
             UNSURE
         } else {
--- a/crates/barleyspool_core/src/rate_limits/target_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/target_bucket.rs
@@ -22,13 +22,13 @@
     ///
     /// With a new standing the bucket begins with nothing to give: whoever gave out before may have given all of it a moment ago.
     /// Nodes that begin to stand in at the same moment begin at different points of their first interval.
-    pub fn begin(&mut self, now: Time, share: RateShare, (target, me): (u128, u64)) {
-        let standing = Some((share.standing, share.since));
+    pub fn set_share(&mut self, now: Time, share: RateShare, (target, me): (u128, u64)) {
+        let standing = Some((share.role, share.since));
         if self.begun == standing {
             return;
         }
         self.begun = standing;
-        let used = match share.standing {
+        let used = match share.role {
             RateRole::Owner => OWNER_BURST,
             RateRole::Fallback => rendezvous::even(target, me),
         };
@@ -47,12 +47,12 @@
 }
 
 fn rate(per_s: f64, share: RateShare) -> Rate {
-    let burst = match share.standing {
+    let burst = match share.role {
         RateRole::Owner => OWNER_BURST,
         RateRole::Fallback => STAND_IN_BURST,
     };
     Rate {
-        per_s: per_s * share.part,
+        per_s: per_s * share.fraction,
         burst,
     }
 }
--- a/crates/barleyspool_core/tests/cold_targets.rs
+++ b/crates/barleyspool_core/tests/cold_targets.rs
@@ -108,12 +108,12 @@
 #[test]
 fn a_pause_does_not_save_up_what_was_not_sent() {
     let share = RateShare {
-        part: 1.0,
-        standing: RateRole::Owner,
+        fraction: 1.0,
+        role: RateRole::Owner,
         since: Time(0),
     };
     let mut bucket = TargetBucket::default();
-    bucket.begin(Time(0), share, (1, 1));
+    bucket.set_share(Time(0), share, (1, 1));
     let hour = Time(3_600_000_000);
     let mut sent = 0;
     while bucket.wait(hour, BEARS, share) == Span::ZERO {
@@ -146,25 +146,21 @@
         steady: true,
     };
     let mut ownership = Ownership::default();
-    let part = |ownership: &Ownership, now| ownership.share(now, reach, 10).part;
+    let part = |ownership: &Ownership, now| ownership.share(now, reach, 10).fraction;
     assert!(part(&ownership, Time(0)) == 0.0, "nobody asks");
     for asker in 0..3 {
-        ownership.asked(Time(0), asker);
-        ownership.asked(Time(0), asker);
+        ownership.record_request(Time(0), asker);
+        ownership.record_request(Time(0), asker);
     }
     assert!((part(&ownership, Time(0)) - 0.3).abs() < 1e-9);
     let later = Time(0) + Span::from_secs(3);
     assert!(part(&ownership, later) == 0.0, "nobody asks any more");
     ownership.update(later, true);
-    ownership.asked(later, 7);
+    ownership.record_request(later, 7);
     let new = ownership.share(later, reach, 10);
-    assert_eq!(
-        new.standing,
-        RateRole::Fallback,
-        "the owner before may not know yet"
-    );
+    assert_eq!(new.role, RateRole::Fallback, "the owner before may not know yet");
     let settled = ownership.share(later + Span::from_secs(2), reach, 10);
-    assert_eq!((settled.standing, settled.part), (RateRole::Owner, 1.0));
+    assert_eq!((settled.role, settled.fraction), (RateRole::Owner, 1.0));
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/crashes.rs
+++ b/crates/barleyspool_core/tests/crashes.rs
@@ -23,30 +23,30 @@
 }
 
 fn wait(table: &CrashTable, now: Time) -> Option<Span> {
-    table.refused(now).wait(now, CALL)
+    table.blocked(now).wait(now, CALL)
 }
 
 #[test]
 fn a_call_is_refused_after_the_second_target_that_ended_under_it() {
     let mut table = CrashTable::default();
-    assert_eq!(table.ended(at(0), CALL, run(1)), CrashKnowledge::Suspected);
+    assert_eq!(table.record_crash(at(0), CALL, run(1)), CrashKnowledge::Suspected);
     assert_eq!(wait(&table, at(0)), None, "one may have ended by chance");
     assert_eq!(
-        table.ended(at(0), CALL, run(1)),
+        table.record_crash(at(0), CALL, run(1)),
         CrashKnowledge::Unchanged,
         "told by another node too"
     );
-    assert_eq!(table.ended(at(1), CALL, run(2)), CrashKnowledge::Confirmed);
+    assert_eq!(table.record_crash(at(1), CALL, run(2)), CrashKnowledge::Confirmed);
     assert!(wait(&table, at(2)).unwrap() > Span::from_secs(2));
-    assert_eq!(table.refused(at(2)).wait(at(2), CallFingerprint(8)), None);
+    assert_eq!(table.blocked(at(2)).wait(at(2), CallFingerprint(8)), None);
 }
 
 /// A target may start again under its id, and then tells nothing that another run could be told by until its entry is read.
 #[test]
 fn a_target_that_ends_twice_under_its_mark_counts_twice() {
     let mut table = CrashTable::default();
-    table.ended(at(0), CALL, run(1));
-    assert_eq!(table.ended(at(5), CALL, run(1)), CrashKnowledge::Confirmed);
+    table.record_crash(at(0), CALL, run(1));
+    assert_eq!(table.record_crash(at(5), CALL, run(1)), CrashKnowledge::Confirmed);
 }
 
 /// The aim is the rule of the deployments: of a call that ends every target, three ends and three more. It comes twice a second
@@ -59,7 +59,7 @@
         let now = START + Span::from_millis(half * 500);
         if wait(&table, now).is_none() {
             ends += 1;
-            table.ended(now, CALL, run(ends));
+            table.record_crash(now, CALL, run(ends));
         }
     }
     assert!(ends <= 6, "{ends}");
@@ -68,26 +68,29 @@
 #[test]
 fn a_call_that_was_at_two_targets_by_chance_is_served_again_soon() {
     let mut table = CrashTable::default();
-    table.ended(at(0), CALL, run(1));
-    table.ended(at(1), CALL, run(2));
+    table.record_crash(at(0), CALL, run(1));
+    table.record_crash(at(1), CALL, run(2));
     assert_eq!(wait(&table, at(7)), None);
 }
 
 #[test]
 fn an_end_says_nothing_of_one_that_was_long_before() {
     let mut table = CrashTable::default();
-    table.ended(at(0), CALL, run(1));
-    assert_eq!(table.ended(at(700), CALL, run(2)), CrashKnowledge::Suspected);
+    table.record_crash(at(0), CALL, run(1));
+    assert_eq!(
+        table.record_crash(at(700), CALL, run(2)),
+        CrashKnowledge::Suspected
+    );
     assert_eq!(wait(&table, at(700)), None);
 }
 
 #[test]
 fn the_table_holds_a_few_thousand_calls_and_those_last_that_ended_most() {
     let mut table = CrashTable::default();
-    table.ended(at(0), CALL, run(1));
-    table.ended(at(1), CALL, run(2));
+    table.record_crash(at(0), CALL, run(1));
+    table.record_crash(at(1), CALL, run(2));
     for other in 0..20_000 {
-        table.ended(at(2), CallFingerprint(1000 + other), run(3));
+        table.record_crash(at(2), CallFingerprint(1000 + other), run(3));
     }
     assert!(table.len() <= 4096, "{}", table.len());
     assert!(wait(&table, at(3)).is_some());
@@ -103,46 +106,46 @@
 
 fn the_order_does_not_matter(words: &[(u8, u8)], shuffle: u64) -> bool {
     let news = |(number, age): &(u8, u8)| CrashUpdate {
-        print: CALL,
-        ends: vec![(run(u32::from(number % 6)), u32::from(*age) * 2500)],
+        fingerprint: CALL,
+        crashes: vec![(run(u32::from(number % 6)), u32::from(*age) * 2500)],
     };
     let mut one = CrashTable::default();
     let mut other = CrashTable::default();
     let now = at(3600);
     let told: Vec<CrashUpdate> = words.iter().map(news).collect();
     for news in &told {
-        one.take(now, news);
+        one.apply_update(now, news);
     }
     let mut turned = told.clone();
     turned.rotate_left((shuffle as usize).checked_rem(told.len()).unwrap_or(0));
     for news in turned.iter().chain(&told) {
-        other.take(now, news);
+        other.apply_update(now, news);
     }
-    one.refused(now) == other.refused(now)
+    one.blocked(now) == other.blocked(now)
 }
 
 #[test]
 fn a_word_from_another_node_counts_with_its_age() {
     let mut here = CrashTable::default();
-    here.ended(at(0), CALL, run(1));
-    here.ended(at(1), CALL, run(2));
+    here.record_crash(at(0), CALL, run(1));
+    here.record_crash(at(1), CALL, run(2));
     let mut there = CrashTable::default();
     // The clock of the other node is an hour ahead.
     let news = here.update_of(at(3), CALL).unwrap();
-    assert_eq!(there.take(at(3603), &news), CrashKnowledge::Confirmed);
+    assert_eq!(there.apply_update(at(3603), &news), CrashKnowledge::Confirmed);
     assert_eq!(wait(&there, at(3604)), wait(&here, at(4)));
-    assert_eq!(there.take(at(3603), &news), CrashKnowledge::Unchanged);
+    assert_eq!(there.apply_update(at(3603), &news), CrashKnowledge::Unchanged);
 }
 
 #[test]
 fn a_call_that_targets_answer_is_known_as_such_for_a_minute() {
     let mut survivors = AnsweredCalls::default();
-    survivors.answered(at(0), CALL);
+    survivors.insert(at(0), CALL);
     assert!(survivors.contains(at(59), CALL));
     assert!(!survivors.contains(at(59), CallFingerprint(8)));
     assert!(!survivors.contains(at(200), CALL));
     for other in 0..100_000 {
-        survivors.answered(at(201), CallFingerprint(other));
+        survivors.insert(at(201), CallFingerprint(other));
     }
     assert!(survivors.contains(at(201), CallFingerprint(99_999)));
     assert!(!survivors.contains(at(201), CallFingerprint(5)), "it is bounded");
--- a/crates/barleyspool_core/tests/limited_targets.rs
+++ b/crates/barleyspool_core/tests/limited_targets.rs
@@ -213,19 +213,19 @@
 #[test]
 fn a_limit_is_over_with_the_first_answer_to_a_later_call_that_names_none() {
     let mut table = LimitTable::default();
-    assert!(table.take_answer(at(1.0), at(0.9), RUN, named(3.0)));
+    assert!(table.apply_report(at(1.0), at(0.9), RUN, named(3.0)));
     assert_eq!(table.per_s(RUN), Some(3.0));
     assert!(
-        !table.take_answer(at(1.1), at(0.95), RUN, LimitReport::None),
+        !table.apply_report(at(1.1), at(0.95), RUN, LimitReport::None),
         "it was on its way before"
     );
     assert_eq!(table.per_s(RUN), Some(3.0));
-    assert!(!table.take_answer(at(1.15), at(1.05), RUN, LimitReport::Unreadable));
+    assert!(!table.apply_report(at(1.15), at(1.05), RUN, LimitReport::Unreadable));
     assert_eq!(table.per_s(RUN), Some(3.0));
-    assert!(table.take_answer(at(1.2), at(1.1), RUN, LimitReport::None));
+    assert!(table.apply_report(at(1.2), at(1.1), RUN, LimitReport::None));
     assert_eq!(table.per_s(RUN), None);
     assert!(
-        !table.take_answer(at(1.3), at(1.25), RUN, LimitReport::None),
+        !table.apply_report(at(1.3), at(1.25), RUN, LimitReport::None),
         "that is known"
     );
 }
@@ -233,20 +233,20 @@
 #[test]
 fn the_youngest_word_counts_whoever_tells_it() {
     let (mut one, mut other) = (LimitTable::default(), LimitTable::default());
-    one.take_answer(at(1.0), at(1.0), RUN, named(3.0));
+    one.apply_report(at(1.0), at(1.0), RUN, named(3.0));
     let old = one.update_of(at(1.0), RUN).expect("it is known");
-    one.take_answer(at(2.0), at(1.5), RUN, LimitReport::None);
+    one.apply_report(at(2.0), at(1.5), RUN, LimitReport::None);
     let over = one.update_of(at(2.1), RUN).expect("it is known");
-    assert!(other.take(at(1.0), &old));
-    assert!(other.take(at(2.1), &over));
+    assert!(other.apply_update(at(1.0), &old));
+    assert!(other.apply_update(at(2.1), &over));
     assert_eq!(other.per_s(RUN), None);
     let mut late = old;
-    late.age = 1200;
-    assert!(!other.take(at(2.2), &late), "it is older");
+    late.age_ms = 1200;
+    assert!(!other.apply_update(at(2.2), &late), "it is older");
     assert_eq!(other.per_s(RUN), None);
-    assert!(other.take_answer(at(2.3), at(2.2), RUN, named(1.0)));
+    assert!(other.apply_report(at(2.3), at(2.2), RUN, named(1.0)));
     assert!(
-        !other.take(at(2.35), &over),
+        !other.apply_update(at(2.35), &over),
         "with a limit of the same moment the limit counts"
     );
     assert_eq!(other.per_s(RUN), Some(1.0));
@@ -255,7 +255,7 @@
 #[test]
 fn a_target_that_takes_nothing_gets_a_call_now_and_then_that_can_say_when_it_is_over() {
     let mut table = LimitTable::default();
-    table.take_answer(at(1.0), at(1.0), RUN, named(0.0));
+    table.apply_report(at(1.0), at(1.0), RUN, named(0.0));
     let per_s = table.per_s(RUN).expect("it is known");
     assert!(per_s > 0.0 && per_s * WINDOW.as_secs() <= 1.0);
 }
@@ -265,22 +265,22 @@
     let mut table = LimitTable::default();
     for per_s in [f64::NAN, f64::INFINITY, -1.0] {
         let news = barleyspool_core::LimitUpdate {
-            run: RUN,
+            incarnation: RUN,
             per_s: Some(per_s),
-            age: 0,
+            age_ms: 0,
         };
-        assert!(!table.take(at(1.0), &news));
+        assert!(!table.apply_update(at(1.0), &news));
         assert_eq!(table.per_s(RUN), None);
     }
     for run in 0..100_000 {
-        table.take_answer(
+        table.apply_report(
             at(f64::from(run)),
             at(f64::from(run)),
             IncarnationId(run),
             named(1.0),
         );
     }
-    assert!(table.limited() <= 4096);
+    assert!(table.limited_count() <= 4096);
     assert_eq!(
         table.per_s(IncarnationId(99_999)),
         Some(1.0),
@@ -303,10 +303,10 @@
     let mut node = node(&plan, 1);
     for asker in plan.members.iter() {
         let share = node.rate_share(at(0.1), 7, asker.key);
-        assert!(share.part <= 0.0, "it gives out nothing yet");
+        assert!(share.fraction <= 0.0, "it gives out nothing yet");
     }
     plan.converged = true;
     node.apply_plan(&plan);
     let share = node.known_share(at(0.6), 7);
-    assert!(share.part > 0.0, "what those bring who wait: {share:?}");
+    assert!(share.fraction > 0.0, "what those bring who wait: {share:?}");
 }
--- a/crates/barleyspool_core/tests/membership/crashes.rs
+++ b/crates/barleyspool_core/tests/membership/crashes.rs
@@ -11,8 +11,8 @@
 /// A target, the `number`th, ended under a call at a node.
 fn ended(net: &mut Net, node: usize, print: u64, number: u32) {
     let event = MemberEvent::Crashed {
-        print: CallFingerprint(print),
-        run: IncarnationId(number),
+        fingerprint: CallFingerprint(print),
+        incarnation: IncarnationId(number),
     };
     net.step(&name(node), event);
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_message_without_such_calls_is_as_short_as_it_was() {
     let message = MemberMessage {
-        question: MessageKind::Announce,
+        kind: MessageKind::Announce,
         source: SourceState::default(),
         updates: Vec::new(),
         crashes: Vec::new(),
@@ -164,8 +164,8 @@
     assert_eq!(rmp_serde::from_slice::<MemberMessage>(&bytes).unwrap(), message);
     let told = MemberMessage {
         crashes: vec![CrashUpdate {
-            print: CallFingerprint(7),
-            ends: vec![(IncarnationId(1), 20), (IncarnationId(2), 10)],
+            fingerprint: CallFingerprint(7),
+            crashes: vec![(IncarnationId(1), 20), (IncarnationId(2), 10)],
         }],
         ..message
     };
--- a/crates/barleyspool_core/tests/membership/leaving.rs
+++ b/crates/barleyspool_core/tests/membership/leaving.rs
@@ -8,7 +8,7 @@
 const RUN: IncarnationId = IncarnationId(7);
 
 fn read(net: &mut Net, node: usize) {
-    net.step(&name(node), MemberEvent::TargetLeaves { run: RUN });
+    net.step(&name(node), MemberEvent::TargetLeaves { incarnation: RUN });
 }
 
 fn unaware(net: &Net) -> Vec<&String> {
--- a/crates/barleyspool_core/tests/membership/limits.rs
+++ b/crates/barleyspool_core/tests/membership/limits.rs
@@ -8,7 +8,13 @@
 const RUN: IncarnationId = IncarnationId(7);
 
 fn heard(net: &mut Net, node: usize, per_s: Option<f64>) {
-    net.step(&name(node), MemberEvent::LimitReceived { run: RUN, per_s });
+    net.step(
+        &name(node),
+        MemberEvent::LimitReceived {
+            incarnation: RUN,
+            per_s,
+        },
+    );
 }
 
 /// The nodes that believe something else of the target.
@@ -19,7 +25,7 @@
 }
 
 fn reach(net: &Net, node: usize) -> Reachability {
-    net.nodes[&name(node)].reach(net.now)
+    net.nodes[&name(node)].reachability(net.now)
 }
 
 fn all_know_in_time(count: usize, seed: u64) {
@@ -86,7 +92,7 @@
     }
     net.start("m900", 1, &["m000"]);
     net.run(Span::from_secs(2));
-    assert!(!net.nodes["m900"].reach(net.now).steady);
+    assert!(!net.nodes["m900"].reachability(net.now).steady);
 }
 
 #[test]
@@ -102,13 +108,13 @@
         net.cut.insert((other.clone(), one.clone()));
     }
     net.run(Span::from_secs(8));
-    let parts = [reach(&net, 0).part(), reach(&net, 5).part()];
+    let parts = [reach(&net, 0).rate_fraction(), reach(&net, 5).rate_fraction()];
     assert!(
         (parts[0] - 3.0 / 9.0).abs() < 1e-9 && (parts[1] - 6.0 / 9.0).abs() < 1e-9,
         "{parts:?}"
     );
     net.run(Span::from_secs(60));
-    let parts = [reach(&net, 0).part(), reach(&net, 5).part()];
+    let parts = [reach(&net, 0).rate_fraction(), reach(&net, 5).rate_fraction()];
     assert!((parts[0] - 3.0 / 9.0).abs() < 1e-9, "{parts:?}");
     assert!(
         (parts[1] - 1.0).abs() < 1e-9,
@@ -116,7 +122,7 @@
     );
     net.cut.clear();
     net.run(Span::from_secs(15));
-    assert!((reach(&net, 0).part() - 1.0).abs() < 1e-9);
+    assert!((reach(&net, 0).rate_fraction() - 1.0).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/barleyspool_core/tests/membership/main.rs
+++ b/crates/barleyspool_core/tests/membership/main.rs
@@ -183,7 +183,7 @@
     for _ in 0..200 {
         net.run(Span::from_millis(5));
         for name in &names {
-            if net.nodes[name].settled(net.now) && settled.insert(name.clone()) {
+            if net.nodes[name].converged(net.now) && settled.insert(name.clone()) {
                 let seen = net.seen(name).len();
                 assert!(seen >= 58, "{name} is settled and knows {seen} of 60");
             }
@@ -193,14 +193,14 @@
     let mut alone = Net::new(0.0, 1);
     alone.start("a", 1, &["a"]);
     assert!(
-        alone.nodes["a"].settled(alone.now),
+        alone.nodes["a"].converged(alone.now),
         "without other seeds there is nobody to wait for"
     );
     alone.start("b", 1, &["stale"]);
-    assert!(!alone.nodes["b"].settled(alone.now));
+    assert!(!alone.nodes["b"].converged(alone.now));
     alone.run(Span::from_secs(1));
     assert!(
-        alone.nodes["b"].settled(alone.now),
+        alone.nodes["b"].converged(alone.now),
         "it does not wait for ever for seeds that are down"
     );
 }
--- a/crates/barleyspool_core/tests/membership/net.rs
+++ b/crates/barleyspool_core/tests/membership/net.rs
@@ -57,7 +57,7 @@
     pub fn start_linked(&mut self, zone: &str, name: &str, incarnation: u64, seeds: &[&str], link_mbps: u32) {
         let facts = MemberFacts {
             address: name.to_owned(),
-            callers: format!("{name}-callers"),
+            caller_address: format!("{name}-callers"),
             zone: zone.to_owned(),
             link_mbps,
             ..MemberFacts::default()
--- a/crates/barleyspool_core/tests/source_reading/fleet.rs
+++ b/crates/barleyspool_core/tests/source_reading/fleet.rs
@@ -216,7 +216,7 @@
         }
         let state = node.state();
         self.net.step(name, MemberEvent::Source(state));
-        let due = self.net.nodes[name].settled(now) && node.watch.announcement_due(now);
+        let due = self.net.nodes[name].converged(now) && node.watch.announcement_due(now);
         let moved = node.watch.reads(now) && state != node.told;
         if due || moved {
             node.told = state;
@@ -255,7 +255,7 @@
         if !node.watch.is_reader() && node.watch.reads(now) {
             node.missing = true;
         }
-        let settled = self.net.nodes[name].settled(now);
+        let settled = self.net.nodes[name].converged(now);
         let wants = node.missing || (node.watch.is_reader() && settled);
         let changed = node.watching && !node.deaf && node.has < self.version && self.answers(name);
         if changed {
--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -71,12 +71,12 @@
     let near: Vec<String> = serving
         .iter()
         .filter(|facts| facts.zone == zone)
-        .map(|facts| facts.callers.clone())
+        .map(|facts| facts.caller_address.clone())
         .collect();
     let mut named = if near.len() >= ENOUGH_IN_ZONE {
         near
     } else {
-        serving.into_iter().map(|facts| facts.callers).collect()
+        serving.into_iter().map(|facts| facts.caller_address).collect()
     };
     named.shuffle(&mut rand::rng());
     named.truncate(MOST_ADDRESSES);
--- a/crates/barleyspool_gateway/src/control/members.rs
+++ b/crates/barleyspool_gateway/src/control/members.rs
@@ -51,9 +51,15 @@
 pub async fn take_sightings(state: Rc<ControlState>, mut sightings: mpsc::UnboundedReceiver<Sighting>) {
     while let Some(sighting) = sightings.recv().await {
         state.step_members(match sighting {
-            Sighting::Ended { print, run } => MemberEvent::Crashed { print, run },
-            Sighting::Leaves { run } => MemberEvent::TargetLeaves { run },
-            Sighting::Limit { run, per_s } => MemberEvent::LimitReceived { run, per_s },
+            Sighting::Ended { print, run } => MemberEvent::Crashed {
+                fingerprint: print,
+                incarnation: run,
+            },
+            Sighting::Leaves { run } => MemberEvent::TargetLeaves { incarnation: run },
+            Sighting::Limit { run, per_s } => MemberEvent::LimitReceived {
+                incarnation: run,
+                per_s,
+            },
         });
     }
 }
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -86,8 +86,8 @@
         let membership = Membership::new(MembershipSettings {
             facts: MemberFacts {
                 address: settings.members.to_string(),
-                callers: settings.callers.to_string(),
-                peers: settings.pieces.to_string(),
+                caller_address: settings.callers.to_string(),
+                peer_address: settings.pieces.to_string(),
                 zone: settings.zone.clone(),
                 serving: false,
                 link_mbps: settings.link(),
@@ -142,7 +142,7 @@
     pub fn step_members(&self, event: MemberEvent) {
         let now = self.now();
         let actions = self.membership.borrow_mut().step(now, event);
-        let settled = self.membership.borrow().settled(now);
+        let settled = self.membership.borrow().converged(now);
         let mut changed = self.settled.replace(settled) != settled;
         if changed && settled {
             self.log_members(now);
@@ -157,11 +157,11 @@
                 MemberAction::Send { .. } => self.outbox.borrow_mut().push(action),
                 MemberAction::SourceReported { source, reads } => self.source_reported(source, reads),
                 MemberAction::BlockedCallsChanged => self.publish_refused(now),
-                MemberAction::TargetLeaves { run } => leaving.push(run),
+                MemberAction::TargetLeaves { incarnation: run } => leaving.push(run),
                 MemberAction::ReachabilityChanged => changed = true,
                 MemberAction::LimitsChanged => {
                     changed = true;
-                    let limited = self.membership.borrow().limits().limited();
+                    let limited = self.membership.borrow().limits().limited_count();
                     self.log.write(now, &Line::LimitsChanged { limited });
                 }
                 MemberAction::Changed {
@@ -203,7 +203,7 @@
 
     /// Hands the calls that get no target to the traffic thread.
     fn publish_refused(&self, now: Time) {
-        let refused = self.membership.borrow().crashes().refused(now);
+        let refused = self.membership.borrow().crashes().blocked(now);
         let line = Line::CallsRefused {
             calls: refused.count(now),
             known: self.membership.borrow().crashes().len(),
@@ -216,10 +216,10 @@
         let counts = self.membership.borrow().counts();
         self.shared
             .updates_waiting
-            .store(counts.waiting, Ordering::Relaxed);
+            .store(counts.queued_updates, Ordering::Relaxed);
         self.shared
             .updates_outdated
-            .store(counts.outdated, Ordering::Relaxed);
+            .store(counts.outdated_suspicions, Ordering::Relaxed);
     }
 
     /// Makes a plan after members have changed, at most one every [`GATHER`]: when a fleet starts, hundreds of
@@ -250,7 +250,7 @@
         let membership = self.membership.borrow();
         let view = |facts: &MemberFacts| MemberView {
             key: rendezvous::text_key(&facts.address) as u64,
-            peer_address: facts.peers.clone(),
+            peer_address: facts.peer_address.clone(),
             zone: facts.zone.clone(),
         };
         let mut members: Vec<MemberView> = membership.serving().iter().map(view).collect();
@@ -266,7 +266,7 @@
             members: Arc::new(members),
             me: self.key(),
             converged: self.settled.get(),
-            reach: membership.reach(self.now()),
+            reach: membership.reachability(self.now()),
             limits: Arc::new(membership.limits().clone()),
             abort_at: self.abort_at.get(),
         }
--- a/crates/barleyspool_gateway/src/traffic/target_ends.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_ends.rs
@@ -51,7 +51,7 @@
 
     /// A target gave a call a whole answer: it does not end targets.
     pub fn answered(&self, now: Time, print: CallFingerprint) {
-        self.survivors.borrow_mut().answered(now, print);
+        self.survivors.borrow_mut().insert(now, print);
     }
 
     /// Looks whether a target that broke a connection off has ended. One that was on its way out ends as it should.
