--- a/crates/barleyspool_core/src/forward/evacuations.rs
+++ b/crates/barleyspool_core/src/forward/evacuations.rs
@@ -4,33 +4,35 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How long a zone stays evacuated that is not in a copy from which the source came back: by then what the operator wrote is written again.
+/// How long a zone stays evacuated if the source lists it no longer after it was restored from a backup.
+/// By then whatever the operator wrote since the backup has been written again.
 const UNCONFIRMED_TTL: Span = Span::from_secs(10);
 
-/// The zones that the operator has evacuated, at one revision of the platform. Nothing new is sent to the targets of such a
-/// zone until it is opened again.
+/// The zones that the operator has evacuated, at one revision of the platform. Nothing new is sent to
+/// the targets of such a zone until it is reopened.
 ///
-/// It is small, so it is always told whole.
+/// The set is small, so nodes always exchange it as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The zones.
+    /// The names of the zones.
     pub zones: BTreeSet<String>,
-    /// The platform's revision up to which this is known.
+    /// The platform's revision up to which this set is known.
     pub at: Revision,
-    /// The revision at which it last became another one, as far as this node knows; others are told this one.
+    /// The revision of the last change, as far as this node knows. This is the revision that is sent to
+    /// other nodes.
     pub changed_at: Revision,
-    /// Those of the zones that the source, which came back from a copy, does not list any more or not again yet.
+    /// The zones that a source restored from a backup does not list, or does not list yet.
     unconfirmed: BTreeSet<String>,
-    /// Until when these stay evacuated; zero when there are none.
+    /// Until when these zones stay evacuated; zero if there are none.
     #[serde(skip)]
     until: Time,
 }
 
 impl Evacuations {
-    /// Takes what was read whole at `at`; false when the zones are the same afterwards.
+    /// Applies a complete read at revision `at`; returns whether the zones change.
     ///
-    /// What was read earlier than what is known never goes over it. When the source has come back from a copy, zones that are evacuated here and not there
-    /// stay so for a while.
+    /// A read older than the known state is ignored. After the source was restored from a backup, zones
+    /// that are evacuated here but not there stay evacuated for a while.
     pub fn replace(&mut self, now: Time, at: Revision, mut zones: BTreeSet<String>) -> bool {
         if at < self.at {
             return false;
@@ -48,7 +50,7 @@
         self.finish_update(at, changed)
     }
 
-    /// Takes what another node knows; false when the zones are the same afterwards.
+    /// Merges the state of another node; returns whether the zones change.
     pub fn merge(&mut self, now: Time, other: Self) -> bool {
         if other.at < self.at {
             return false;
@@ -63,7 +65,7 @@
         changed
     }
 
-    /// Opens zones whose time is over; false when there are none.
+    /// Reopens unconfirmed zones whose time is over; false if there are none.
     pub fn expire(&mut self, now: Time) -> bool {
         if self.unconfirmed.is_empty() || now < self.until {
             return false;
@@ -73,8 +75,8 @@
         true
     }
 
-    /// Takes the changes up to `at`, in order: a zone, and whether it is evacuated; false when the zones are the same
-    /// afterwards.
+    /// Applies the changes up to revision `at` in order, each a zone and whether it is evacuated;
+    /// returns whether the zones change.
     pub fn apply(&mut self, at: Revision, changes: Vec<(String, bool)>) -> bool {
         if at < self.at {
             return false;
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -1,67 +1,69 @@
-//! What the owner of a pool has seen of one of its targets.
+//! The state that the owner of a pool keeps for one of its targets.
 
 use super::rate_limited_targets::{RateLimit, lowest_rate_limit};
 use super::{ColdSpec, TargetEntry};
 use crate::{RateShare, Span, TargetBucket, Time, rendezvous};
 
-/// How long a target that failed gets nothing, the first time.
+/// How long a target is excluded after its first failure.
 const OUT_FIRST: Span = Span::from_millis(300);
-/// And at the most.
+/// The longest exclusion after repeated failures.
 const OUT_LONGEST: Span = Span::from_secs(4);
-/// How long a target that said it is full gets nothing, the first time.
+/// How long a target is excluded after it first reports that it is full.
 const FULL_FIRST: Span = Span::from_millis(25);
-/// And at the most.
+/// The longest exclusion of a full target.
 const FULL_LONGEST: Span = Span::from_millis(400);
-/// How long a target without room is reckoned to keep what this node does not know of: results for an owner of the pool before
-/// it, or larger than the configuration says, are freed or expire meanwhile.
+/// How long a target without capacity is assumed to hold results that this node does not know of. These
+/// belong to an earlier owner of the pool or are larger than configured, and are released or expire
+/// meanwhile.
 const NO_ROOM: Span = Span::from_millis(250);
-/// How much a new measurement moves an average.
+/// The smoothing factor of the moving average.
 const GAIN: f64 = 0.3;
-/// Calls in a row that take far too long after which a target is taken for slow.
+/// The number of consecutive overdue calls after which a target counts as slow.
 const SLOW_ROW: u32 = 2;
-/// A target this much slower than the pool is used only while others are all busy and much waits.
+/// A target this many times slower than the fastest is used only while all others are busy and many
+/// pieces wait.
 pub(super) const TOO_SLOW: f64 = 1.8;
 
-/// A target of the pool as its owner sees it.
+/// A target of a pool as its owner sees it.
 #[derive(Clone, Debug, Default)]
 pub struct PoolTarget {
-    /// What the list says.
+    /// The entry in the target list.
     pub entry: TargetEntry,
-    /// Its id as a key for rendezvous hashing.
+    /// The hash of its id for rendezvous hashing.
     hash: u128,
     /// Whether it belongs to the shard of the pool that this node owns.
     pub owned: bool,
-    /// Calls that it is working on for this node.
+    /// Calls of this node that the target is working on.
     pub in_flight: u32,
-    /// Time of its calls over what was expected.
+    /// The time of its calls relative to the expected one.
     pub slowness: f64,
-    /// Bytes of results that it keeps.
+    /// The size in bytes of its known results, including space reserved for running calls.
     pub stored_bytes: u64,
-    /// When it may get calls again.
+    /// Until when it gets no calls after a failure or a full queue.
     pub excluded_until: Time,
-    /// Until when it wants nothing from this node.
+    /// The end of the cooldown that it requested from this node.
     pub(super) cooldown_until: Time,
     next_exclusion: Span,
-    /// Calls in a row that took far too long.
+    /// The number of consecutive overdue calls.
     pub overdue_streak: u32,
     full_for: Span,
-    /// Bytes that it stored_bytes, when it last had no room, of which this node does not know.
+    /// The size in bytes of the results unknown to this node that explain its last lack of capacity.
     unaccounted_bytes: u64,
-    /// Until when that is reckoned with.
+    /// Until when these results are assumed to exist.
     unaccounted_until: Time,
-    /// When a call of it was last measured.
+    /// When the slowness was last measured.
     pub measured: Time,
-    /// How it is after a start, when it bears little then.
+    /// The rate limit of its service after a start, if it has one.
     cold: Option<ColdSpec>,
-    /// The calls a second that it takes from all nodes, by its own word.
+    /// The limit in calls per second, from all nodes together, that the target states.
     pub(super) limit: Option<f64>,
-    /// What this node may give out of its rate, while it has one.
+    /// The share of its rate that this node may grant, while it has a rate limit.
     share: RateShare,
     bucket: TargetBucket,
 }
 
 impl PoolTarget {
-    /// A target that has just come onto the list.
+    /// A target that has just been listed.
     pub fn new(entry: TargetEntry) -> Self {
         Self {
             hash: rendezvous::text_key(&entry.id),
@@ -74,44 +76,45 @@
         }
     }
 
-    /// Takes what the list says of it, and how its service is after a start.
+    /// Applies a new list entry and the cold start settings of its service.
     pub fn apply_entry(&mut self, entry: &TargetEntry, spec: Option<ColdSpec>) {
         self.entry = entry.clone();
         self.cold = spec;
     }
 
-    /// Takes what it said of its limit, and what this node, of key `me`, may give out of its rate.
+    /// Applies the limit that the target states and the share of its rate that this node, with the key
+    /// `me`, may grant.
     pub(super) fn apply_rate(&mut self, now: Time, limit: Option<f64>, share: RateShare, me: u64) {
         self.limit = limit;
         self.share = share;
         self.bucket.set_share(now, share, (self.hash, me));
     }
 
-    /// What bounds it now; `None` when nothing does.
+    /// The current rate limit; `None` if there is none.
     fn rate_limit(&self, now: Time) -> Option<RateLimit> {
         lowest_rate_limit(now, &self.entry, self.cold, self.limit)
     }
 
-    /// The calls a second that it may get from here; `None` when nothing bounds it.
+    /// The calls per second that it may get from this node; `None` without a rate limit.
     pub(super) fn rate(&self, now: Time) -> Option<f64> {
         Some(self.rate_limit(now)?.per_s * self.share.fraction)
     }
 
-    /// How long until its rate allows it another call.
+    /// How long until its rate limit allows another call.
     pub(super) fn capacity_wait(&self, now: Time) -> Span {
         let wait =
             |rate_limit: RateLimit| rate_limit.wait(now, self.bucket.wait(now, rate_limit.per_s, self.share));
         self.rate_limit(now).map_or(Span::ZERO, wait)
     }
 
-    /// Whether it may be told now to drop results. That is one of the requests to which it limits itself; a target that is only cold
-    /// does no work for it.
+    /// Whether it may be asked now to release results. Such a request counts towards a limit that the
+    /// target states itself, but not towards that of a cold start, as it causes no work.
     pub(super) fn accepts_release(&self, now: Time) -> bool {
         let room = self.limit.is_none() || self.capacity_wait(now) == Span::ZERO;
         self.entry.accepts_release() && room && now >= self.cooldown_until
     }
 
-    /// It is told to drop results.
+    /// Counts a request to release results.
     pub(super) fn count_release(&mut self, now: Time) {
         if self.limit.is_some() {
             self.count(now);
@@ -123,12 +126,12 @@
         self.is_available(now) && self.capacity_wait(now) == Span::ZERO
     }
 
-    /// Whether it could get calls now, but for its rate.
+    /// Whether it may get calls now, apart from its rate limit.
     pub(super) fn is_available(&self, now: Time) -> bool {
         self.owned && self.entry.accepts_work() && now >= self.excluded_until.max(self.cooldown_until)
     }
 
-    /// A call is sent to it.
+    /// Records that a call was sent to it.
     pub fn record_call(&mut self, now: Time) {
         self.in_flight += 1;
         self.count(now);
@@ -140,7 +143,7 @@
         }
     }
 
-    /// What it still has room for, of `room` bytes.
+    /// Its free capacity for results in bytes, out of `room`.
     pub fn free_capacity(&self, now: Time, room: u64) -> u64 {
         let unaccounted_bytes = if now < self.unaccounted_until {
             self.unaccounted_bytes
@@ -151,7 +154,7 @@
             .saturating_sub(unaccounted_bytes)
     }
 
-    /// A call ended well; `relative` is its time over the expected one.
+    /// Records a successful call; `relative` is its time divided by the expected one.
     pub fn record_answer(&mut self, now: Time, relative: f64) {
         self.slowness += GAIN * (relative - self.slowness);
         self.measured = now;
@@ -160,31 +163,35 @@
         self.full_for = FULL_FIRST;
     }
 
-    /// It had no room for a result of `bytes` when this node knew of `known` bytes there, of `room`: for a while it is
-    /// reckoned to keep as much besides as explains that, and no more.
+    /// Records that the target had no capacity for a result of `bytes`, while this node knew of `known`
+    /// bytes of `room` in use. For a while just as many additional bytes as explain this are assumed to
+    /// be in use.
     ///
-    /// Sizes of results are approximate, so that a pool whose room is nearly used up has one result in a hundred turned away. Taking
-    /// most of a target's room for used then made calls of 50 pieces where 70 fit and 1,000 waited. Reckoning with what is missing
-    /// gave 0.017 of worth (standard error 0.006, ten paired days of the shifted deployment, docs/design/shifted.md).
+    /// Sizes of results are approximate, so that a pool with little free capacity rejects one result in
+    /// a hundred. When most of a target's capacity was then taken as used, calls carried 50 pieces where
+    /// 70 fit and 1,000 waited. Counting only the missing bytes improved the value of the completed work
+    /// by 0.017 (standard error 0.006, ten paired days of the shifted deployment,
+    /// docs/design/shifted.md).
     pub fn record_no_capacity(&mut self, now: Time, room: u64, known: u64, bytes: u64) {
         let explained = (room + 1).saturating_sub(known + bytes);
         self.unaccounted_bytes = explained;
         self.unaccounted_until = now + NO_ROOM;
     }
 
-    /// It said that it is full.
+    /// Records that the target reported a full queue.
     pub fn record_full(&mut self, now: Time) {
         self.excluded_until = self.excluded_until.max(now + self.full_for);
         self.full_for = FULL_LONGEST.min(self.full_for + self.full_for);
     }
 
-    /// A call failed in a way that says something of the target.
+    /// Records a failed call that says something about the target.
     pub fn record_failure(&mut self, now: Time) {
         self.excluded_until = now + self.next_exclusion;
         self.next_exclusion = OUT_LONGEST.min(self.next_exclusion + self.next_exclusion);
     }
 
-    /// A call takes far too long. One lost answer says nothing of the target; two in a row say that it is slow.
+    /// Records an overdue call. A single lost answer says nothing about the target; two in a row mean
+    /// that it is slow.
     pub fn record_overdue(&mut self, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.overdue_streak += 1;
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -1,50 +1,54 @@
-//! Targets that take so many calls a second from all nodes together, and no more: cold ones, and those that name a limit.
+//! Targets with a rate limit over all nodes together: cold targets, and those that state a limit
+//! themselves.
 //!
-//! Whatever chooses a target asks here, and a call goes to one of them only when the owner of its shard has given it out.
+//! Every choice of a target checks the limit here, and a call is sent to such a target only after the
+//! owner of its shard has granted it.
 
 use super::{ColdSpec, Forwarder, Shard, TargetEntry, TargetKey, TargetRecord, shard_key};
 use crate::{IncarnationId, LimitReport, RateShare, Span, Time, rendezvous};
 use serde::{Deserialize, Serialize};
 
-/// How long it is believed that a target has no room, however much later it was told to have any: it may name a higher limit meanwhile.
+/// How long a report that a target has no capacity is trusted, even if it named a later time: the target
+/// may raise its limit meanwhile.
 pub const NO_CAPACITY_TTL: Span = Span::from_millis(1000);
 
-/// An answer to the question whether a call may go to a target.
+/// The answer to a node that asks whether it may send a call to a target.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// It may, after this wait.
+    /// The call may be sent after this wait.
     After(Span),
-    /// The target has been given all that it takes; when there is room again.
+    /// The rate limit of the target is used up; capacity is expected after this time.
     #[serde(rename = "NoRoom")]
     NoCapacity(Span),
 }
 
 impl Forwarder {
-    /// How the targets of a service are after a start; `None` when they bear what they always do.
+    /// The rate limit of a service's targets after their start; `None` if they need no warm-up.
     pub(super) fn cold_spec(&self, service: &str) -> Option<ColdSpec> {
         self.catalog.as_ref()?.service(service)?.cold
     }
 
-    /// What bounds a target now; `None` when nothing does.
+    /// The rate limit of a target now; `None` if it has none.
     pub(super) fn rate_limit(&self, now: Time, key: TargetKey, cold: Option<ColdSpec>) -> Option<RateLimit> {
         let record = &self.targets[key];
         let limit = self.limits.per_s(record.incarnation_id);
         lowest_rate_limit(now, &record.entry, cold, limit)
     }
 
-    /// Whether any target of a service takes so many calls a second and no more now.
+    /// Whether any target of a service that accepts work has a rate limit now.
     pub fn has_rate_limits(&self, now: Time, service: &str) -> bool {
         self.working_rate_limits(now, service)
             .any(|(_, rate_limit)| rate_limit.is_some())
     }
 
-    /// Whether every target of a service that may get work takes so many calls a second and no more now.
+    /// Whether every target of a service that accepts work has a rate limit now.
     pub fn all_rate_limited(&self, now: Time, service: &str) -> bool {
         let mut bounds = self.working_rate_limits(now, service).peekable();
         bounds.peek().is_some() && bounds.all(|(_, rate_limit)| rate_limit.is_some())
     }
 
-    /// The targets of a service that may get work, if not at this moment, and what bounds each.
+    /// The targets of a service that accept work, even if not at this moment, and the rate limit of
+    /// each.
     pub(super) fn working_rate_limits(
         &self,
         now: Time,
@@ -57,10 +61,10 @@
     }
 
     // ------------------------------------------------------------------------
-    // What targets say
+    // Limits stated by targets
 
-    /// Takes what the answer of a target to a call said that was sent at `sent`. Returns the limit that stands now when
-    /// others are to be notified.
+    /// Applies the limit that a target stated in its answer to a call sent at `sent`. Returns the
+    /// current limit if other nodes have to be notified.
     pub fn apply_limit_report(
         &mut self,
         now: Time,
@@ -69,7 +73,7 @@
         report: LimitReport,
     ) -> Option<ReportedLimit> {
         if report == LimitReport::None && self.limits.is_empty() {
-            // As nearly always: each answer comes by here.
+            // The usual case on the path of every answer.
             return None;
         }
         let run = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
@@ -83,20 +87,20 @@
         })
     }
 
-    /// How many listed targets name a limit, as far as this node knows.
+    /// The number of listed targets that are known to state a limit.
     pub fn limited_count(&self) -> usize {
         let named = |record: &&TargetRecord| self.limits.reported(record.incarnation_id).is_some();
         self.targets.values().filter(named).count()
     }
 
-    /// The calls a second that the target of that id named as its limit.
+    /// The limit in calls per second that the target with this id stated.
     pub fn limit(&self, id: &str) -> Option<f64> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         self.limits.per_s(record.incarnation_id)
     }
 
     // ------------------------------------------------------------------------
-    // What this node may give out
+    // What this node may grant
 
     pub(super) fn update_ownership(&mut self, now: Time) {
         let (members, me) = (&self.members, self.me);
@@ -106,8 +110,9 @@
         }
     }
 
-    /// What this node may give out of the rates of a shard's targets when the node `asker` asks. A node that has just started takes itself for
-    /// the owner of everything, and gives out nothing.
+    /// The share of the rates of a shard's targets that this node may grant, updated by a request of the
+    /// node `asker`. A node that has just started considers itself the owner of every shard, so it
+    /// grants nothing.
     pub fn rate_share(&mut self, now: Time, shard: u128, asker: u64) -> RateShare {
         let owner = rendezvous::pick(shard, self.members.iter().map(|member| member.key));
         let owns = owner == Some(self.me);
@@ -115,12 +120,13 @@
         if self.converged {
             ownership.update(self.members_since, owns);
         }
-        // Also before this node knows the others: who asks now and waits does not ask again.
+        // Recorded even before this node knows the other members: a node that asks now and waits does
+        // not ask again.
         ownership.record_request(now, asker);
         self.known_share(now, shard)
     }
 
-    /// The same without another question.
+    /// The same share, without recording a request.
     pub fn known_share(&self, now: Time, shard: u128) -> RateShare {
         let ownership = self.owned.get(&shard).filter(|_| self.converged);
         ownership.map_or(RateShare::default(), |ownership| {
@@ -128,8 +134,8 @@
         })
     }
 
-    /// Whether a call of the node `asker` may go to a target of a service that has no engines, within `max_wait`. When it may, that
-    /// is counted.
+    /// Decides whether a call of the node `asker` may go to a target of a service without engines within
+    /// `max_wait`, and counts the call if so.
     pub fn grant(&mut self, now: Time, id: &str, asker: u64, max_wait: Span) -> Grant {
         let Some(key) = self.by_id.get(id).copied() else {
             return Grant::NoCapacity(max_wait);
@@ -148,7 +154,7 @@
         Grant::After(wait)
     }
 
-    /// How long until the rate of a target allows one more call.
+    /// How long until the rate limit of a target allows another call.
     pub(super) fn capacity_wait(
         &mut self,
         now: Time,
@@ -161,7 +167,7 @@
         record.bucket.wait(now, rate_limit.per_s, share)
     }
 
-    /// The key of the shard to which a target belongs whose service has no pools.
+    /// The key of the shard to which a target belongs, for services without pools.
     fn shard_of(&self, key: TargetKey) -> u128 {
         let record = &self.targets[key];
         let service = &record.entry.service;
@@ -172,15 +178,16 @@
         shard_key(service, Shard::number_of(record.hash, of))
     }
 
-    /// The key of the shard that owns a target, by its id; `None` when it is not listed.
+    /// The key of the shard that owns the target with this id; `None` if it is not listed.
     pub fn shard_of_target(&self, id: &str) -> Option<u128> {
         Some(self.shard_of(*self.by_id.get(id)?))
     }
 
     // ------------------------------------------------------------------------
-    // What this node was told
+    // Reports from owners
 
-    /// The node that gives out the rate of a target said that there is no room before `until`.
+    /// Records a report from the node that grants the rate of a target: it has no capacity before
+    /// `until`.
     pub fn note_no_capacity(&mut self, now: Time, target: TargetKey, until: Time) {
         if let Some(record) = self.targets.get_mut(target) {
             record.no_capacity_until = until;
@@ -189,39 +196,39 @@
     }
 }
 
-/// What an answer changed of what is known of a target's limit.
+/// The change in what is known about a target's limit after an answer.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct ReportedLimit {
-    /// The run of the target.
+    /// The incarnation of the target.
     pub incarnation: IncarnationId,
-    /// The calls a second that it takes; `None` when it limits nothing any more.
+    /// The stated limit in calls per second; `None` if the target no longer states one.
     pub per_s: Option<f64>,
-    /// Whether that is another limit than before.
+    /// Whether the limit differs from the previous one.
     pub changed: bool,
 }
 
-/// What bounds a target.
+/// The rate limit of a target.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub(super) struct RateLimit {
-    /// The calls a second that it takes from all nodes together.
+    /// Calls per second from all nodes together.
     pub(super) per_s: f64,
-    /// When it ends, if that is known: a cold target that names no limit is warm then.
+    /// When the limit ends, if that is known: a cold target that states no limit is warm from then on.
     until: Option<Time>,
 }
 
 impl RateLimit {
-    /// Whether it ends before a wait of `wait` is over.
+    /// Whether the limit ends within `wait`.
     pub(super) fn ends_within(&self, now: Time, wait: Span) -> bool {
         self.until.is_some_and(|until| now + wait >= until)
     }
 
-    /// How long a call has to wait that the rate alone would let go after `wait`.
+    /// How long a call has to wait if the rate alone allows it after `wait`.
     pub(super) fn wait(&self, now: Time, wait: Span) -> Span {
         self.until.map_or(wait, |until| wait.min(until.since(now)))
     }
 }
 
-/// The least of what bounds a target: it is cold, or it named a limit.
+/// The lowest of the limits that apply to a target: that of a cold start and the one that it states.
 pub(super) fn lowest_rate_limit(
     now: Time,
     entry: &TargetEntry,
--- a/crates/barleyspool_core/src/forward/retry_window.rs
+++ b/crates/barleyspool_core/src/forward/retry_window.rs
@@ -1,16 +1,17 @@
-//! A node's part of the fleet's budget for sending requests again.
+//! A node's share of the fleet's retry budget.
 
 use crate::{Span, Time};
 use std::collections::VecDeque;
 
-/// How much of its part a node uses, so that uneven traffic among nodes stays within the whole.
+/// The part of its share that a node uses, so that uneven traffic among nodes stays within the budget of
+/// the fleet.
 const BUDGET_USAGE: f64 = 0.7;
 
-/// Counts first sends and repeats of one service over a sliding window.
+/// Counts requests and retries of one service over a sliding window.
 ///
-/// The fleet may repeat a share of its requests plus a fixed number per window. Each node keeps to the share
-/// of its own requests plus an equal part of the fixed number, so all together keep to the budget without
-/// talking about it. Requests are counted in the window that has passed, never ahead.
+/// The fleet may retry a share of its requests plus a fixed number per window. Each node keeps to that
+/// share of its own requests plus an equal part of the fixed number, so that the fleet stays within the
+/// budget without coordination. Only requests of the past window count, never expected ones.
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
     requests: VecDeque<Time>,
@@ -18,13 +19,13 @@
 }
 
 impl RetryWindow {
-    /// A request came for the service.
+    /// Records a request for the service.
     pub fn record_request(&mut self, now: Time, window: Span) {
         self.expire(now, window);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the budget; false when it is used up.
+    /// Takes one retry from the budget; false if the budget is used up.
     pub fn try_spend(&mut self, now: Time, window: Span, ratio: f64, fixed: f64) -> bool {
         self.expire(now, window);
         let allowed = BUDGET_USAGE * (ratio * self.requests.len() as f64 + fixed);
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -1,32 +1,32 @@
-//! How a send of a forwarded call ended, and what may follow.
+//! How an attempt to send a forwarded call ended, and what may follow.
 
 use crate::{Fate, RetryReason, Time};
 
-/// How a send ended, as the shell saw it.
+/// How an attempt ended, as seen by the code that does the I/O.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum SendEnd {
-    /// A whole answer of the target's own came, good or bad.
+    /// The target itself returned a complete answer, successful or not.
     Answered {
         /// Whether the answer is a success.
         success: bool,
     },
-    /// The target said that it did not run the call.
+    /// The target reported that it did not run the call.
     Refused {
         /// Whether the address belongs to another target now.
         misdirected: bool,
         /// Whether results that the call needs are gone.
         inputs_gone: bool,
     },
-    /// Nothing of the call was written.
+    /// No byte of the call was written.
     Unreachable,
-    /// Something was written, and no whole answer came back.
+    /// Part of the call was written, and the connection failed before a complete answer arrived.
     BrokenOff,
-    /// Something was written, and nothing came back for too long.
+    /// Part of the call was written, and no answer arrived in time.
     TimedOut,
 }
 
 impl SendEnd {
-    /// What this says of the call at that target.
+    /// Whether the call ran at that target, as far as this end tells.
     pub const fn fate(self) -> Fate {
         match self {
             Self::Answered { .. } => Fate::Ran,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The reason to count when the call is sent again.
+    /// The reason to count if the call is retried.
     pub const fn retry_reason(self) -> RetryReason {
         match self {
             Self::Answered { .. } | Self::BrokenOff => RetryReason::BrokenOff,
@@ -46,19 +46,19 @@
     }
 }
 
-/// What has been done for a call so far.
+/// The attempts for a call so far.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct SendHistory {
-    /// Sends of which something was written.
+    /// Attempts that wrote at least a part of the call.
     pub sends: u32,
-    /// Sends that never reached a target.
+    /// Attempts that never reached a target.
     pub unreached: u32,
-    /// Whether any send ran or may have run.
+    /// Whether any attempt ran or may have run.
     pub may_have_run: bool,
 }
 
 impl SendHistory {
-    /// Takes the end of a send into account.
+    /// Records the end of an attempt.
     pub fn record_end(&mut self, end: SendEnd) {
         match end {
             SendEnd::Unreachable => self.unreached += 1,
@@ -68,24 +68,25 @@
     }
 }
 
-/// What follows the end of a send.
+/// What follows the end of an attempt.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// The answer goes to the caller.
+    /// Deliver the answer to the caller.
     Deliver,
-    /// Another target may be tried.
+    /// Try another target.
     Retry,
-    /// The caller is told that nothing ran.
+    /// Report to the caller that the call did not run.
     RefuseNotRun,
-    /// The caller is told that it may have run.
+    /// Report to the caller that the call may have run.
     FailUnknown,
 }
 
-/// Targets that could not be reached at all do not count as sends, but are not tried without end.
+/// The limit of attempts that reach no target. These do not count as sends, so that they need a limit of
+/// their own.
 const MAX_UNREACHED: u32 = 3;
 
-/// What follows a send that ended with `end`; `history` includes it. Whether the retry budget allows a
-/// retry is asked afterwards.
+/// Decides what follows an attempt that ended with `end`, which `history` already includes. The retry
+/// budget is checked afterwards.
 pub fn next_step(
     now: Time,
     deadline: Time,
--- a/crates/barleyspool_core/src/forward/service_targets.rs
+++ b/crates/barleyspool_core/src/forward/service_targets.rs
@@ -1,5 +1,5 @@
-//! How many targets each service has, and how they are split over owners; made once for each list of targets, so that
-//! looking it up costs the same however many there are.
+//! The number of targets of each service and their division into shards. It is computed once per target
+//! list, so that a lookup costs the same however many targets there are.
 
 use super::pool_shards::PoolShards;
 use super::{Shard, TargetTable};
@@ -12,37 +12,37 @@
 /// The targets of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTargets {
-    /// Those that may get work.
+    /// The number of targets that accept work.
     pub working: usize,
-    /// Those by zone.
+    /// The number of those by zone.
     pub zones: BTreeMap<String, usize>,
-    /// Its shards, when it is a pool.
+    /// The shards, if it is a pool.
     pub pool: PoolShards,
-    /// Its shards, when engines serve it.
+    /// The shards, if engines serve it.
     pub engines: Shards,
 }
 
 impl ServiceTargets {
-    /// The part of its working targets that lies in a zone.
+    /// The share of the targets accepting work that are in a zone.
     pub fn zone_share(&self, zone: &str) -> f64 {
         let of_zone = self.zones.get(zone).copied().unwrap_or_default();
         of_zone as f64 / self.working.max(1) as f64
     }
 }
 
-/// The shards of engines, by how many working ones each has.
+/// The shards of a service of engines, each weighted by the number of its engines that accept work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shards {
     weights: Vec<u32>,
 }
 
 impl Shards {
-    /// How many there are.
+    /// The number of shards.
     pub fn count(&self) -> u32 {
         self.weights.len().max(1) as u32
     }
 
-    /// The shard that takes the work of `key`: as much goes to each as it has engines.
+    /// The shard for work with this key. Each shard receives work in proportion to its weight.
     pub fn pick(&self, key: u128) -> Shard {
         let weights = self.weights.iter().enumerate();
         let weights = weights.map(|(number, weight)| (number as u64, f64::from(*weight)));
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a target for a call.
+//! Chooses a target for a call.
 
 use super::target_record::AS_EXPECTED;
 use super::{
@@ -7,40 +7,43 @@
 use crate::{Span, Time, rendezvous};
 use rand::Rng;
 
-/// How sure the owner of engines is that a prefix is held at its home when it has not sent it there itself.
+/// The assumed probability that a prefix is cached at its home engine if the owner of the engines has
+/// not sent it there itself.
 const HOME_TRUST: f64 = 0.6;
-/// What a token of a shared prefix that has to be read counts: reading it elsewhere again is waste besides.
+/// The weight of a shared prefix token that has to be recomputed; above 1, since the work was already
+/// done elsewhere and is wasted.
 const REREAD_WEIGHT: f64 = 1.5;
-/// What one running request adds to the expected wait, in prompt tokens.
+/// The cost of one running request, in prompt tokens.
 const RUNNING_TOKENS: f64 = 250.0;
-/// What a megabyte of inputs that has to cross zones is weighed with, in prompt tokens.
+/// The cost of a megabyte of inputs that crosses zones, in prompt tokens.
 const FAR_TOKENS_PER_MB: f64 = 400.0;
-/// What a target in another zone has to be better by in any case, in prompt tokens.
+/// The fixed penalty of an engine in another zone, in prompt tokens.
 const FAR_TOKENS: f64 = 200.0;
-/// What a target in another zone has to be better by, as a share of the time of an answer.
+/// The penalty of a plain target in another zone, as a share of the answer time.
 const FAR_SHARE: f64 = 0.5;
-/// What an engine that fails every call has to be better by, in prompt tokens.
+/// The penalty of an engine that fails every call, in prompt tokens.
 const FAILING_TOKENS: f64 = 20_000.0;
-/// What a plain target that fails every call has to be better by, in times of an answer.
+/// The penalty of a plain target that fails every call, as a multiple of the answer time.
 const FAILING_TIMES: f64 = 4.0;
-/// An engine that fails more than this share of its calls is not one to take a prompt from.
+/// An engine with a higher share of failed calls is not used as the source of a prefix.
 const MOST_FAILING: f64 = 0.2;
-/// Differences in the time of an answer below this share say nothing.
+/// Differences below this share of the answer time count as noise.
 const SCORE_STEP: f64 = 0.1;
-/// When to come back when every target is busy or away.
+/// The delay before another attempt when every target is busy or unavailable.
 const BUSY_WAIT: Span = Span::from_millis(250);
 
-/// When targets that have been given all that they take have room again.
+/// When targets that have used up their rate limit have capacity again.
 #[derive(Copy, Clone, Debug, Default)]
 struct Room {
-    /// The first whose rate allows another call, and after which wait, where this node gives it out.
+    /// The first target whose rate allows another call, with the wait until then, if this node grants
+    /// its rate.
     first: Option<(TargetKey, Span)>,
-    /// The least wait until one may be asked for again, or is bounded no more.
+    /// The shortest wait until a target may be requested again or loses its rate limit.
     wait: Option<Span>,
 }
 
 impl Forwarder {
-    /// The target for a call.
+    /// Chooses the target for a call.
     pub fn choose(&mut self, now: Time, query: &TargetQuery) -> ChooseResult {
         let Some(keys) = self.by_service.get(&query.service).cloned() else {
             return ChooseResult::Busy(BUSY_WAIT);
@@ -76,10 +79,11 @@
         self.send_to(chosen, source, bounded, Span::ZERO)
     }
 
-    /// The target for a call that this node places for another one, or for itself. When the target takes so many calls a
-    /// second and no more, this one is counted.
+    /// Chooses the target for a call that this node places for itself or another node, and counts the
+    /// call against the target's rate limit if it has one.
     pub fn place(&mut self, now: Time, query: &TargetQuery, asker: u64) -> ChooseResult {
-        // Other nodes may name a service or a shard that there is not, or not any more; nothing is kept for those.
+        // Another node may name a service or a shard that does not exist or no longer exists; no state
+        // is kept for those.
         let known = self.by_service.contains_key(&query.service);
         let placing = query.placing.filter(|shard| known && shard.number < shard.of);
         let share = placing.map(|shard| {
@@ -96,7 +100,8 @@
         choice
     }
 
-    /// Takes those out of `usable` that have been given all that they take. Returns when one of them has room again.
+    /// Removes targets that have used up their rate limit from `usable`, and returns when one of them
+    /// has capacity again.
     fn with_room(&mut self, now: Time, query: &TargetQuery, usable: &mut Vec<TargetKey>) -> Room {
         let mut room = Room::default();
         let cold = self.cold_spec(&query.service);
@@ -112,7 +117,7 @@
                 return true;
             };
             let wait = match share {
-                // It may give out nothing, and cannot say when it may.
+                // This node may grant nothing yet and does not know when it may.
                 Some(share) if share.fraction <= 0.0 => return false,
                 Some(share) => {
                     let wait = self.capacity_wait(now, *key, rate_limit, share);
@@ -122,9 +127,10 @@
                     }
                     share.retry_after(rate_limit.wait(now, wait))
                 }
-                // Only their owner chooses among engines that have a rate.
+                // Only the owner of rate-limited engines chooses among them.
                 None if query.engine_memory.is_some() => return false,
-                // Whoever gives out its rate is asked, unless that would be in vain.
+                // The node that grants the rate is asked, unless it has reported a lack of capacity for
+                // longer than the call may wait.
                 None => {
                     let record = &self.targets[*key];
                     let wait = record.no_capacity_until.since(now);
@@ -142,7 +148,7 @@
         room
     }
 
-    /// The answer when no target can be used at once.
+    /// The result if no target can be used at once.
     fn when_room(&self, now: Time, query: &TargetQuery, room: &Room) -> ChooseResult {
         let rest = self.service_cooldown(now, query);
         if rest > query.max_wait {
@@ -154,7 +160,7 @@
             return self.send_to(key, None, true, wait);
         }
         match room.wait {
-            // One that is only full for a moment, or warm in a moment, is worth waiting for.
+            // A target that is full for a moment, or warm soon, is worth waiting for.
             Some(wait) if wait > query.max_wait && !self.has_unbounded(now, query) => {
                 ChooseResult::NoCapacity(wait)
             }
@@ -162,7 +168,8 @@
         }
     }
 
-    /// Whether any target that nothing bounds and that does not rest may get work, if not at this moment.
+    /// Whether any target without a rate limit and outside a cooldown accepts work, even if not at this
+    /// moment.
     fn has_unbounded(&self, now: Time, query: &TargetQuery) -> bool {
         let rests = |record: &TargetRecord| !query.for_other_node && record.cooldown(now) > Span::ZERO;
         let placed_here = |hash| query.placing.is_none_or(|shard| shard.holds(hash));
@@ -184,7 +191,7 @@
         })
     }
 
-    /// The zone of the target that a call would go to now.
+    /// The zone of the target that a call would be sent to now.
     pub fn likely_zone(&mut self, now: Time, query: &TargetQuery) -> Option<String> {
         match self.choose(now, query) {
             ChooseResult::Send(chosen) => Some(self.targets.get(chosen.target)?.entry.zone.clone()),
@@ -213,7 +220,7 @@
             let far = if record.entry.zone == zone { 0.0 } else { FAR_SHARE };
             let failing = FAILING_TIMES * (record.failing_now(now) - least_failing);
             let score = record.slowness_now(now, fastest) * (1.0 + load) + far + failing;
-            // Small differences say nothing; without this an old failure would count for ever.
+            // Rounded, since small differences are noise and an old failure would count forever.
             (score / SCORE_STEP).floor()
         };
         let scores: Vec<f64> = usable.iter().map(score).collect();
@@ -246,13 +253,13 @@
         self.least(usable, &scores)
     }
 
-    /// How slow the fastest of `usable` is, at most as slow as is expected.
+    /// The slowness of the fastest of `usable`, at most that of a target as fast as expected.
     fn least_slowness(&self, now: Time, usable: &[TargetKey]) -> f64 {
         let slowness = |key: &TargetKey| self.targets[*key].slowness_now(now, AS_EXPECTED);
         usable.iter().map(slowness).fold(AS_EXPECTED, f64::min)
     }
 
-    /// The tokens of a call's shared prefix that a target would have to read, as far as is known.
+    /// The estimated number of shared prefix tokens that a target would have to compute.
     pub(super) fn uncached_prefix_tokens(
         &self,
         now: Time,
@@ -266,8 +273,8 @@
         } else if self.targets[key].prefixes.holds(now, query.prefix, memory) {
             1.0
         } else if Some(key) == home {
-            // Whoever places the calls of all nodes knows better what the home was sent, but not what an
-            // owner before it did.
+            // The node that places the calls of all nodes knows best what it sent to the home engine,
+            // but not what an earlier owner sent there.
             if query.placing.is_some() { HOME_TRUST } else { 1.0 }
         } else {
             0.0
@@ -275,9 +282,11 @@
         f64::from(query.prefix_tokens) * (1.0 - held)
     }
 
-    /// The address of the engine from which the chosen one should take the shared beginning of a prompt: one that was
-    /// sent it lately, or else its home. That costs a tenth of reading it again, but it is no reason to choose another
-    /// engine: with it in the choice prompts were spread, and moved, far more often (docs/DECISIONS.md).
+    /// The address of the engine from which the chosen one should copy the shared prefix: one that
+    /// received it recently, or else its home engine.
+    ///
+    /// A copy costs a tenth of recomputing the prefix, but does not influence the choice of the engine:
+    /// as a part of the score it spread and moved prefixes far more often (docs/DECISIONS.md).
     fn prefix_source(
         &self,
         now: Time,
@@ -297,8 +306,8 @@
         (source != chosen).then(|| self.targets[source].entry.address.clone())
     }
 
-    /// The target at which all nodes let calls with the same prefix meet. Zones do not matter: reading a long
-    /// prefix in each zone costs more than inputs that cross them.
+    /// The engine to which all nodes send calls with the same prefix. Zones are ignored: computing a
+    /// long prefix in each zone costs more than sending inputs across zones.
     fn prefix_home(&self, prefix: u64, usable: &[TargetKey]) -> Option<TargetKey> {
         if prefix == 0 {
             return None;
@@ -310,7 +319,7 @@
         usable.iter().min_by_key(place).copied()
     }
 
-    /// The key with the least score; among equals a random one.
+    /// The key with the lowest score; ties are broken at random.
     fn least(&mut self, keys: &[TargetKey], scores: &[f64]) -> TargetKey {
         let start = self.random.random_range(0..keys.len());
         let mut best = start;
@@ -324,7 +333,7 @@
     }
 }
 
-/// The tokens of a call's prompt that no other call shares.
+/// The number of prompt tokens that the call shares with no other call.
 pub(super) fn unshared_tokens(query: &TargetQuery) -> f64 {
     f64::from(query.prompt_tokens.saturating_sub(query.prefix_tokens))
 }
--- a/crates/barleyspool_core/src/forward/target_cooldown.rs
+++ b/crates/barleyspool_core/src/forward/target_cooldown.rs
@@ -1,29 +1,31 @@
-//! Targets that have asked this node for rest: to be sent nothing for a while.
+//! Targets in cooldown: they have asked this node to send nothing for a while.
 //!
-//! A target asks that in a refusal, of the node that it refuses and of no other.
+//! A target requests a cooldown when it refuses a call. It applies only to the node that sent the call.
 
 use super::{Forwarder, TargetKey, TargetQuery};
 use crate::{Span, Time};
 
-/// The longest rest that is kept to: a target that names more is tried again after it.
+/// The longest cooldown that is respected; a target that requests a longer one is tried again after this
+/// time.
 pub const MAX_COOLDOWN: Span = Span::from_secs(600);
 
-/// What a refusal says of rest.
+/// The cooldown that a refusal requests.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub enum CooldownReport {
-    /// It asks for none.
+    /// No cooldown is requested.
     #[default]
     None,
-    /// The target wants nothing from this node for so long.
+    /// The target requests that this node send nothing for this long.
     For(Span),
-    /// It names a time that cannot be read.
+    /// The requested time cannot be parsed.
     Unreadable,
 }
 
 impl Forwarder {
-    /// A target asked for `rest` in the answer to a request sent at `sent`. Returns whether it rests now and did not before.
+    /// Applies a cooldown of `rest` that a target requested in its answer to a call sent at `sent`.
+    /// Returns whether a cooldown begins.
     ///
-    /// A rest that was asked for before is not cut short.
+    /// An earlier request for a longer cooldown stays in force.
     pub fn apply_cooldown(&mut self, now: Time, sent: Time, id: &str, rest: Span) -> bool {
         self.resting.retain(|key| {
             let record = self.targets.get(*key);
@@ -44,13 +46,13 @@
         begins
     }
 
-    /// When the rest of a target is over.
+    /// When the cooldown of a target ends.
     pub fn cooldown_until(&self, id: &str) -> Time {
         let record = self.by_id.get(id).and_then(|key| self.targets.get(*key));
         record.map_or(Time(0), |record| record.cooldown_until)
     }
 
-    /// The targets of a service that rest now.
+    /// The targets of a service that are in cooldown now.
     pub fn in_cooldown(&self, now: Time, service: &str) -> impl Iterator<Item = TargetKey> {
         let rests = move |key: &TargetKey| {
             let record = self.targets.get(*key);
@@ -59,7 +61,8 @@
         self.resting.iter().copied().filter(rests)
     }
 
-    /// How long all targets of a call's service that may get work still rest; zero when one of them does not.
+    /// The shortest remaining cooldown among the targets of a call's service that accept work; zero if
+    /// one of them is not in cooldown.
     pub fn service_cooldown(&self, now: Time, query: &TargetQuery) -> Span {
         if self.resting.is_empty() || query.for_other_node {
             return Span::ZERO;
--- a/crates/barleyspool_core/src/forward/target_counts.rs
+++ b/crates/barleyspool_core/src/forward/target_counts.rs
@@ -1,27 +1,27 @@
-//! How many listed targets are in each state.
+//! The number of listed targets in each state.
 
 use super::{TargetEntry, TargetTable};
 use crate::Time;
 
-/// How many listed targets are in each state, for log lines and metrics.
+/// The number of listed targets in each state, for the log and metrics.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct TargetCounts {
-    /// With an entry that can be read.
+    /// Targets with a readable entry.
     pub listed: usize,
-    /// On their way out.
+    /// Targets that are leaving.
     pub leaving: usize,
-    /// In an evacuated zone.
+    /// Targets in an evacuated zone.
     pub evacuated: usize,
-    /// With an entry that can't be read.
+    /// Targets whose entry is malformed.
     pub unreadable: usize,
-    /// Not relied on since their entries came back with an older copy of the source.
+    /// Targets whose entry is unverified since the source was restored from an older backup.
     pub unverified: usize,
-    /// Seen to run again under their id.
+    /// Targets that were seen to restart under the same id.
     pub restarted: usize,
 }
 
 impl TargetCounts {
-    /// The counts of a list.
+    /// The counts for a target table.
     pub fn of(table: &TargetTable) -> Self {
         let mut counts = Self::default();
         for entry in table.values() {
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -4,59 +4,64 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Which start of a target is meant: when it started by its own clock, in milliseconds since 1970. Zero when it does not
-/// tell; then a restart has another id.
+/// The incarnation of a target: its start time by its own clock, in milliseconds since 1970. Zero if the
+/// target does not report it; such a target gets a new id when it restarts.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetIncarnation(pub u64);
 
-/// What this node learnt, by its own clock, of a target's life. It is not told to other nodes, whose clocks differ.
+/// Times in the lifecycle of a target that this node observed by its own clock. They are not sent to
+/// other nodes, whose clocks differ.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetTimes {
-    /// When this run of it came onto a list that was known before, or its zone was opened again: it may be cold although its
-    /// own word of that is not there yet. Zero for targets of the first list.
+    /// When this incarnation was first listed, unless it was in the first list, or when its zone was
+    /// reopened. It may be cold from then on even if its own report of that has not arrived yet. Zero
+    /// for targets of the first list.
     pub appeared_at: Time,
-    /// Until when it is cold by its own word.
+    /// Until when it is cold according to its own report.
     pub warm_at: Time,
-    /// When it was first seen to run again under its id. What the run before held is gone. Zero when it never did.
+    /// When it was first seen to restart under the same id; whatever the previous incarnation held is
+    /// lost. Zero if it never did.
     pub restarted_at: Time,
 }
 
-/// A target, as the platform lists it.
+/// A target as the platform lists it.
 #[derive(Clone, Debug, Default, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// Its name.
+    /// The unique name of the target.
     pub id: String,
-    /// Which start of it this is.
+    /// The incarnation of the target.
     #[serde(rename = "run")]
     pub incarnation: TargetIncarnation,
-    /// Counts what this run of the target has written into its entry.
+    /// The number of the report, counted by this incarnation each time it writes its entry.
     pub sequence: u64,
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// IP number and port. After its end another target may get the same.
+    /// The IP address and port. Another target may get the same address after this one has gone.
     pub address: String,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is on its way out.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether the operator has its zone evacuated; kept by [`super::TargetStore`].
+    /// Whether the operator has evacuated its zone; maintained by [`super::TargetStore`].
     pub evacuated: bool,
-    /// Whether its entry can't be read. The other fields are those of its last readable one.
+    /// Whether its entry is malformed. The other fields are those of the last readable entry.
     pub unreadable: bool,
-    /// Whether its entry came back with an older copy of the source after it was gone, so that the target may be.
+    /// Whether its entry reappeared with an older backup of the source after the target had gone, so
+    /// that the target may no longer exist.
     #[serde(rename = "doubted")]
     pub unverified: bool,
-    /// How long it stays slow after its start.
+    /// How long it stays cold from the time of the report.
     pub cold: Span,
-    /// What this node learnt of its life, and when.
+    /// Lifecycle times observed by this node.
     #[serde(skip)]
     pub times: TargetTimes,
 }
 
-/// Two entries are equal when no decision could tell them apart: a target rewrites its entry about once a second, and
-/// with the count of that in the comparison each whole read would be passed on as a change of every target.
+/// Two entries are equal if no decision could distinguish them. The report number is left out: a target
+/// rewrites its entry about once a second, so that every full read would be passed on as a change of
+/// every target.
 impl PartialEq for TargetEntry {
     fn eq(&self, other: &Self) -> bool {
         self.id == other.id
@@ -74,7 +79,7 @@
 }
 
 impl TargetEntry {
-    /// An entry of which nothing but the name can be read.
+    /// An entry of which nothing but the name is readable.
     pub fn unreadable(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -83,37 +88,38 @@
         }
     }
 
-    /// The mark of its run.
+    /// The id of its incarnation.
     pub fn incarnation_id(&self) -> IncarnationId {
         IncarnationId::of(&self.id, self.incarnation.0)
     }
 
-    /// Whether new work may go there. Every decision asks this and keeps no opinion of its own, so that a target that is
-    /// taken out gets nothing by any way. What it is working on ends by itself.
+    /// Whether new work may be sent to the target. Every decision uses this check, so that a target
+    /// taken out of use gets nothing by any path. Its running work ends by itself.
     pub fn accepts_work(&self) -> bool {
         !self.leaving && !self.evacuated && !self.unreadable && !self.unverified
     }
 
-    /// Whether it may be asked to drop results. One in an evacuated zone, or whose entry can't be read or relied on, gets nothing at all;
-    /// results go by themselves after their time.
+    /// Whether it may be asked to release results. A target in an evacuated zone, or with a malformed or
+    /// unverified entry, receives no requests at all; its results expire by themselves.
     pub fn accepts_release(&self) -> bool {
         !self.evacuated && !self.unreadable && !self.unverified
     }
 
-    /// Until when it may be cold, for a service whose targets are cold for `start` after they have started.
+    /// Until when the target may be cold, if targets of its service are cold for `start` after they
+    /// start.
     pub fn cold_until(&self, start: Span) -> Time {
         let began = self.times.appeared_at;
         let start = if began == Time(0) { Time(0) } else { began + start };
         self.times.warm_at.max(start)
     }
 
-    /// Whether this is the same report of the same run as `known`, or one that the run wrote before it.
+    /// Whether this report is by the same incarnation as `known` and not newer than it.
     pub fn is_no_newer(&self, known: &Self) -> bool {
         self.incarnation == known.incarnation && self.sequence <= known.sequence
     }
 
-    /// Whether this is an older word of the target than `known`: of an earlier run, or one that the same run wrote before.
-    /// Words arrive late, and by way of other nodes.
+    /// Whether this report is older than `known`: written by an earlier incarnation, or earlier by the
+    /// same one. Reports may arrive late and by way of other nodes.
     pub fn is_older(&self, known: (TargetIncarnation, u64)) -> bool {
         let numbered = self.incarnation != TargetIncarnation(0) && known.0 != TargetIncarnation(0);
         numbered && (self.incarnation, self.sequence) < known
--- a/crates/barleyspool_core/src/forward/target_history.rs
+++ b/crates/barleyspool_core/src/forward/target_history.rs
@@ -1,71 +1,74 @@
-//! What a node knows of targets beside their entries in the list.
+//! What a node knows about targets apart from their list entries.
 
 use super::{LeavingIncarnations, TargetEntry, TargetIncarnation, TargetTable};
 use crate::{IncarnationId, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// How long the last report of a target that is gone is remembered, so that an older one that arrives late is known for what
-/// it is: three heartbeats and the two seconds in which entries come back are below six.
+/// How long the last report of a removed target is kept, so that an older report that arrives late is
+/// recognised: three heartbeats and the two seconds in which entries reappear are below six.
 const LAST_REPORT_TTL: Span = Span::from_secs(10);
 
-/// How long it is remembered that a target is gone, in case the source comes back from a copy in which it is still listed.
+/// How long a removed target is remembered, in case the source is restored from a backup that still
+/// lists it.
 const REMOVED_TTL: Span = Span::from_secs(60);
 
-/// How long a target that was gone is not used when it is listed in a copy from which the source came back. The entry of one that is gone lapses within
-/// three heartbeats, or is removed again when what was written is written again.
+/// How long a removed target stays unused if it reappears with a restored backup of the source. The
+/// entry of a target that no longer exists expires within three heartbeats, or is removed again when the
+/// changes since the backup are written again.
 const UNVERIFIED_FOR: Span = Span::from_secs(10);
 
-/// How far reports of targets can be relied on.
+/// How far reports about targets can be trusted.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
     /// Nothing was known before.
     First,
-    /// They are newer than what is known, as far as the targets' own counts say nothing else.
+    /// They are newer than what is known, unless the targets' own report numbers show otherwise.
     Newer,
-    /// They stand in a copy from which the source came back, and may be older than what is known.
+    /// They come from a restored backup of the source, and may be older than what is known.
     Restored,
 }
 
-/// The last report of a target that is gone from the list.
+/// The last report of a target that is no longer listed.
 #[derive(Copy, Clone, Debug)]
 struct RemovedTarget {
     report: (TargetIncarnation, u64),
     at: Time,
 }
 
-/// What a node knows of targets beside their entries in the list.
+/// What a node knows about targets apart from their list entries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetHistory {
-    /// Runs that have said in an answer that they leave.
+    /// Incarnations that announced in an answer that they are leaving.
     leaving: LeavingIncarnations,
-    /// Targets of which more is known than the source has reported since it came back from a copy.
+    /// Targets about which this node has newer information than a source restored from a backup.
     newer_than_source: BTreeSet<String>,
-    /// Entries that came back although their targets were gone, and until when they are not relied on.
+    /// Entries that reappeared after their targets had been removed, and until when they are unverified.
     unverified: BTreeMap<String, Time>,
-    /// Targets that are gone, by id.
+    /// Removed targets, by id.
     removed: BTreeMap<String, RemovedTarget>,
 }
 
 impl TargetHistory {
     // ------------------------------------------------------------------------
-    // Targets that leave
+    // Targets that are leaving
 
-    /// A run has said in an answer that it leaves. That is remembered for as long as it is listed.
+    /// Records the announcement of an incarnation that it is leaving. It is remembered for as long as
+    /// the incarnation is listed.
     pub(super) fn note_leaving(&mut self, now: Time, run: IncarnationId, table: &TargetTable) {
         let listed: HashSet<IncarnationId> = table.values().map(TargetEntry::incarnation_id).collect();
         self.leaving.expire(now, |run| listed.contains(&run));
         self.leaving.record(now, run);
     }
 
-    /// Whether the run of which an entry tells has said in an answer that it leaves.
+    /// Whether the incarnation of an entry announced in an answer that it is leaving.
     pub(super) fn has_reported_leaving(&self, entry: &TargetEntry) -> bool {
         !self.leaving.is_empty() && self.leaving.contains(entry.incarnation_id())
     }
 
     // ------------------------------------------------------------------------
-    // Targets that are gone
+    // Removed targets
 
-    /// A target is gone from the list.
+    /// Records that a target is no longer listed.
     pub(super) fn record_removed(&mut self, now: Time, entry: &TargetEntry) {
         self.newer_than_source.remove(&entry.id);
         self.unverified.remove(&entry.id);
@@ -78,23 +81,25 @@
         self.removed.insert(entry.id.clone(), removed);
     }
 
-    /// The last report of a target that went a short while ago.
+    /// The last report of a recently removed target.
     pub(super) fn last_report(&self, now: Time, id: &str) -> Option<(TargetIncarnation, u64)> {
         let removed = self.removed.get(id)?;
         (now.since(removed.at) < LAST_REPORT_TTL).then_some(removed.report)
     }
 
     // ------------------------------------------------------------------------
-    // A source that came back from a copy
+    // A source restored from a backup
 
-    /// Whether a report is of a target that went before the source came back from a copy in which the report stands.
+    /// Whether a report from a restored backup is about a target that was removed before the source was
+    /// restored.
     pub(super) fn is_removed_target(&self, report: &TargetEntry) -> bool {
         let removed = self.removed.get(&report.id);
         removed.is_some_and(|removed| report.incarnation <= removed.report.0)
     }
 
-    /// Whether what is known of a target holds against a report of it: the report stands in a copy from which the source came back, and the target wrote what is
-    /// known later. That is so also when the copy is read again, until something newer is written.
+    /// Whether what is known about a target is preferred to a report: the report comes from a restored
+    /// backup, and the target wrote the known state later. This also holds when the backup is read
+    /// again, until something newer is written.
     pub(super) fn prefers_known(
         &mut self,
         known: &TargetEntry,
@@ -114,7 +119,7 @@
         true
     }
 
-    /// Notes whether an entry that is listed now is relied on.
+    /// Records whether a listed entry is unverified.
     pub(super) fn note_verification(&mut self, now: Time, entry: &TargetEntry) {
         if entry.unverified {
             self.unverified
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Takes the targets that are relied on again, since they have stayed listed.
+    /// Takes out the targets whose entries count as verified again, since they have stayed listed.
     pub(super) fn take_verified(&mut self, now: Time) -> Vec<String> {
         let over = self.unverified.iter().filter(|(_, until)| now >= **until);
         let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
--- a/crates/barleyspool_core/src/forward/target_log.rs
+++ b/crates/barleyspool_core/src/forward/target_log.rs
@@ -1,21 +1,21 @@
-//! The last changes of the list of targets, for nodes that know an older one.
+//! The most recent changes of the target list, for nodes that have an older list.
 
 use super::TargetChange;
 use crate::Revision;
 use std::collections::VecDeque;
 
-/// The most changes that are kept: a release of a pool of 160 targets makes some three each.
+/// The most changes that are kept; a release of a pool of 160 targets makes about three for each target.
 const MOST_CHANGES: usize = 1024;
 
-/// Changes that were taken together.
+/// Changes that were applied together.
 #[derive(Clone, Debug)]
 struct Batch {
-    /// The revision at which the list stood afterwards.
+    /// The revision of the list after the changes.
     at: Revision,
     changes: Vec<TargetChange>,
 }
 
-/// The last changes of the list of targets.
+/// The most recent changes of the target list.
 #[derive(Clone, Debug, Default)]
 pub struct TargetLog {
     /// The oldest revision from which the changes lead to the newest list.
@@ -25,7 +25,7 @@
 }
 
 impl TargetLog {
-    /// Forgets everything: the list was read whole by a node that knew none.
+    /// Clears the log, as a node without a list has read a complete one.
     pub fn reset(&mut self, at: Revision) {
         *self = Self {
             from: at,
@@ -33,7 +33,7 @@
         };
     }
 
-    /// Notes what changed in the list up to revision `at`.
+    /// Appends the changes of the list up to revision `at`.
     pub fn append(&mut self, at: Revision, changes: Vec<TargetChange>) {
         if changes.is_empty() {
             return;
@@ -49,9 +49,11 @@
         }
     }
 
-    /// What turns the list as it stood at `revision` into the newest one; `None` when that is not known any more.
+    /// The changes that turn the list at `revision` into the newest one; `None` if the log does not
+    /// reach back that far.
     ///
-    /// A batch that holds later and earlier changes than `revision` is told whole: taking a change twice does no harm.
+    /// A batch with changes both before and after `revision` is returned as a whole, since applying a
+    /// change twice does no harm.
     pub fn since(&self, revision: Revision) -> Option<Vec<TargetChange>> {
         let newer = self.batches.iter().filter(|batch| batch.at > revision);
         let changes = newer.flat_map(|batch| batch.changes.iter().cloned());
--- a/crates/barleyspool_core/src/forward/target_query.rs
+++ b/crates/barleyspool_core/src/forward/target_query.rs
@@ -1,45 +1,46 @@
-//! What a call needs of its target, and the answer to that.
+//! What a call requires of its target, and the result of the choice.
 
 use super::TargetKey;
 use crate::{Span, rendezvous};
 
-/// What a call needs of its target.
+/// What a call requires of its target.
 #[derive(Clone, Debug, Default)]
 pub struct TargetQuery {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The route, whose calls resemble each other.
+    /// The name of the route; calls of one route resemble each other.
     pub route: String,
-    /// Whether model engines serve it, and how many tokens one of them holds.
+    /// The memory of one engine in tokens, if model engines serve the call.
     pub engine_memory: Option<u64>,
-    /// The shared beginning of its prompt; zero for none.
+    /// The hash of the shared prompt prefix; zero for none.
     pub prefix: u64,
-    /// Tokens of that beginning.
+    /// The length of the shared prefix in tokens.
     pub prefix_tokens: u32,
-    /// Tokens of the whole prompt.
+    /// The length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// Where its inputs lie; empty for this node's own zone.
+    /// The zone that holds the inputs; empty for this node's own zone.
     pub zone: String,
-    /// The size of its inputs, in bytes.
+    /// The size of the inputs in bytes.
     pub input_bytes: u64,
-    /// Targets that failed it already.
+    /// Targets that have already failed this call.
     pub avoid: Vec<TargetKey>,
-    /// Whether an engine can take the shared beginning of its prompt from another one.
+    /// Whether an engine can copy the shared prefix from another one.
     pub copies: bool,
-    /// How long it may wait for a target that takes so many calls a second and no more.
+    /// How long the call may wait for a rate-limited target.
     pub max_wait: Span,
-    /// Set when this node places the calls of all nodes at the engines of a shard.
+    /// The shard of engines for which this node places the calls of all nodes, if it does.
     pub placing: Option<Shard>,
-    /// Whether another node sends the call: a rest that a target has asked this node for does not concern it.
+    /// Whether another node sends the call. A cooldown that a target requested from this node does not
+    /// apply to it then.
     pub for_other_node: bool,
 }
 
-/// A part of the targets of a service: each belongs to one of `of` shards.
+/// One of `of` disjoint parts of the targets of a service.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shard {
-    /// Which one, from 0.
+    /// The index of the shard, from 0.
     pub number: u32,
-    /// How many there are.
+    /// The number of shards.
     pub of: u32,
 }
 
@@ -47,48 +48,50 @@
     /// The only shard of a service that is not split.
     pub const WHOLE: Self = Self { number: 0, of: 1 };
 
-    /// Whether the target with that hash of its id belongs to it.
+    /// Whether the target with this hash of its id belongs to the shard.
     pub fn holds(self, target: u128) -> bool {
         Self::number_of(target, self.of) == self.number
     }
 
-    /// To which of `of` shards the target with that hash of its id belongs.
+    /// The index of the shard, out of `of`, to which the target with this hash of its id belongs.
     pub fn number_of(target: u128, of: u32) -> u32 {
         rendezvous::pick(target, (0..of).map(u64::from)).unwrap_or(0) as u32
     }
 }
 
-/// The target of a send.
+/// The target chosen for a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetChoice {
-    /// The target.
+    /// The key of the target.
     pub target: TargetKey,
-    /// The run of it that is meant.
+    /// The id of the target.
     pub id: String,
-    /// IP number and port.
+    /// The IP address and port.
     pub address: String,
-    /// The address of an engine that most likely holds the shared beginning of the prompt, when this one does not.
+    /// The address of an engine that most likely holds the shared prefix, if the chosen one does not.
     pub source: Option<String>,
-    /// Whether it takes so many calls a second and no more. Then the call may go there only when the owner of the target's rate says so.
+    /// Whether the target has a rate limit. If so, the call may be sent only after the owner of the
+    /// target's rate has granted it.
     pub rate_limited: bool,
     /// How long the call has to wait before it is sent.
     pub wait: Span,
 }
 
-/// The key by which the owner of a shard of a service is picked.
+/// The key that determines the owner of a shard of a service.
 pub fn shard_key(service: &str, shard: u32) -> u128 {
     rendezvous::text_key(service) ^ u128::from(shard)
 }
 
-/// An answer of [`crate::Forwarder::choose`].
+/// The result of [`crate::Forwarder::choose`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChooseResult {
-    /// Send it there.
+    /// Send the call to this target.
     Send(TargetChoice),
-    /// Every target that is usable has been given all that it takes; when there is room again.
+    /// Every usable target has used up its rate limit; capacity is expected after this time.
     NoCapacity(Span),
-    /// All targets that may get work have asked this node for rest; when the first one's is over.
+    /// All targets that accept work have requested a cooldown from this node; the first one ends after
+    /// this time.
     CoolingDown(Span),
-    /// No target is usable now; when to come back.
+    /// No target is usable now; try again after this time.
     Busy(Span),
 }
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -1,61 +1,62 @@
-//! What this node has seen of one target that answers forwarded calls.
+//! The state that this node keeps for one target of forwarded calls.
 
 use super::{PrefixTracker, TargetEntry};
 use crate::chart::Chart;
 use crate::{IncarnationId, Span, TargetBucket, TargetEvent, TargetPhase, Time, rendezvous};
 
 slotmap::new_key_type! {
-    /// A target that the forwarder knows.
+    /// The key of a target that the forwarder knows.
     pub struct TargetKey;
 }
 
-/// Failures in a row that put a target into quarantine.
+/// The number of consecutive failures that puts a target into quarantine.
 const STREAK: u32 = 3;
-/// The first quarantine.
+/// The length of the first quarantine.
 const OUT_FIRST: Span = Span::from_millis(400);
 /// The longest quarantine.
 const OUT_LONGEST: Span = Span::from_secs(4);
-/// How much a new answer moves the averages.
+/// The smoothing factor of the moving averages.
 const GAIN: f64 = 0.2;
-/// The least and the most that one measurement may say of a target's speed.
+/// The range to which one slowness measurement is clamped.
 const SLOW_RANGE: (f64, f64) = (0.25, 20.0);
-/// The slowness of a target that takes as long as is expected of its service.
+/// The slowness of a target whose answers take as long as expected of its service.
 pub(super) const AS_EXPECTED: f64 = 1.0;
-/// What remains of a measured slowness after a second without another measurement, so that a slow target is tried again.
+/// The share of a measured slowness that remains after a second without a measurement, so that a slow
+/// target is tried again.
 const SLOW_FADE: f64 = 0.85;
-/// What a target's share of failures loses per second without a measurement.
+/// The share of a failure rate that remains after a second without a measurement.
 const FAILING_FADE: f64 = 0.4;
 
-/// One target, with what this node has seen of it.
+/// A listed target and the observations of this node.
 #[derive(Clone, Debug)]
 pub struct TargetRecord {
-    /// What the list says.
+    /// The entry in the target list.
     pub entry: TargetEntry,
-    /// Its id as a key for rendezvous hashing.
+    /// The hash of its id for rendezvous hashing.
     pub hash: u128,
-    /// The mark of its run.
+    /// The id of its current incarnation.
     pub incarnation_id: IncarnationId,
-    /// Whether it is used.
+    /// The state that decides whether the target is used.
     pub phase: TargetPhase,
-    /// Calls of this node that it is working on.
+    /// Calls of this node that the target is working on.
     pub in_flight: u32,
-    /// Prompt tokens that this node sent and that are not read yet, as far as is known.
+    /// The estimated number of prompt tokens that this node sent and the target has not computed yet.
     pub pending_prefill_tokens: f64,
-    /// Prefixes that it most likely holds.
+    /// The prefixes that the target most likely holds.
     pub prefixes: PrefixTracker,
-    /// Time of an answer relative to what was expected; 1 is as expected.
+    /// Answer time relative to the expected one; 1 is as expected.
     pub slowness: f64,
-    /// Share of answers that were failures.
+    /// The share of answers that were failures.
     pub failing: f64,
-    /// It said that it is full; until then it gets nothing.
+    /// Until when the target gets no calls since it reported that it is full.
     pub full_until: Time,
-    /// Until when it wants nothing from this node.
+    /// The end of the cooldown that the target requested from this node.
     pub cooldown_until: Time,
-    /// What this node has given out of its rate, while it has one.
+    /// The calls that this node has granted, while the target has a rate limit.
     pub bucket: TargetBucket,
-    /// Until when it has no room for another call, by the word of the node that gives out its rate.
+    /// Until when the target has no capacity, as reported by the node that grants its rate.
     pub no_capacity_until: Time,
-    /// When that was told.
+    /// When that report arrived.
     pub no_capacity_at: Time,
     measured: Time,
     failure_streak: u32,
@@ -64,7 +65,7 @@
 }
 
 impl TargetRecord {
-    /// A target that has just come onto the list.
+    /// A target that has just been listed.
     pub fn new(entry: TargetEntry) -> Self {
         Self {
             hash: rendezvous::text_key(&entry.id),
@@ -88,15 +89,17 @@
         }
     }
 
-    /// How much longer it wants nothing from this node.
+    /// The remaining cooldown.
     pub fn cooldown(&self, now: Time) -> Span {
         self.cooldown_until.since(now)
     }
 
-    /// Whether it may get a call now, from this node if it does not rest. A quarantine that is over becomes a trial, one call at a time.
+    /// Whether the target may get a call now, apart from a cooldown. After its quarantine a target is on
+    /// trial and gets one call at a time.
     pub fn usable(&mut self, now: Time, chart: &Chart<TargetPhase, TargetEvent>) -> bool {
         if self.phase == TargetPhase::Quarantined && now >= self.quarantine_until {
-            // Probes are priced, and a call says more: the end of the wait counts as a good probe.
+            // Probes cost money, and a call tells more than a probe does, so the end of the quarantine
+            // counts as a successful probe.
             chart.step(&mut self.phase, TargetEvent::ProbeOk);
         }
         let phase_allows = match self.phase {
@@ -107,22 +110,24 @@
         phase_allows && self.entry.accepts_work() && now >= self.full_until
     }
 
-    /// How slow it is to be reckoned with now; without measurements that goes towards `unmeasured`.
+    /// The current estimate of the slowness; without measurements it decays towards `unmeasured`.
     ///
-    /// Measurements are relative to an average of the service, and often below what is expected: a plain target that nobody has measured counts as one of the
-    /// fastest, or it would get no call beside them.
+    /// Measurements are relative to an average of the service, and often below the expected time. A
+    /// plain target without measurements therefore counts as one of the fastest; otherwise it would get
+    /// no calls beside them.
     pub fn slowness_now(&self, now: Time, unmeasured: f64) -> f64 {
         let idle = now.since(self.measured).as_secs().min(60.0);
         unmeasured + (self.slowness - unmeasured) * SLOW_FADE.powf(idle)
     }
 
-    /// How often it is to be reckoned to fail now; like slowness, a record fades, so that it is tried again.
+    /// The current estimate of the failure rate. It decays like the slowness, so that the target is
+    /// tried again.
     pub fn failing_now(&self, now: Time) -> f64 {
         let idle = now.since(self.measured).as_secs().min(60.0);
         self.failing * FAILING_FADE.powf(idle)
     }
 
-    /// It answered; `relative` is the time it took over the time that was expected.
+    /// Records an answer; `relative` is its time divided by the expected one.
     pub fn record_answer(
         &mut self,
         now: Time,
@@ -140,7 +145,7 @@
         }
     }
 
-    /// It failed in a way that says something of itself; true when it goes into quarantine.
+    /// Records a failure caused by the target itself; true if the target goes into quarantine.
     pub fn record_failure(
         &mut self,
         now: Time,
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -1,4 +1,4 @@
-//! The list of targets that the platform last told, itself or by way of other nodes.
+//! The target list that the platform last reported, directly or by way of other nodes.
 
 use super::target_history::{Freshness, TargetHistory};
 use super::target_log::TargetLog;
@@ -13,53 +13,55 @@
 pub enum TargetChange {
     /// An entry is new or different.
     Put(TargetEntry),
-    /// An entry is gone.
+    /// The entry of the target with this id was removed.
     Gone(String),
 }
 
-/// How long an entry that expired while the source was away is still reckoned with: a target that lives writes it
-/// again within about this time (docs/PLATFORM.md).
+/// How long an entry that expired while the source was unavailable is still kept: a live target rewrites
+/// it within about this time (docs/PLATFORM.md).
 pub const EXPIRY_GRACE: Span = Span::from_secs(2);
 
-/// The list of targets at one revision of the platform.
+/// The target list at one revision of the platform.
 #[derive(Clone, Debug, Default)]
 pub struct TargetStore {
-    /// The list.
+    /// The entries of the list.
     pub table: Arc<TargetTable>,
-    /// The zones of its targets, by address.
+    /// The zones of the targets, by address.
     pub zones: Arc<HashMap<String, String>>,
-    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_result_lost`].
+    /// When targets were seen to restart under the same id, by address; see
+    /// [`ForwardPlan::is_result_lost`].
     pub restarts: Arc<HashMap<String, Time>>,
     /// The targets of each service, by its name.
     pub services: Arc<HashMap<String, ServiceTargets>>,
-    /// The platform's revision that it stands at.
+    /// The platform's revision of the list.
     pub at: Revision,
-    /// The revision at which it last became another one. Others are told this one: what changes elsewhere on the
-    /// platform raises the other, and would have them ask for a list that they have.
+    /// The revision of the last change of the list. This one is sent to other nodes: changes elsewhere
+    /// on the platform raise `at`, and would make them request a list that they already have.
     pub changed_at: Revision,
-    /// Entries that were missing when the source came back, and when they are taken as gone.
+    /// Entries that were missing when the source returned, and when they count as removed.
     pub expired: BTreeMap<String, Time>,
-    /// Until when what goes may have expired while the source was away.
+    /// Until when a missing entry may have expired while the source was unavailable.
     grace_until: Time,
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     evacuated: BTreeSet<String>,
-    /// What is known of targets beside the list.
+    /// What is known about targets apart from the list.
     history: TargetHistory,
-    /// How it came to be, for nodes that know an older one.
+    /// The most recent changes, for nodes that have an older list.
     log: TargetLog,
 }
 
-/// Entries that are missing at the source and may come back, with the time that they still have. A node that tells
-/// another of its list tells these too, since only it knows that the source was away.
+/// Entries that are missing at the source and may reappear, with the time left for that. A node passes
+/// them on with its list, since only it knows that the source was unavailable.
 pub type ExpiringEntries = Vec<(String, Span)>;
 
 impl TargetStore {
-    /// The source answers again after it was away.
+    /// Records that the source answers again after it was unavailable.
     pub fn source_recovered(&mut self, now: Time) {
         self.grace_until = now + EXPIRY_GRACE;
     }
 
-    /// Takes a list that was read whole; false when it is older than what is known.
+    /// Applies a complete list; returns whether the list changes. A list older than the known one is
+    /// ignored.
     pub fn replace(&mut self, now: Time, at: Revision, table: TargetTable) -> bool {
         if at < self.at {
             return false;
@@ -91,16 +93,16 @@
                 self.history.record_removed(now, entry);
             }
         }
-        // The first list is told to others also when it is empty.
+        // The first list counts as a change even if it is empty, so that other nodes receive it.
         let changed = first || *before != table;
         self.table = Arc::new(table);
         self.changed(changed)
     }
 
-    /// Takes changes up to revision `at`; true when the list is another one afterwards.
+    /// Applies changes up to revision `at`; returns whether the list changes.
     ///
-    /// Changes up to an older revision than that of the list are part of it already. Taken again they would undo what
-    /// came later by way of another node.
+    /// Changes up to a revision older than that of the list are already part of it. Applied again they
+    /// would undo newer changes that arrived by way of another node.
     pub fn apply(&mut self, now: Time, at: Revision, changes: Vec<TargetChange>) -> bool {
         if at < self.at {
             return false;
@@ -120,9 +122,10 @@
         self.changed(changed)
     }
 
-    /// Goes on to revision `at`. Returns how far reports of targets there can be relied on.
+    /// Advances to revision `at`, and returns how far reports at that revision can be trusted.
     ///
-    /// When that is a revision of a later era the source has come back from a copy. What was written since the copy is missing there until it is written again.
+    /// A revision of a later era means that the source was restored from a backup. Whatever was written
+    /// after the backup is missing there until it is written again.
     fn advance_to(&mut self, now: Time, at: Revision) -> Freshness {
         let before = std::mem::replace(&mut self.at, at);
         if before == Revision(0) {
@@ -135,8 +138,9 @@
         Freshness::Restored
     }
 
-    /// Takes which zones are evacuated; true when the list is another one afterwards. Targets of a zone that is opened
-    /// again count as just begun: they may have turned cold shortly before, and their own word comes up to a heartbeat later.
+    /// Applies the set of evacuated zones; returns whether the list changes. Targets of a reopened zone
+    /// count as newly listed: they may have become cold shortly before, and their own report arrives up
+    /// to a heartbeat later.
     pub fn apply_evacuations(&mut self, now: Time, zones: &BTreeSet<String>) -> bool {
         self.evacuated.clone_from(zones);
         let wrong = |entry: &&TargetEntry| entry.evacuated != zones.contains(&entry.zone);
@@ -157,8 +161,8 @@
         self.changed(!ids.is_empty())
     }
 
-    /// A run of a target has said in an answer that it leaves; true when that is new to the list. It is no change at the source, so
-    /// other nodes have nothing to ask for.
+    /// Records the announcement of an incarnation that it is leaving; returns whether that changes the
+    /// list. The source has not changed, so other nodes have nothing to request.
     pub fn note_leaving(&mut self, now: Time, run: IncarnationId) -> bool {
         self.history.note_leaving(now, run, &self.table);
         let mut listed = self.table.values();
@@ -173,22 +177,22 @@
         true
     }
 
-    /// What turns the list as it stood at `revision` into this one; `None` when that is not known any more.
+    /// The changes that turn the list at `revision` into this one; `None` if they are no longer known.
     pub fn changes_since(&self, revision: Revision) -> Option<Vec<TargetChange>> {
         self.log.since(revision)
     }
 
-    /// The entries that are missing at the source and may come back.
+    /// The entries that are missing at the source and may reappear.
     pub fn expiring(&self, now: Time) -> ExpiringEntries {
         let left = |(id, until): (&String, &Time)| (id.clone(), until.since(now));
         self.expired.iter().map(left).collect()
     }
 
-    /// Notes which entries of another node's list, which stands at `at`, are missing at the source. It comes before what
-    /// that node told of its list.
+    /// Records which entries of another node's list, at revision `at`, are missing at the source. To be
+    /// called before the list of that node is applied.
     pub fn note_expiring(&mut self, now: Time, at: Revision, expiring: ExpiringEntries) {
         if at < self.at {
-            // What has expired there may be back by what is known here.
+            // Entries that have expired at that revision may have reappeared in the newer list here.
             return;
         }
         for (id, left) in expiring {
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Takes entries as gone whose time to come back is over; true when the list is another one afterwards.
+    /// Removes missing entries whose time to reappear is over; returns whether the list changes.
     pub fn expire(&mut self, now: Time) -> bool {
         let over: Vec<String> = self
             .expired
@@ -212,7 +216,8 @@
         self.expire_unverified(now) || expired
     }
 
-    /// Relies again on entries that came back and are still listed. Each node does so by itself, so others have nothing to ask for.
+    /// Marks reappeared entries that are still listed as verified. Each node does so by itself, so that
+    /// other nodes have nothing to request.
     fn expire_unverified(&mut self, now: Time) -> bool {
         let confirmed = self.history.take_verified(now);
         for id in &confirmed {
@@ -243,8 +248,9 @@
         true
     }
 
-    /// What is to be listed of a target after a report of it: the report with what this node knows besides, or what was known
-    /// when that is newer; `None` when the target is gone and the report an older one.
+    /// The entry to list for a target after a report: the report with what this node knows in addition,
+    /// or the known entry if that is newer; `None` if the target has been removed and the report is
+    /// older than that.
     fn merge_report(&mut self, now: Time, mut report: TargetEntry, fresh: Freshness) -> Option<TargetEntry> {
         let known = self.table.get(&report.id);
         if let Some(known) = known
@@ -258,13 +264,13 @@
         if let Some(known) = known
             .filter(|known| report.unverified && !known.unverified && report.incarnation == known.incarnation)
         {
-            // Another node knew it to be gone, but the source has listed it here since.
+            // Another node had recorded the target as removed, but the source has listed it here since.
             return Some(known.clone());
         }
         let last = known
             .map(|known| (known.incarnation, known.sequence))
             .or_else(|| self.history.last_report(now, &report.id));
-        // A target that ever told which start of it this is always does.
+        // A target that has reported its incarnation once always does.
         let run_missing = report.incarnation == TargetIncarnation(0)
             && last.is_some_and(|(run, _)| run != TargetIncarnation(0));
         if (report.unreadable || run_missing)
@@ -301,7 +307,8 @@
         Some(report)
     }
 
-    /// Whether an entry that is missing now is kept for a while, because it may have expired.
+    /// Whether a missing entry is kept for a while, since it may have expired only while the source was
+    /// unavailable.
     fn retains_missing(&mut self, now: Time, id: &str) -> bool {
         if now < self.grace_until {
             self.expired.entry(id.to_owned()).or_insert(self.grace_until);
@@ -317,7 +324,7 @@
         changed
     }
 
-    /// Works out what is looked up in the list, after a change of it.
+    /// Rebuilds the indexes that are derived from the list.
     fn rebuild_indexes(&mut self) {
         self.zones = Arc::new(ForwardPlan::zones_by_address(&self.table));
         self.restarts = Arc::new(ForwardPlan::restarts_by_address(&self.table));
@@ -325,7 +332,7 @@
     }
 }
 
-/// What turns one list into another.
+/// The changes that turn one list into another.
 fn changes_between(before: &TargetTable, after: &TargetTable) -> Vec<TargetChange> {
     let gone = before.keys().filter(|id| !after.contains_key(*id));
     let gone = gone.map(|id| TargetChange::Gone(id.clone()));
