--- a/crates/barleyspool_core/src/forward/evacuations.rs
+++ b/crates/barleyspool_core/src/forward/evacuations.rs
@@ -25,7 +25,7 @@
     unconfirmed: BTreeSet<String>,
     /// Until when these zones stay evacuated; zero if there are none.
     #[serde(skip)]
-    until: Time,
+    unconfirmed_until: Time,
 }
 
 impl Evacuations {
@@ -39,10 +39,10 @@
         }
         if self.at != Revision(0) && at.era() > self.at.era() {
             self.unconfirmed.clone_from(&self.zones);
-            self.until = now + UNCONFIRMED_TTL;
+            self.unconfirmed_until = now + UNCONFIRMED_TTL;
         }
         self.unconfirmed.retain(|zone| !zones.contains(zone));
-        if now < self.until {
+        if now < self.unconfirmed_until {
             zones.extend(self.unconfirmed.iter().cloned());
         }
         let changed = self.zones != zones;
@@ -58,7 +58,7 @@
         let changed = self.replace(now, other.at, other.zones);
         if !other.unconfirmed.is_empty() {
             if self.unconfirmed.is_empty() {
-                self.until = now + UNCONFIRMED_TTL;
+                self.unconfirmed_until = now + UNCONFIRMED_TTL;
             }
             self.unconfirmed.extend(other.unconfirmed);
         }
@@ -67,11 +67,11 @@
 
     /// Reopens unconfirmed zones whose time is over; false if there are none.
     pub fn expire(&mut self, now: Time) -> bool {
-        if self.unconfirmed.is_empty() || now < self.until {
+        if self.unconfirmed.is_empty() || now < self.unconfirmed_until {
             return false;
         }
-        let over = std::mem::take(&mut self.unconfirmed);
-        self.zones.retain(|zone| !over.contains(zone));
+        let expired = std::mem::take(&mut self.unconfirmed);
+        self.zones.retain(|zone| !expired.contains(zone));
         true
     }
 
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -390,7 +390,7 @@
             return false;
         };
         if capped {
-            record.failing += 0.2 * (1.0 - record.failing);
+            record.failure_rate += 0.2 * (1.0 - record.failure_rate);
             return false;
         }
         record.record_failure(now, certain, &self.chart)
--- a/crates/barleyspool_core/src/forward/initial_list_read.rs
+++ b/crates/barleyspool_core/src/forward/initial_list_read.rs
@@ -16,7 +16,7 @@
 const READER_WAIT: Span = Span::from_millis(1000);
 /// After this time a node reads the list itself even if readers answer, since no node with the list is
 /// reachable.
-const FALLBACK: Span = Span::from_secs(3);
+const FALLBACK_DELAY: Span = Span::from_secs(3);
 /// The number of nodes per second that fall back to a read of their own, whatever the size of the fleet.
 const FALLBACKS_PER_S: f64 = 10.0;
 
@@ -38,13 +38,16 @@
 pub struct InitialListRead {
     started: Time,
     /// The position of this node in the order of fallbacks, from 0 to 1.
-    place: f64,
+    fallback_position: f64,
 }
 
 impl InitialListRead {
-    /// A node that starts at `now`; `place` is drawn uniformly from 0 to 1.
-    pub fn new(now: Time, place: f64) -> Self {
-        Self { started: now, place }
+    /// A node that starts at `now`; `fallback_position` is drawn uniformly from 0 to 1.
+    pub fn new(now: Time, fallback_position: f64) -> Self {
+        Self {
+            started: now,
+            fallback_position,
+        }
     }
 
     /// Whether the node should read the list now.
@@ -66,7 +69,7 @@
     }
 
     fn fallback_at(&self, nodes: usize) -> Time {
-        let spread = nodes as f64 / FALLBACKS_PER_S * self.place;
-        self.started + FALLBACK + Span((spread * 1e6) as u64)
+        let spread = nodes as f64 / FALLBACKS_PER_S * self.fallback_position;
+        self.started + FALLBACK_DELAY + Span((spread * 1e6) as u64)
     }
 }
--- a/crates/barleyspool_core/src/forward/leaving_incarnations.rs
+++ b/crates/barleyspool_core/src/forward/leaving_incarnations.rs
@@ -6,7 +6,7 @@
 
 /// How long an incarnation is remembered after a node last received its announcement. A node that still
 /// sends to it receives the announcement again.
-const KEPT: Span = Span::from_secs(60);
+const ANNOUNCEMENT_TTL: Span = Span::from_secs(60);
 
 /// The update about a leaving incarnation that nodes exchange.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,50 +24,48 @@
 /// it. The target list shows it later, and not at all while the source is unavailable.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingIncarnations {
-    read_at: HashMap<IncarnationId, Time>,
+    received_at: HashMap<IncarnationId, Time>,
 }
 
 impl LeavingIncarnations {
     /// Records the announcement of an incarnation; false if it was known already.
-    pub fn record(&mut self, now: Time, run: IncarnationId) -> bool {
-        self.insert(run, now)
+    pub fn record(&mut self, now: Time, incarnation: IncarnationId) -> bool {
+        self.insert(incarnation, now)
     }
 
     /// Merges an update of another node; false if it was known already or is too old to be passed on.
     pub fn merge(&mut self, now: Time, update: LeavingUpdate) -> bool {
         let age = Span::from_millis(u64::from(update.age));
-        age < KEPT && self.insert(update.incarnation, now - age)
+        age < ANNOUNCEMENT_TTL && self.insert(update.incarnation, now - age)
     }
 
     /// Whether an incarnation is known to be leaving.
-    pub fn contains(&self, run: IncarnationId) -> bool {
-        self.read_at.contains_key(&run)
+    pub fn contains(&self, incarnation: IncarnationId) -> bool {
+        self.received_at.contains_key(&incarnation)
     }
 
     /// Whether no incarnation is known to be leaving.
     pub fn is_empty(&self) -> bool {
-        self.read_at.is_empty()
+        self.received_at.is_empty()
     }
 
     /// The update about an incarnation that this node can pass on.
-    pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LeavingUpdate> {
-        let read_at = self.read_at.get(&run)?;
-        let age = u32::try_from(now.since(*read_at).as_millis()).unwrap_or(u32::MAX);
-        Some(LeavingUpdate {
-            incarnation: run,
-            age,
-        })
+    pub fn update_of(&self, now: Time, incarnation: IncarnationId) -> Option<LeavingUpdate> {
+        let received_at = self.received_at.get(&incarnation)?;
+        let age = u32::try_from(now.since(*received_at).as_millis()).unwrap_or(u32::MAX);
+        Some(LeavingUpdate { incarnation, age })
     }
 
     /// Removes incarnations whose announcement is too old, except those for which `keeps` returns true.
     pub fn expire(&mut self, now: Time, keeps: impl Fn(IncarnationId) -> bool) {
-        self.read_at
-            .retain(|run, at| now.since(*at) < KEPT || keeps(*run));
+        self.received_at
+            .retain(|incarnation, at| now.since(*at) < ANNOUNCEMENT_TTL || keeps(*incarnation));
     }
 
-    fn insert(&mut self, run: IncarnationId, at: Time) -> bool {
-        let known = self.read_at.get(&run).copied();
-        self.read_at.insert(run, known.map_or(at, |known| known.max(at)));
+    fn insert(&mut self, incarnation: IncarnationId, at: Time) -> bool {
+        let known = self.received_at.get(&incarnation).copied();
+        self.received_at
+            .insert(incarnation, known.map_or(at, |known| known.max(at)));
         known.is_none()
     }
 }
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -2,7 +2,7 @@
 
 use super::piece_order::BatchItem;
 use super::piece_queue::{Piece, QueuedOrder};
-use super::pool_target::TOO_SLOW;
+use super::pool_target::MAX_SLOWNESS_RATIO;
 use super::{BatchCall, OrderKey, PieceQueue, PoolTarget};
 use crate::{Span, Time};
 use std::collections::BTreeMap;
@@ -72,8 +72,8 @@
             .map(|(_, target)| target.slowness)
             .fold(f64::MAX, f64::min);
         let worth_using = |target: &PoolTarget| {
-            let slow = target.slowness > fastest * TOO_SLOW;
-            let retry_due = now.since(target.measured) > SLOW_RETRY_INTERVAL;
+            let slow = target.slowness > fastest * MAX_SLOWNESS_RATIO;
+            let retry_due = now.since(target.measured_at) > SLOW_RETRY_INTERVAL;
             let overloaded = waiting > self.spec.batch.saturating_mul(self.targets.len() as u32);
             !slow || retry_due || overloaded
         };
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -5,24 +5,24 @@
 use crate::{RateShare, Span, TargetBucket, Time, rendezvous};
 
 /// How long a target is excluded after its first failure.
-const OUT_FIRST: Span = Span::from_millis(300);
+const FIRST_EXCLUSION: Span = Span::from_millis(300);
 /// The longest exclusion after repeated failures.
-const OUT_LONGEST: Span = Span::from_secs(4);
+const MAX_EXCLUSION: Span = Span::from_secs(4);
 /// How long a target is excluded after it first reports that it is full.
-const FULL_FIRST: Span = Span::from_millis(25);
+const FIRST_FULL_EXCLUSION: Span = Span::from_millis(25);
 /// The longest exclusion of a full target.
-const FULL_LONGEST: Span = Span::from_millis(400);
+const MAX_FULL_EXCLUSION: Span = Span::from_millis(400);
 /// How long a target without capacity is assumed to hold results that this node does not know of. These
 /// belong to an earlier owner of the pool or are larger than configured, and are released or expire
 /// meanwhile.
-const NO_ROOM: Span = Span::from_millis(250);
+const UNACCOUNTED_TTL: Span = Span::from_millis(250);
 /// The smoothing factor of the moving average.
-const GAIN: f64 = 0.3;
+const SMOOTHING: f64 = 0.3;
 /// The number of consecutive overdue calls after which a target counts as slow.
-const SLOW_ROW: u32 = 2;
+const SLOW_STREAK: u32 = 2;
 /// A target this many times slower than the fastest is used only while all others are busy and many
 /// pieces wait.
-pub(super) const TOO_SLOW: f64 = 1.8;
+pub(super) const MAX_SLOWNESS_RATIO: f64 = 1.8;
 
 /// A target of a pool as its owner sees it.
 #[derive(Clone, Debug, Default)]
@@ -46,13 +46,13 @@
     next_exclusion: Span,
     /// The number of consecutive overdue calls.
     pub overdue_streak: u32,
-    full_for: Span,
+    next_full_exclusion: Span,
     /// The size in bytes of the results unknown to this node that explain its last lack of capacity.
     unaccounted_bytes: u64,
     /// Until when these results are assumed to exist.
     unaccounted_until: Time,
     /// When the slowness was last measured.
-    pub measured: Time,
+    pub measured_at: Time,
     /// The rate limit of its service after a start, if it has one.
     cold: Option<ColdSpec>,
     /// The limit in calls per second, from all nodes together, that the target states.
@@ -70,8 +70,8 @@
             entry,
             owned: true,
             slowness: 1.0,
-            next_exclusion: OUT_FIRST,
-            full_for: FULL_FIRST,
+            next_exclusion: FIRST_EXCLUSION,
+            next_full_exclusion: FIRST_FULL_EXCLUSION,
             ..Self::default()
         }
     }
@@ -110,8 +110,8 @@
     /// Whether it may be asked now to release results. Such a request counts towards a limit that the
     /// target states itself, but not towards that of a cold start, as it causes no work.
     pub(super) fn accepts_release(&self, now: Time) -> bool {
-        let room = self.limit.is_none() || self.capacity_wait(now) == Span::ZERO;
-        self.entry.accepts_release() && room && now >= self.cooldown_until
+        let has_capacity = self.limit.is_none() || self.capacity_wait(now) == Span::ZERO;
+        self.entry.accepts_release() && has_capacity && now >= self.cooldown_until
     }
 
     /// Counts a request to release results.
@@ -143,28 +143,29 @@
         }
     }
 
-    /// Its free capacity for results in bytes, out of `room`.
-    pub fn free_capacity(&self, now: Time, room: u64) -> u64 {
+    /// Its free capacity for results in bytes, out of `capacity`.
+    pub fn free_capacity(&self, now: Time, capacity: u64) -> u64 {
         let unaccounted_bytes = if now < self.unaccounted_until {
             self.unaccounted_bytes
         } else {
             0
         };
-        room.saturating_sub(self.stored_bytes)
+        capacity
+            .saturating_sub(self.stored_bytes)
             .saturating_sub(unaccounted_bytes)
     }
 
     /// Records a successful call; `relative` is its time divided by the expected one.
     pub fn record_answer(&mut self, now: Time, relative: f64) {
-        self.slowness += GAIN * (relative - self.slowness);
-        self.measured = now;
+        self.slowness += SMOOTHING * (relative - self.slowness);
+        self.measured_at = now;
         self.overdue_streak = 0;
-        self.next_exclusion = OUT_FIRST;
-        self.full_for = FULL_FIRST;
+        self.next_exclusion = FIRST_EXCLUSION;
+        self.next_full_exclusion = FIRST_FULL_EXCLUSION;
     }
 
     /// Records that the target had no capacity for a result of `bytes`, while this node knew of `known`
-    /// bytes of `room` in use. For a while just as many additional bytes as explain this are assumed to
+    /// bytes of `capacity` in use. For a while just as many additional bytes as explain this are assumed to
     /// be in use.
     ///
     /// Sizes of results are approximate, so that a pool with little free capacity rejects one result in
@@ -172,22 +173,23 @@
     /// 70 fit and 1,000 waited. Counting only the missing bytes improved the value of the completed work
     /// by 0.017 (standard error 0.006, ten paired days of the shifted deployment,
     /// docs/design/shifted.md).
-    pub fn record_no_capacity(&mut self, now: Time, room: u64, known: u64, bytes: u64) {
-        let explained = (room + 1).saturating_sub(known + bytes);
+    pub fn record_no_capacity(&mut self, now: Time, capacity: u64, known: u64, bytes: u64) {
+        let explained = (capacity + 1).saturating_sub(known + bytes);
         self.unaccounted_bytes = explained;
-        self.unaccounted_until = now + NO_ROOM;
+        self.unaccounted_until = now + UNACCOUNTED_TTL;
     }
 
     /// Records that the target reported a full queue.
     pub fn record_full(&mut self, now: Time) {
-        self.excluded_until = self.excluded_until.max(now + self.full_for);
-        self.full_for = FULL_LONGEST.min(self.full_for + self.full_for);
+        self.excluded_until = self.excluded_until.max(now + self.next_full_exclusion);
+        self.next_full_exclusion =
+            MAX_FULL_EXCLUSION.min(self.next_full_exclusion + self.next_full_exclusion);
     }
 
     /// Records a failed call that says something about the target.
     pub fn record_failure(&mut self, now: Time) {
         self.excluded_until = now + self.next_exclusion;
-        self.next_exclusion = OUT_LONGEST.min(self.next_exclusion + self.next_exclusion);
+        self.next_exclusion = MAX_EXCLUSION.min(self.next_exclusion + self.next_exclusion);
     }
 
     /// Records an overdue call. A single lost answer says nothing about the target; two in a row mean
@@ -195,9 +197,9 @@
     pub fn record_overdue(&mut self, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.overdue_streak += 1;
-        if self.overdue_streak >= SLOW_ROW {
-            self.slowness = self.slowness.max(TOO_SLOW + 1.0);
-            self.measured = now;
+        if self.overdue_streak >= SLOW_STREAK {
+            self.slowness = self.slowness.max(MAX_SLOWNESS_RATIO + 1.0);
+            self.measured_at = now;
         }
     }
 }
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -43,8 +43,8 @@
 
     /// Whether every target of a service that accepts work has a rate limit now.
     pub fn all_rate_limited(&self, now: Time, service: &str) -> bool {
-        let mut bounds = self.working_rate_limits(now, service).peekable();
-        bounds.peek().is_some() && bounds.all(|(_, rate_limit)| rate_limit.is_some())
+        let mut limits = self.working_rate_limits(now, service).peekable();
+        limits.peek().is_some() && limits.all(|(_, rate_limit)| rate_limit.is_some())
     }
 
     /// The targets of a service that accept work, even if not at this moment, and the rate limit of
@@ -76,12 +76,12 @@
             // The usual case on the path of every answer.
             return None;
         }
-        let run = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
-        let before = self.limits.reported(run);
-        let is_new = self.limits.apply_report(now, sent, run, report);
-        let per_s = self.limits.reported(run);
+        let incarnation = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
+        let before = self.limits.reported(incarnation);
+        let is_new = self.limits.apply_report(now, sent, incarnation, report);
+        let per_s = self.limits.reported(incarnation);
         is_new.then_some(ReportedLimit {
-            incarnation: run,
+            incarnation,
             per_s,
             changed: before != per_s,
         })
@@ -89,8 +89,8 @@
 
     /// The number of listed targets that are known to state a limit.
     pub fn limited_count(&self) -> usize {
-        let named = |record: &&TargetRecord| self.limits.reported(record.incarnation_id).is_some();
-        self.targets.values().filter(named).count()
+        let stated = |record: &&TargetRecord| self.limits.reported(record.incarnation_id).is_some();
+        self.targets.values().filter(stated).count()
     }
 
     /// The limit in calls per second that the target with this id stated.
@@ -235,7 +235,7 @@
     cold: Option<ColdSpec>,
     limit: Option<f64>,
 ) -> Option<RateLimit> {
-    let cold = cold.map(|spec| (spec.per_s, entry.cold_until(spec.start)));
+    let cold = cold.map(|spec| (spec.per_s, entry.cold_until(spec.duration)));
     let cold = cold.filter(|(_, until)| now < *until);
     let (per_s, until) = match (cold, limit) {
         (Some((cold, _)), Some(limit)) => (cold.min(limit), None),
--- a/crates/barleyspool_core/src/forward/retry_window.rs
+++ b/crates/barleyspool_core/src/forward/retry_window.rs
@@ -29,20 +29,20 @@
     pub fn try_spend(&mut self, now: Time, window: Span, ratio: f64, fixed: f64) -> bool {
         self.expire(now, window);
         let allowed = BUDGET_USAGE * (ratio * self.requests.len() as f64 + fixed);
-        let enough = (self.retries.len() as f64) + 1.0 <= allowed;
-        if enough {
+        let within_budget = (self.retries.len() as f64) + 1.0 <= allowed;
+        if within_budget {
             self.retries.push_back(now);
         }
-        enough
+        within_budget
     }
 
     fn expire(&mut self, now: Time, window: Span) {
-        let past = |queue: &mut VecDeque<Time>| {
+        let drop_expired = |queue: &mut VecDeque<Time>| {
             while queue.front().is_some_and(|at| now.since(*at) > window) {
                 queue.pop_front();
             }
         };
-        past(&mut self.requests);
-        past(&mut self.retries);
+        drop_expired(&mut self.requests);
+        drop_expired(&mut self.retries);
     }
 }
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -95,12 +95,12 @@
     history: SendHistory,
     end: SendEnd,
 ) -> NextStep {
-    let again = history.sends < max_sends.max(1) && history.unreached < MAX_UNREACHED && now < deadline;
+    let may_retry = history.sends < max_sends.max(1) && history.unreached < MAX_UNREACHED && now < deadline;
     match end {
         SendEnd::Answered { success: true } => NextStep::Deliver,
-        SendEnd::Answered { success: false } if repeatable && again => NextStep::Retry,
+        SendEnd::Answered { success: false } if repeatable && may_retry => NextStep::Retry,
         SendEnd::Answered { success: false } => NextStep::Deliver,
-        _ if again && (repeatable || !history.may_have_run) => NextStep::Retry,
+        _ if may_retry && (repeatable || !history.may_have_run) => NextStep::Retry,
         _ if history.may_have_run => NextStep::FailUnknown,
         _ => NextStep::RefuseNotRun,
     }
--- a/crates/barleyspool_core/src/forward/service_spec.rs
+++ b/crates/barleyspool_core/src/forward/service_spec.rs
@@ -48,8 +48,8 @@
     /// How long results of `bytes` are kept for a target that has received a call which needs them.
     /// `None` if the bandwidth is unknown; then the target's first output shows that it has them.
     pub fn fetch_time(&self, bytes: u64) -> Option<Span> {
-        let on_link = (bytes * 8).checked_div(self.link_mbps)?;
-        Some(FETCH_TIME_MIN + Span(on_link * LINK_SHARING_FACTOR))
+        let transfer_time = (bytes * 8).checked_div(self.link_mbps)?;
+        Some(FETCH_TIME_MIN + Span(transfer_time * LINK_SHARING_FACTOR))
     }
 }
 
@@ -57,7 +57,8 @@
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ColdSpec {
     /// How long a target is cold.
-    pub start: Span,
+    #[serde(rename = "start")]
+    pub duration: Span,
     /// The calls per second that a cold target handles, from all nodes together; it crashes at well
     /// above that rate.
     pub per_s: f64,
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -1,6 +1,6 @@
 //! Chooses a target for a call.
 
-use super::target_record::AS_EXPECTED;
+use super::target_record::EXPECTED_SLOWNESS;
 use super::{
     ChooseResult, Forwarder, NO_CAPACITY_TTL, TargetChoice, TargetKey, TargetQuery, TargetRecord, shard_key,
 };
@@ -9,32 +9,32 @@
 
 /// The assumed probability that a prefix is cached at its home engine if the owner of the engines has
 /// not sent it there itself.
-const HOME_TRUST: f64 = 0.6;
+const HOME_CACHED_PROBABILITY: f64 = 0.6;
 /// The weight of a shared prefix token that has to be recomputed; above 1, since the work was already
 /// done elsewhere and is wasted.
-const REREAD_WEIGHT: f64 = 1.5;
+const RECOMPUTE_WEIGHT: f64 = 1.5;
 /// The cost of one running request, in prompt tokens.
 const RUNNING_TOKENS: f64 = 250.0;
 /// The cost of a megabyte of inputs that crosses zones, in prompt tokens.
-const FAR_TOKENS_PER_MB: f64 = 400.0;
+const CROSS_ZONE_TOKENS_PER_MB: f64 = 400.0;
 /// The fixed penalty of an engine in another zone, in prompt tokens.
-const FAR_TOKENS: f64 = 200.0;
+const CROSS_ZONE_TOKENS: f64 = 200.0;
 /// The penalty of a plain target in another zone, as a share of the answer time.
-const FAR_SHARE: f64 = 0.5;
+const CROSS_ZONE_PENALTY: f64 = 0.5;
 /// The penalty of an engine that fails every call, in prompt tokens.
-const FAILING_TOKENS: f64 = 20_000.0;
+const FAILURE_PENALTY_TOKENS: f64 = 20_000.0;
 /// The penalty of a plain target that fails every call, as a multiple of the answer time.
-const FAILING_TIMES: f64 = 4.0;
+const FAILURE_PENALTY: f64 = 4.0;
 /// An engine with a higher share of failed calls is not used as the source of a prefix.
-const MOST_FAILING: f64 = 0.2;
+const MAX_SOURCE_FAILURE_RATE: f64 = 0.2;
 /// Differences below this share of the answer time count as noise.
 const SCORE_STEP: f64 = 0.1;
 /// The delay before another attempt when every target is busy or unavailable.
-const BUSY_WAIT: Span = Span::from_millis(250);
+const BUSY_RETRY_DELAY: Span = Span::from_millis(250);
 
 /// When targets that have used up their rate limit have capacity again.
 #[derive(Copy, Clone, Debug, Default)]
-struct Room {
+struct Capacity {
     /// The first target whose rate allows another call, with the wait until then, if this node grants
     /// its rate.
     first: Option<(TargetKey, Span)>,
@@ -46,7 +46,7 @@
     /// Chooses the target for a call.
     pub fn choose(&mut self, now: Time, query: &TargetQuery) -> ChooseResult {
         let Some(keys) = self.by_service.get(&query.service).cloned() else {
-            return ChooseResult::Busy(BUSY_WAIT);
+            return ChooseResult::Busy(BUSY_RETRY_DELAY);
         };
         let mut usable: Vec<TargetKey> = Vec::with_capacity(keys.len());
         for key in &keys {
@@ -58,12 +58,12 @@
                 usable.push(*key);
             }
         }
-        let room = self.with_room(now, query, &mut usable);
+        let capacity = self.retain_with_capacity(now, query, &mut usable);
         if usable.iter().any(|key| !query.avoid.contains(key)) {
             usable.retain(|key| !query.avoid.contains(key));
         }
         if usable.is_empty() {
-            return self.when_room(now, query, &room);
+            return self.unavailable_result(now, query, &capacity);
         }
         let chosen = match query.engine_memory {
             Some(memory) => self.choose_engine(now, query, memory, &usable),
@@ -73,10 +73,10 @@
             .engine_memory
             .filter(|_| query.copies)
             .and_then(|memory| self.prefix_source(now, query, memory, &usable, chosen));
-        let bounded = self
+        let rate_limited = self
             .rate_limit(now, chosen, self.cold_spec(&query.service))
             .is_some();
-        self.send_to(chosen, source, bounded, Span::ZERO)
+        self.send_to(chosen, source, rate_limited, Span::ZERO)
     }
 
     /// Chooses the target for a call that this node places for itself or another node, and counts the
@@ -102,11 +102,16 @@
 
     /// Removes targets that have used up their rate limit from `usable`, and returns when one of them
     /// has capacity again.
-    fn with_room(&mut self, now: Time, query: &TargetQuery, usable: &mut Vec<TargetKey>) -> Room {
-        let mut room = Room::default();
+    fn retain_with_capacity(
+        &mut self,
+        now: Time,
+        query: &TargetQuery,
+        usable: &mut Vec<TargetKey>,
+    ) -> Capacity {
+        let mut capacity = Capacity::default();
         let cold = self.cold_spec(&query.service);
         if cold.is_none() && self.limits.is_empty() {
-            return room;
+            return capacity;
         }
         let share = query.placing.map(|shard| {
             let shard = shard_key(&query.service, shard.number);
@@ -121,9 +126,10 @@
                 Some(share) if share.fraction <= 0.0 => return false,
                 Some(share) => {
                     let wait = self.capacity_wait(now, *key, rate_limit, share);
-                    if !rate_limit.ends_within(now, wait) && room.first.is_none_or(|(_, least)| wait < least)
+                    if !rate_limit.ends_within(now, wait)
+                        && capacity.first.is_none_or(|(_, least)| wait < least)
                     {
-                        room.first = Some((*key, wait));
+                        capacity.first = Some((*key, wait));
                     }
                     share.retry_after(rate_limit.wait(now, wait))
                 }
@@ -134,59 +140,67 @@
                 None => {
                     let record = &self.targets[*key];
                     let wait = record.no_capacity_until.since(now);
-                    let old = now.since(record.no_capacity_at) >= NO_CAPACITY_TTL;
-                    if old || wait <= query.max_wait {
+                    let report_expired = now.since(record.no_capacity_at) >= NO_CAPACITY_TTL;
+                    if report_expired || wait <= query.max_wait {
                         Span::ZERO
                     } else {
                         wait
                     }
                 }
             };
-            room.wait = Some(room.wait.map_or(wait, |least| least.min(wait)));
+            capacity.wait = Some(capacity.wait.map_or(wait, |least| least.min(wait)));
             wait == Span::ZERO
         });
-        room
+        capacity
     }
 
     /// The result if no target can be used at once.
-    fn when_room(&self, now: Time, query: &TargetQuery, room: &Room) -> ChooseResult {
-        let rest = self.service_cooldown(now, query);
-        if rest > query.max_wait {
-            return ChooseResult::CoolingDown(rest);
+    fn unavailable_result(&self, now: Time, query: &TargetQuery, capacity: &Capacity) -> ChooseResult {
+        let cooldown = self.service_cooldown(now, query);
+        if cooldown > query.max_wait {
+            return ChooseResult::CoolingDown(cooldown);
         }
-        if let Some((key, wait)) = room.first
+        if let Some((key, wait)) = capacity.first
             && wait <= query.max_wait
         {
             return self.send_to(key, None, true, wait);
         }
-        match room.wait {
+        match capacity.wait {
             // A target that is full for a moment, or warm soon, is worth waiting for.
-            Some(wait) if wait > query.max_wait && !self.has_unbounded(now, query) => {
+            Some(wait) if wait > query.max_wait && !self.has_unlimited_target(now, query) => {
                 ChooseResult::NoCapacity(wait)
             }
-            _ => ChooseResult::Busy(BUSY_WAIT),
+            _ => ChooseResult::Busy(BUSY_RETRY_DELAY),
         }
     }
 
     /// Whether any target without a rate limit and outside a cooldown accepts work, even if not at this
     /// moment.
-    fn has_unbounded(&self, now: Time, query: &TargetQuery) -> bool {
-        let rests = |record: &TargetRecord| !query.for_other_node && record.cooldown(now) > Span::ZERO;
+    fn has_unlimited_target(&self, now: Time, query: &TargetQuery) -> bool {
+        let in_cooldown = |record: &TargetRecord| !query.for_other_node && record.cooldown(now) > Span::ZERO;
         let placed_here = |hash| query.placing.is_none_or(|shard| shard.holds(hash));
         self.working_rate_limits(now, &query.service)
-            .any(|(record, rate_limit)| rate_limit.is_none() && !rests(record) && placed_here(record.hash))
+            .any(|(record, rate_limit)| {
+                rate_limit.is_none() && !in_cooldown(record) && placed_here(record.hash)
+            })
     }
 
-    fn send_to(&self, target: TargetKey, source: Option<String>, bounded: bool, wait: Span) -> ChooseResult {
+    fn send_to(
+        &self,
+        target: TargetKey,
+        source: Option<String>,
+        rate_limited: bool,
+        wait: Span,
+    ) -> ChooseResult {
         let Some(record) = self.targets.get(target) else {
-            return ChooseResult::Busy(BUSY_WAIT);
+            return ChooseResult::Busy(BUSY_RETRY_DELAY);
         };
         ChooseResult::Send(TargetChoice {
             target,
             id: record.entry.id.clone(),
             address: record.entry.address.clone(),
             source,
-            rate_limited: bounded,
+            rate_limited,
             wait,
         })
     }
@@ -210,21 +224,25 @@
 
     fn choose_plain(&mut self, now: Time, query: &TargetQuery, usable: &[TargetKey]) -> TargetKey {
         let zone = self.zone(query).to_owned();
-        let failing = |key: &TargetKey| self.targets[*key].failing_now(now);
-        let least_failing = usable.iter().map(failing).fold(1.0, f64::min);
-        let fastest = self.least_slowness(now, usable);
+        let failure_rate = |key: &TargetKey| self.targets[*key].failure_rate_now(now);
+        let lowest_failure_rate = usable.iter().map(failure_rate).fold(1.0, f64::min);
+        let fastest = self.fastest_slowness(now, usable);
         let score = |key: &TargetKey| {
             let record = &self.targets[*key];
             let slots = f64::from(record.entry.slots.max(1));
             let load = f64::from(record.in_flight) * self.members.len().max(1) as f64 / slots;
-            let far = if record.entry.zone == zone { 0.0 } else { FAR_SHARE };
-            let failing = FAILING_TIMES * (record.failing_now(now) - least_failing);
-            let score = record.slowness_now(now, fastest) * (1.0 + load) + far + failing;
+            let zone_penalty = if record.entry.zone == zone {
+                0.0
+            } else {
+                CROSS_ZONE_PENALTY
+            };
+            let failure_penalty = FAILURE_PENALTY * (record.failure_rate_now(now) - lowest_failure_rate);
+            let score = record.slowness_now(now, fastest) * (1.0 + load) + zone_penalty + failure_penalty;
             // Rounded, since small differences are noise and an old failure would count forever.
             (score / SCORE_STEP).floor()
         };
         let scores: Vec<f64> = usable.iter().map(score).collect();
-        self.least(usable, &scores)
+        self.lowest_score(usable, &scores)
     }
 
     fn choose_engine(
@@ -236,27 +254,33 @@
     ) -> TargetKey {
         let zone = self.zone(query).to_owned();
         let home = self.prefix_home(query.prefix, usable);
-        let own = unshared_tokens(query);
-        let crossing = FAR_TOKENS + FAR_TOKENS_PER_MB * query.input_bytes as f64 / 1e6;
+        let unshared = unshared_tokens(query);
+        let cross_zone_penalty =
+            CROSS_ZONE_TOKENS + CROSS_ZONE_TOKENS_PER_MB * query.input_bytes as f64 / 1e6;
         let score = |key: &TargetKey| {
             let record = &self.targets[*key];
-            let far = if record.entry.zone == zone { 0.0 } else { crossing };
-            let prefix = self.uncached_prefix_tokens(now, query, memory, *key, home);
-            let unread = own + prefix * REREAD_WEIGHT;
+            let zone_penalty = if record.entry.zone == zone {
+                0.0
+            } else {
+                cross_zone_penalty
+            };
+            let uncached = self.uncached_prefix_tokens(now, query, memory, *key, home);
+            let to_compute = unshared + uncached * RECOMPUTE_WEIGHT;
             let running = RUNNING_TOKENS * f64::from(record.in_flight);
-            let failing = FAILING_TOKENS * record.failing_now(now);
-            (record.pending_prefill_tokens + unread + running) * record.slowness_now(now, AS_EXPECTED)
-                + far
-                + failing
+            let failure_penalty = FAILURE_PENALTY_TOKENS * record.failure_rate_now(now);
+            (record.pending_prefill_tokens + to_compute + running)
+                * record.slowness_now(now, EXPECTED_SLOWNESS)
+                + zone_penalty
+                + failure_penalty
         };
         let scores: Vec<f64> = usable.iter().map(score).collect();
-        self.least(usable, &scores)
+        self.lowest_score(usable, &scores)
     }
 
     /// The slowness of the fastest of `usable`, at most that of a target as fast as expected.
-    fn least_slowness(&self, now: Time, usable: &[TargetKey]) -> f64 {
-        let slowness = |key: &TargetKey| self.targets[*key].slowness_now(now, AS_EXPECTED);
-        usable.iter().map(slowness).fold(AS_EXPECTED, f64::min)
+    fn fastest_slowness(&self, now: Time, usable: &[TargetKey]) -> f64 {
+        let slowness = |key: &TargetKey| self.targets[*key].slowness_now(now, EXPECTED_SLOWNESS);
+        usable.iter().map(slowness).fold(EXPECTED_SLOWNESS, f64::min)
     }
 
     /// The estimated number of shared prefix tokens that a target would have to compute.
@@ -268,18 +292,22 @@
         key: TargetKey,
         home: Option<TargetKey>,
     ) -> f64 {
-        let held = if query.prefix == 0 {
+        let cached = if query.prefix == 0 {
             0.0
         } else if self.targets[key].prefixes.holds(now, query.prefix, memory) {
             1.0
         } else if Some(key) == home {
             // The node that places the calls of all nodes knows best what it sent to the home engine,
             // but not what an earlier owner sent there.
-            if query.placing.is_some() { HOME_TRUST } else { 1.0 }
+            if query.placing.is_some() {
+                HOME_CACHED_PROBABILITY
+            } else {
+                1.0
+            }
         } else {
             0.0
         };
-        f64::from(query.prefix_tokens) * (1.0 - held)
+        f64::from(query.prefix_tokens) * (1.0 - cached)
     }
 
     /// The address of the engine from which the chosen one should copy the shared prefix: one that
@@ -300,9 +328,9 @@
         if holds(&chosen) {
             return None;
         }
-        let sound = |key: &&TargetKey| self.targets[**key].failing_now(now) < MOST_FAILING;
-        let held = usable.iter().filter(sound).find(|key| holds(key));
-        let source = held.copied().unwrap_or(home);
+        let reliable = |key: &&TargetKey| self.targets[**key].failure_rate_now(now) < MAX_SOURCE_FAILURE_RATE;
+        let holder = usable.iter().filter(reliable).find(|key| holds(key));
+        let source = holder.copied().unwrap_or(home);
         (source != chosen).then(|| self.targets[source].entry.address.clone())
     }
 
@@ -320,7 +348,7 @@
     }
 
     /// The key with the lowest score; ties are broken at random.
-    fn least(&mut self, keys: &[TargetKey], scores: &[f64]) -> TargetKey {
+    fn lowest_score(&mut self, keys: &[TargetKey], scores: &[f64]) -> TargetKey {
         let start = self.random.random_range(0..keys.len());
         let mut best = start;
         for step in 0..keys.len() {
--- a/crates/barleyspool_core/src/forward/target_cooldown.rs
+++ b/crates/barleyspool_core/src/forward/target_cooldown.rs
@@ -22,11 +22,11 @@
 }
 
 impl Forwarder {
-    /// Applies a cooldown of `rest` that a target requested in its answer to a call sent at `sent`.
+    /// Applies a cooldown of `requested` that a target requested in its answer to a call sent at `sent`.
     /// Returns whether a cooldown begins.
     ///
     /// An earlier request for a longer cooldown stays in force.
-    pub fn apply_cooldown(&mut self, now: Time, sent: Time, id: &str, rest: Span) -> bool {
+    pub fn apply_cooldown(&mut self, now: Time, sent: Time, id: &str, requested: Span) -> bool {
         self.resting.retain(|key| {
             let record = self.targets.get(*key);
             record.is_some_and(|record| record.cooldown(now) > Span::ZERO)
@@ -35,10 +35,10 @@
             return false;
         };
         let record = &mut self.targets[key];
-        if sent < record.entry.times.restarted_at || rest == Span::ZERO {
+        if sent < record.entry.times.restarted_at || requested == Span::ZERO {
             return false;
         }
-        record.cooldown_until = record.cooldown_until.max(now + rest.min(MAX_COOLDOWN));
+        record.cooldown_until = record.cooldown_until.max(now + requested.min(MAX_COOLDOWN));
         let begins = !self.resting.contains(&key);
         if begins {
             self.resting.push(key);
@@ -54,11 +54,11 @@
 
     /// The targets of a service that are in cooldown now.
     pub fn in_cooldown(&self, now: Time, service: &str) -> impl Iterator<Item = TargetKey> {
-        let rests = move |key: &TargetKey| {
+        let is_cooling_down = move |key: &TargetKey| {
             let record = self.targets.get(*key);
             record.is_some_and(|record| record.entry.service == service && record.cooldown(now) > Span::ZERO)
         };
-        self.resting.iter().copied().filter(rests)
+        self.resting.iter().copied().filter(is_cooling_down)
     }
 
     /// The shortest remaining cooldown among the targets of a call's service that accept work; zero if
@@ -69,9 +69,9 @@
         }
         let keys = self.by_service.get(&query.service).into_iter().flatten();
         let records = keys.filter_map(|key| self.targets.get(*key));
-        let rests = records
+        let cooldowns = records
             .filter(|record| record.entry.accepts_work())
             .map(|record| record.cooldown(now));
-        rests.min().unwrap_or_default()
+        cooldowns.min().unwrap_or_default()
     }
 }
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -105,12 +105,16 @@
         !self.evacuated && !self.unreadable && !self.unverified
     }
 
-    /// Until when the target may be cold, if targets of its service are cold for `start` after they
+    /// Until when the target may be cold, if targets of its service are cold for `duration` after they
     /// start.
-    pub fn cold_until(&self, start: Span) -> Time {
-        let began = self.times.appeared_at;
-        let start = if began == Time(0) { Time(0) } else { began + start };
-        self.times.warm_at.max(start)
+    pub fn cold_until(&self, duration: Span) -> Time {
+        let appeared_at = self.times.appeared_at;
+        let cold_end = if appeared_at == Time(0) {
+            Time(0)
+        } else {
+            appeared_at + duration
+        };
+        self.times.warm_at.max(cold_end)
     }
 
     /// Whether this report is by the same incarnation as `known` and not newer than it.
--- a/crates/barleyspool_core/src/forward/target_history.rs
+++ b/crates/barleyspool_core/src/forward/target_history.rs
@@ -54,10 +54,11 @@
 
     /// Records the announcement of an incarnation that it is leaving. It is remembered for as long as
     /// the incarnation is listed.
-    pub(super) fn note_leaving(&mut self, now: Time, run: IncarnationId, table: &TargetTable) {
+    pub(super) fn note_leaving(&mut self, now: Time, incarnation: IncarnationId, table: &TargetTable) {
         let listed: HashSet<IncarnationId> = table.values().map(TargetEntry::incarnation_id).collect();
-        self.leaving.expire(now, |run| listed.contains(&run));
-        self.leaving.record(now, run);
+        self.leaving
+            .expire(now, |incarnation| listed.contains(&incarnation));
+        self.leaving.record(now, incarnation);
     }
 
     /// Whether the incarnation of an entry announced in an answer that it is leaving.
@@ -132,11 +133,11 @@
 
     /// Takes out the targets whose entries count as verified again, since they have stayed listed.
     pub(super) fn take_verified(&mut self, now: Time) -> Vec<String> {
-        let over = self.unverified.iter().filter(|(_, until)| now >= **until);
-        let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
-        for id in &over {
+        let verified = self.unverified.iter().filter(|(_, until)| now >= **until);
+        let verified: Vec<String> = verified.map(|(id, _)| id.clone()).collect();
+        for id in &verified {
             self.unverified.remove(id);
         }
-        over
+        verified
     }
 }
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -10,22 +10,22 @@
 }
 
 /// The number of consecutive failures that puts a target into quarantine.
-const STREAK: u32 = 3;
+const QUARANTINE_STREAK: u32 = 3;
 /// The length of the first quarantine.
-const OUT_FIRST: Span = Span::from_millis(400);
+const FIRST_QUARANTINE: Span = Span::from_millis(400);
 /// The longest quarantine.
-const OUT_LONGEST: Span = Span::from_secs(4);
+const MAX_QUARANTINE: Span = Span::from_secs(4);
 /// The smoothing factor of the moving averages.
-const GAIN: f64 = 0.2;
+const SMOOTHING: f64 = 0.2;
 /// The range to which one slowness measurement is clamped.
-const SLOW_RANGE: (f64, f64) = (0.25, 20.0);
+const SLOWNESS_RANGE: (f64, f64) = (0.25, 20.0);
 /// The slowness of a target whose answers take as long as expected of its service.
-pub(super) const AS_EXPECTED: f64 = 1.0;
+pub(super) const EXPECTED_SLOWNESS: f64 = 1.0;
 /// The share of a measured slowness that remains after a second without a measurement, so that a slow
 /// target is tried again.
-const SLOW_FADE: f64 = 0.85;
+const SLOWNESS_DECAY: f64 = 0.85;
 /// The share of a failure rate that remains after a second without a measurement.
-const FAILING_FADE: f64 = 0.4;
+const FAILURE_RATE_DECAY: f64 = 0.4;
 
 /// A listed target and the observations of this node.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     /// Answer time relative to the expected one; 1 is as expected.
     pub slowness: f64,
     /// The share of answers that were failures.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Until when the target gets no calls since it reported that it is full.
     pub full_until: Time,
     /// The end of the cooldown that the target requested from this node.
@@ -58,7 +58,7 @@
     pub no_capacity_until: Time,
     /// When that report arrived.
     pub no_capacity_at: Time,
-    measured: Time,
+    measured_at: Time,
     failure_streak: u32,
     quarantine_until: Time,
     next_quarantine: Span,
@@ -75,17 +75,17 @@
             in_flight: 0,
             pending_prefill_tokens: 0.0,
             prefixes: PrefixTracker::default(),
-            slowness: AS_EXPECTED,
-            failing: 0.0,
+            slowness: EXPECTED_SLOWNESS,
+            failure_rate: 0.0,
             full_until: Time(0),
             cooldown_until: Time(0),
             bucket: TargetBucket::default(),
             no_capacity_until: Time(0),
             no_capacity_at: Time(0),
-            measured: Time(0),
+            measured_at: Time(0),
             failure_streak: 0,
             quarantine_until: Time(0),
-            next_quarantine: OUT_FIRST,
+            next_quarantine: FIRST_QUARANTINE,
         }
     }
 
@@ -116,15 +116,15 @@
     /// plain target without measurements therefore counts as one of the fastest; otherwise it would get
     /// no calls beside them.
     pub fn slowness_now(&self, now: Time, unmeasured: f64) -> f64 {
-        let idle = now.since(self.measured).as_secs().min(60.0);
-        unmeasured + (self.slowness - unmeasured) * SLOW_FADE.powf(idle)
+        let idle = now.since(self.measured_at).as_secs().min(60.0);
+        unmeasured + (self.slowness - unmeasured) * SLOWNESS_DECAY.powf(idle)
     }
 
     /// The current estimate of the failure rate. It decays like the slowness, so that the target is
     /// tried again.
-    pub fn failing_now(&self, now: Time) -> f64 {
-        let idle = now.since(self.measured).as_secs().min(60.0);
-        self.failing * FAILING_FADE.powf(idle)
+    pub fn failure_rate_now(&self, now: Time) -> f64 {
+        let idle = now.since(self.measured_at).as_secs().min(60.0);
+        self.failure_rate * FAILURE_RATE_DECAY.powf(idle)
     }
 
     /// Records an answer; `relative` is its time divided by the expected one.
@@ -135,13 +135,13 @@
         failure: bool,
         chart: &Chart<TargetPhase, TargetEvent>,
     ) {
-        let relative = relative.clamp(SLOW_RANGE.0, SLOW_RANGE.1);
-        self.slowness += GAIN * (relative - self.slowness);
-        self.measured = now;
-        self.failing += GAIN * (f64::from(u8::from(failure)) - self.failing);
+        let relative = relative.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
+        self.slowness += SMOOTHING * (relative - self.slowness);
+        self.measured_at = now;
+        self.failure_rate += SMOOTHING * (f64::from(u8::from(failure)) - self.failure_rate);
         self.failure_streak = 0;
         if chart.step(&mut self.phase, TargetEvent::Answered) {
-            self.next_quarantine = OUT_FIRST;
+            self.next_quarantine = FIRST_QUARANTINE;
         }
     }
 
@@ -153,12 +153,13 @@
         chart: &Chart<TargetPhase, TargetEvent>,
     ) -> bool {
         self.failure_streak += 1;
-        self.failing += GAIN * (1.0 - self.failing);
-        self.measured = now;
-        let out = certain || self.failure_streak >= STREAK || self.phase == TargetPhase::Trial;
-        if out && chart.step(&mut self.phase, TargetEvent::Failed) {
+        self.failure_rate += SMOOTHING * (1.0 - self.failure_rate);
+        self.measured_at = now;
+        let quarantines =
+            certain || self.failure_streak >= QUARANTINE_STREAK || self.phase == TargetPhase::Trial;
+        if quarantines && chart.step(&mut self.phase, TargetEvent::Failed) {
             self.quarantine_until = now + self.next_quarantine;
-            self.next_quarantine = OUT_LONGEST.min(self.next_quarantine + self.next_quarantine);
+            self.next_quarantine = MAX_QUARANTINE.min(self.next_quarantine + self.next_quarantine);
             return true;
         }
         false
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -143,11 +143,11 @@
     /// to a heartbeat later.
     pub fn apply_evacuations(&mut self, now: Time, zones: &BTreeSet<String>) -> bool {
         self.evacuated.clone_from(zones);
-        let wrong = |entry: &&TargetEntry| entry.evacuated != zones.contains(&entry.zone);
+        let outdated = |entry: &&TargetEntry| entry.evacuated != zones.contains(&entry.zone);
         let ids: Vec<String> = self
             .table
             .values()
-            .filter(wrong)
+            .filter(outdated)
             .map(|entry| entry.id.clone())
             .collect();
         for id in &ids {
@@ -163,10 +163,10 @@
 
     /// Records the announcement of an incarnation that it is leaving; returns whether that changes the
     /// list. The source has not changed, so other nodes have nothing to request.
-    pub fn note_leaving(&mut self, now: Time, run: IncarnationId) -> bool {
-        self.history.note_leaving(now, run, &self.table);
+    pub fn note_leaving(&mut self, now: Time, incarnation: IncarnationId) -> bool {
+        self.history.note_leaving(now, incarnation, &self.table);
         let mut listed = self.table.values();
-        let staying = listed.find(|entry| entry.incarnation_id() == run && !entry.leaving);
+        let staying = listed.find(|entry| entry.incarnation_id() == incarnation && !entry.leaving);
         let Some(id) = staying.map(|entry| entry.id.clone()) else {
             return false;
         };
@@ -202,17 +202,17 @@
 
     /// Removes missing entries whose time to reappear is over; returns whether the list changes.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over: Vec<String> = self
+        let due: Vec<String> = self
             .expired
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &over {
+        for id in &due {
             self.expired.remove(id);
             self.remove(now, id);
         }
-        let expired = self.changed(!over.is_empty());
+        let expired = self.changed(!due.is_empty());
         self.expire_unverified(now) || expired
     }
 
@@ -271,9 +271,9 @@
             .map(|known| (known.incarnation, known.sequence))
             .or_else(|| self.history.last_report(now, &report.id));
         // A target that has reported its incarnation once always does.
-        let run_missing = report.incarnation == TargetIncarnation(0)
-            && last.is_some_and(|(run, _)| run != TargetIncarnation(0));
-        if (report.unreadable || run_missing)
+        let incarnation_missing = report.incarnation == TargetIncarnation(0)
+            && last.is_some_and(|(incarnation, _)| incarnation != TargetIncarnation(0));
+        if (report.unreadable || incarnation_missing)
             && let Some(known) = known
         {
             let mut known = known.clone();
@@ -287,7 +287,7 @@
         report.evacuated = self.evacuated.contains(&report.zone);
         report.times = known.map(|known| known.times).unwrap_or_default();
         match last {
-            Some((run, _)) if run == report.incarnation => {}
+            Some((incarnation, _)) if incarnation == report.incarnation => {}
             Some(_) => {
                 report.times.appeared_at = now;
                 report.times.restarted_at = now;
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -58,7 +58,7 @@
 fn catalog(rates: &Rates) -> Option<Arc<Catalog>> {
     let cold = match rates {
         Rates::Cold(per_s, start) => Some(ColdSpec {
-            start: *start,
+            duration: *start,
             per_s: *per_s,
         }),
         _ => None,
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -478,7 +478,7 @@
     assert_ne!(key, now_key);
     forwarder.end(at(20), send, SendEnd::Unreachable);
     let record = forwarder.target(now_key).expect("it is known");
-    assert_eq!((record.in_flight, record.failing), (0, 0.0));
+    assert_eq!((record.in_flight, record.failure_rate), (0, 0.0));
     assert!(record.pending_prefill_tokens.abs() < f64::EPSILON);
     assert!(!record.prefixes.holds(at(20), 9, 600_000), "its memory is empty");
     assert!(matches!(forwarder.choose(at(20), &need), ChooseResult::Send(_)));
