--- a/crates/barleyspool_core/src/forward/list_transfer.rs
+++ b/crates/barleyspool_core/src/forward/list_transfer.rs
@@ -1,103 +1,118 @@
-//! Which node is asked for a whole list of targets, and how many a node hands out at once.
+//! Transfers of whole target lists between nodes: which node to request the list from, and how many transfers a node
+//! serves at once.
 
 use crate::{Span, Time};
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-/// A link that carries a list of some hundred KB in a hundredth of a second, in Mbit/s.
-const STRONG_MBPS: u32 = 100;
-/// Mbit/s of a node's link for each whole list that it hands out at once. One after the other, the first taker hands it on while the second one takes it.
-const MBPS_PER_LIST: u32 = 20;
-/// Whole lists at once on any link; each one takes some milliseconds of processor time.
-const MOST_AT_ONCE: usize = 8;
-/// After this time a list counts as taken, or its taker as gone.
-const TAKEN_WITHIN: Span = Span::from_millis(1000);
+/// Bandwidth from which a link counts as fast, in Mbit/s. It carries a list of some hundred KB in about 10 ms.
+const FAST_LINK_MBPS: u32 = 100;
+/// Link bandwidth per concurrent transfer, in Mbit/s. A slow link serves transfers one after the other, so that the
+/// first receiver can pass the list on while the second one receives it.
+const MBPS_PER_TRANSFER: u32 = 20;
+/// Maximum number of concurrent transfers on any link; each one takes some milliseconds of CPU time.
+const MAX_TRANSFERS: usize = 8;
+/// Time after which a transfer no longer counts: it has finished, or its receiver is gone.
+const TRANSFER_TIMEOUT: Span = Span::from_millis(1000);
 
-/// How long a node with a weak link leaves holders in other zones to nodes with strong ones. These have the list within some hundredths of a second, and
-/// hand it on to many at once; takers with weak links would keep the first holder busy for ten times as long.
-const FAR_WAIT: Span = Span::from_millis(300);
+/// How long a node with a slow link leaves holders in other zones to nodes with fast links. Those receive the list
+/// within some tens of milliseconds and pass it on to many nodes at once, while receivers with slow links would occupy
+/// the first holder for ten times as long.
+const OTHER_ZONES_DELAY: Span = Span::from_millis(300);
 
-/// A node that has no list and asks for one.
+/// A node that has no target list and requests one.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListRequester {
-    /// Its link, in Mbit/s.
+    /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
-    /// How long it has known that others have a list.
+    /// Time since it learned that other nodes have a list.
     pub waited: Span,
 }
 
 impl ListRequester {
-    /// Whether it asks nodes of other zones.
+    /// Whether it may request the list from nodes in other zones.
     pub fn may_ask_other_zones(&self) -> bool {
-        self.link_mbps >= STRONG_MBPS || self.waited >= FAR_WAIT
+        self.link_mbps >= FAST_LINK_MBPS || self.waited >= OTHER_ZONES_DELAY
     }
 }
 
-/// A node that has something newer, as the one that asks sees it.
+/// A node that has newer data, as seen by the requesting node.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListHolder<A> {
-    /// Whom to ask.
+    /// Its address.
     pub address: A,
-    /// Whether it did not answer lately, or was busy.
+    /// Whether it recently failed to answer or was busy.
     pub avoided: bool,
-    /// Whether it is in another zone.
-    pub far: bool,
-    /// Its link, in Mbit/s.
+    /// Whether it is in another zone than the requesting node.
+    pub other_zone: bool,
+    /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
 }
 
-/// Picks the node to ask. Bytes between zones cost, and a weak link that hands out lists is the slowest part of a start.
+/// Picks a random node among those that are best to request from: available ones first, then those in the same zone,
+/// then those with a fast link. Traffic between zones is charged for, and transfers over slow links dominate the
+/// start-up time of a fleet.
 pub fn choose_list_holder<A>(
     holders: impl Iterator<Item = ListHolder<A>>,
     random: &mut impl Rng,
 ) -> Option<A> {
-    let rank = |holder: &ListHolder<A>| (holder.avoided, holder.far, holder.link_mbps < STRONG_MBPS);
+    let preference = |holder: &ListHolder<A>| {
+        (
+            holder.avoided,
+            holder.other_zone,
+            holder.link_mbps < FAST_LINK_MBPS,
+        )
+    };
     let holders: Vec<ListHolder<A>> = holders.collect();
-    let best = holders.iter().map(rank).min()?;
-    let of_best = holders.into_iter().filter(|holder| rank(holder) == best);
-    of_best.map(|holder| holder.address).choose(random)
+    let best = holders.iter().map(preference).min()?;
+    let preferred = holders.into_iter().filter(|holder| preference(holder) == best);
+    preferred.map(|holder| holder.address).choose(random)
 }
 
-/// One list that is being handed out.
+/// Identifies an active transfer.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub struct TransferKey(u64);
 
-/// The whole lists that a node is handing out.
+/// Limits the concurrent transfers of whole lists that a node serves.
 ///
-/// When a fleet starts, all nodes of a zone ask the first one that has the list. Handed out to all at once, none would be through before the
-/// last; handed out to a few, these hand it on, and the number of nodes that have it doubles with each time that one takes.
+/// When a fleet starts, all nodes of a zone request the list from the first node that has it. Served all at once, every
+/// transfer would finish only with the last one. Served a few at a time, the receivers pass the list on, and the number
+/// of nodes that have it doubles with the duration of each transfer.
 #[derive(Clone, Debug)]
 pub struct ListTransfers {
-    most: usize,
-    under_way: Vec<(TransferKey, Time)>,
+    /// Maximum number of concurrent transfers.
+    limit: usize,
+    /// Active transfers, with the time until which each counts.
+    active: Vec<(TransferKey, Time)>,
     next: u64,
 }
 
 impl ListTransfers {
-    /// A node with a link of `mbps`.
+    /// Creates the limiter of a node whose link has a bandwidth of `mbps` Mbit/s.
     pub fn new(mbps: u32) -> Self {
-        let most = (mbps / MBPS_PER_LIST) as usize;
+        let limit = (mbps / MBPS_PER_TRANSFER) as usize;
         Self {
-            most: most.clamp(1, MOST_AT_ONCE),
-            under_way: Vec::new(),
+            limit: limit.clamp(1, MAX_TRANSFERS),
+            active: Vec::new(),
             next: 0,
         }
     }
 
-    /// Admits one more, if the link bears it now. It counts until [`Self::taken`] is called with what is returned, and for a second at the most.
+    /// Admits a transfer if the link has capacity for it. It counts until [`Self::finish`] is called with the returned
+    /// key, but for one second at most.
     pub fn admit(&mut self, now: Time) -> Option<TransferKey> {
-        self.under_way.retain(|(_, until)| *until > now);
-        if self.under_way.len() >= self.most {
+        self.active.retain(|(_, until)| *until > now);
+        if self.active.len() >= self.limit {
             return None;
         }
         self.next += 1;
         let key = TransferKey(self.next);
-        self.under_way.push((key, now + TAKEN_WITHIN));
+        self.active.push((key, now + TRANSFER_TIMEOUT));
         Some(key)
     }
 
-    /// A list was taken, or its taker has gone.
-    pub fn taken(&mut self, key: TransferKey) {
-        self.under_way.retain(|(other, _)| *other != key);
+    /// Ends a transfer, because it is complete or its receiver is gone.
+    pub fn finish(&mut self, key: TransferKey) {
+        self.active.retain(|(other, _)| *other != key);
     }
 }
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -1,10 +1,10 @@
-//! Decisions for calls that are forwarded whole: a route, a graph of stages, one target that answers.
+//! Decisions for forwarded calls: a route, a graph of stages, and one target that answers the call.
 //!
-//! [`crate::Router`] hands payloads from stage to stage and answers under the caller's key. Here the call
-//! itself goes to the last target unchanged; the stages before it leave their results where they were made
-//! and hand on only handles. The parts are stepped with the time and what happened, like everything else in
-//! this crate: [`Forwarder`] chooses targets and rations retries, [`StageProgress`] walks the graph of stages,
-//! [`PieceQueue`] lets pieces of many requests share the calls of a stage pool.
+//! [`crate::Router`] passes payloads from stage to stage and answers under the caller's key. Here the call itself is
+//! sent unchanged to the last target; the stages before it keep their results on the targets that computed them and
+//! pass on only handles. As everywhere in this crate, the types do no I/O and are driven with the time and events:
+//! [`Forwarder`] chooses targets and limits retries, [`StageProgress`] tracks the graph of stages, and [`PieceQueue`]
+//! batches pieces of many requests into calls to a stage pool.
 
 mod call_head;
 mod catalog;
--- a/crates/barleyspool_core/src/forward/packed_list.rs
+++ b/crates/barleyspool_core/src/forward/packed_list.rs
@@ -1,7 +1,7 @@
-//! A list of targets packed for the way between nodes.
+//! Compact encoding of a target list for transfers between nodes.
 //!
-//! Names of services and zones stand once, addresses as numbers: some 35 bytes a target in place of 75 as a [`TargetTable`], and of 370 at the
-//! source. On a link of 20 Mbit/s, a list of 6,000 takes 90 ms.
+//! Names of services and zones are stored once and addresses as numbers. A target takes about 35 bytes, compared with 75
+//! in an encoded [`TargetTable`] and 370 at the source. A list of 6,000 targets takes 90 ms on a link of 20 Mbit/s.
 
 use super::{TargetEntry, TargetIncarnation, TargetTable};
 use crate::Span;
@@ -15,19 +15,20 @@
 const UNREADABLE: u8 = 4;
 const UNVERIFIED: u8 = 8;
 
-/// An address.
+/// The address of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum PackedAddress {
+    /// IPv4 address and port.
     V4(u32, u16),
-    /// Any other, as it is listed.
+    /// Any other address, as it is listed.
     Text(String),
 }
 
-/// A target; services and zones are named by their place in the list.
+/// A target, with its service and zone as indexes into the name tables of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct PackedTarget {
     id: String,
-    /// The start of its run, in milliseconds after [`PackedList::run_base`]; `None` when it does not tell.
+    /// The start of its run, in milliseconds after [`PackedList::run_base`]; `None` when the target does not report it.
     run: Option<u64>,
     sequence: u64,
     service: usize,
@@ -38,7 +39,7 @@
     cold_us: u64,
 }
 
-/// A list of targets packed for the way between nodes.
+/// A target list in compact encoding.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedList {
     services: Vec<String>,
@@ -47,33 +48,33 @@
     targets: Vec<PackedTarget>,
 }
 
-/// A packed list that names a service or a zone which does not stand in it.
+/// A packed list refers to a service or zone that it does not contain.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum UnpackError {
-    /// target {0}: there is no service of that number
+    /// target {0}: service index out of range
     Service(usize),
-    /// target {0}: there is no zone of that number
+    /// target {0}: zone index out of range
     Zone(usize),
 }
 
 impl std::error::Error for UnpackError {}
 
 impl PackedList {
-    /// Packs a list.
+    /// Packs a target list.
     pub fn pack(table: &TargetTable) -> Self {
         let runs = table
             .values()
             .map(|entry| entry.incarnation.0)
             .filter(|run| *run != 0);
         let run_base = runs.min().unwrap_or_default();
-        let mut services = Names::default();
-        let mut zones = Names::default();
+        let mut services = NameTable::default();
+        let mut zones = NameTable::default();
         let pack = |entry: &TargetEntry| PackedTarget {
             id: entry.id.clone(),
             run: (entry.incarnation != TargetIncarnation(0)).then(|| entry.incarnation.0 - run_base),
             sequence: entry.sequence,
-            service: services.place(&entry.service),
-            zone: zones.place(&entry.zone),
+            service: services.index(&entry.service),
+            zone: zones.index(&entry.zone),
             address: pack_address(&entry.address),
             slots: entry.slots,
             flags: flags(entry),
@@ -88,31 +89,31 @@
         }
     }
 
-    /// How many targets it holds.
+    /// Number of targets in the list.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether it holds none.
+    /// Whether the list has no targets.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The list that was packed.
+    /// Restores the target list.
     ///
     /// # Errors
-    /// When it names a service or a zone that does not stand in it.
+    /// Fails if a target refers to a service or zone that the list does not contain.
     pub fn unpack(self) -> Result<TargetTable, UnpackError> {
         let mut table = TargetTable::new();
-        for (place, target) in self.targets.into_iter().enumerate() {
+        for (index, target) in self.targets.into_iter().enumerate() {
             let service = self.services.get(target.service);
             let zone = self.zones.get(target.zone);
             let entry = TargetEntry {
                 incarnation: TargetIncarnation(target.run.map_or(0, |run| run.saturating_add(self.run_base))),
                 sequence: target.sequence,
-                service: service.cloned().ok_or(UnpackError::Service(place))?,
+                service: service.cloned().ok_or(UnpackError::Service(index))?,
                 address: unpack_address(target.address),
-                zone: zone.cloned().ok_or(UnpackError::Zone(place))?,
+                zone: zone.cloned().ok_or(UnpackError::Zone(index))?,
                 slots: target.slots,
                 leaving: target.flags & LEAVING != 0,
                 evacuated: target.flags & EVACUATED != 0,
@@ -128,22 +129,22 @@
     }
 }
 
-/// Names in the order in which they first came.
+/// Assigns indexes to names in the order of their first use.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     names: Vec<String>,
-    places: BTreeMap<String, usize>,
+    indexes: BTreeMap<String, usize>,
 }
 
-impl Names {
-    fn place(&mut self, name: &str) -> usize {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+impl NameTable {
+    fn index(&mut self, name: &str) -> usize {
+        if let Some(index) = self.indexes.get(name) {
+            return *index;
         }
-        let place = self.names.len();
+        let index = self.names.len();
         self.names.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.indexes.insert(name.to_owned(), index);
+        index
     }
 }
 
@@ -155,7 +156,7 @@
         | bit(entry.unverified, UNVERIFIED)
 }
 
-/// Packs an address as numbers if these give back the same text.
+/// Packs an address as numbers if these unpack to the same text.
 fn pack_address(text: &str) -> PackedAddress {
     match text.parse::<SocketAddr>() {
         Ok(SocketAddr::V4(address)) if address.to_string() == text => {
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -1,67 +1,67 @@
-//! What the control thread hands to the traffic thread for forwarded calls.
+//! The state that the control thread publishes to the traffic thread for forwarded calls.
 
 use super::{Catalog, PoolShards, ServiceTargets, Shard, TargetEntry, TargetTable, handle_address};
 use crate::{LimitTable, Reachability, Time};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Another node as the traffic thread sees it.
+/// A node as seen by the traffic thread.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// A number that stays the same while the node keeps its address.
+    /// Identifier that stays the same while the node keeps its address.
     pub key: u64,
-    /// Where it takes pieces: IP number and port.
+    /// IP address and port on which it accepts pieces.
     pub peer_address: String,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: String,
 }
 
-/// Everything that the traffic thread acts on, replaced as a whole.
+/// Everything that the traffic thread bases its decisions on. It is replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardPlan {
-    /// When the control thread made it.
+    /// When the control thread created it.
     pub made: Time,
-    /// The configuration in force; `None` before the first.
+    /// The current configuration; `None` before the first is received.
     pub catalog: Option<Arc<Catalog>>,
-    /// Whether the list of targets was ever taken whole.
+    /// Whether a whole target list has been received.
     pub listed: bool,
-    /// Listed targets.
+    /// The target list.
     pub targets: Arc<TargetTable>,
-    /// The zone of each listed target, by its address; see [`ForwardPlan::zones_by_address`].
+    /// Zones of the listed targets, by address; see [`ForwardPlan::zones_by_address`].
     pub zones: Arc<HashMap<String, String>>,
-    /// When targets that ran again under their id were seen to, by address; see [`ForwardPlan::is_result_lost`].
+    /// When targets were seen to have restarted under the same id, by address; see [`ForwardPlan::is_result_lost`].
     pub restarts: Arc<HashMap<String, Time>>,
-    /// The targets of each service, by its name; see [`super::service_targets`].
+    /// Targets of each service, by service name; see [`super::service_targets`].
     pub services: Arc<HashMap<String, ServiceTargets>>,
-    /// Nodes that serve, this one included, in the order of their keys.
+    /// The nodes that serve calls, including this one, ordered by key.
     pub members: Arc<Vec<MemberView>>,
     /// This node's key.
     pub me: u64,
-    /// Whether the nodes are likely to be all there are. A node that has just started knows a few at first and
-    /// would take pools for its own that others own.
+    /// Whether `members` most likely contains all nodes. A node that has just started knows only a few others and would
+    /// claim pools that other nodes own.
     pub converged: bool,
-    /// How many of the nodes this one hears.
+    /// How many of the members this node can reach.
     pub reach: Reachability,
-    /// What targets have said of their limits.
+    /// Rate limits reported by targets.
     pub limits: Arc<LimitTable>,
-    /// When the last answers are given; `None` while no stop was asked for.
+    /// When a planned stop ends the calls that are still in progress; `None` while no stop is requested.
     pub abort_at: Option<Time>,
 }
 
 impl ForwardPlan {
-    /// Whether enough is known to serve calls.
+    /// Whether this node has the data that it needs to serve calls.
     pub fn is_complete(&self) -> bool {
         self.listed && self.catalog.is_some()
     }
 
-    /// The zones of listed targets, by address. It is made once for each list, so that looking up the maker of a
-    /// result costs the same however many targets there are.
+    /// Zones of the listed targets, by address. The map is built once per list, so that looking up the holder of a result
+    /// takes constant time.
     pub fn zones_by_address(targets: &TargetTable) -> HashMap<String, String> {
         let zone = |entry: &TargetEntry| (entry.address.clone(), entry.zone.clone());
         targets.values().map(zone).collect()
     }
 
-    /// When targets that ran again under their id were seen to, by address.
+    /// When targets were seen to have restarted under the same id, by address.
     pub fn restarts_by_address(targets: &TargetTable) -> HashMap<String, Time> {
         let restarted = targets
             .values()
@@ -71,20 +71,20 @@
             .collect()
     }
 
-    /// Whether a result that was known at `since` went with the run of its maker. One that the new run made before this node
-    /// heard of it counts as lost too, and is made again.
+    /// Whether a result that was received at `since` was lost by a restart of the target that holds it. A result that the
+    /// new incarnation computed before this node learned of the restart also counts as lost and is computed again.
     pub fn is_result_lost(&self, handle: &str, since: Time) -> bool {
         let restarted = self.restarts.get(handle_address(handle));
         restarted.is_some_and(|restarted| since < *restarted)
     }
 
-    /// How many listed targets name a limit.
+    /// Number of listed targets that have reported a rate limit.
     pub fn count_rate_limited(&self) -> usize {
-        let named = |entry: &&TargetEntry| self.limits.reported(entry.incarnation_id()).is_some();
-        self.targets.values().filter(named).count()
+        let reported = |entry: &&TargetEntry| self.limits.reported(entry.incarnation_id()).is_some();
+        self.targets.values().filter(reported).count()
     }
 
-    /// How many targets of a service may get work.
+    /// Number of targets of a service that accept work.
     pub fn count_working(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, |targets| targets.working)
     }
@@ -94,34 +94,34 @@
         self.services.get(service).map(|targets| &targets.pool)
     }
 
-    /// The part of the working targets of a service that lies in a zone.
+    /// The fraction of the targets of a service accepting work that are in a zone.
     pub fn zone_share(&self, service: &str, zone: &str) -> f64 {
         self.services
             .get(service)
             .map_or(0.0, |targets| targets.zone_share(zone))
     }
 
-    /// Into how many shards the engines of a service are split.
+    /// Number of shards into which the engines of a service are split.
     pub fn engine_shards(&self, service: &str) -> u32 {
         self.services
             .get(service)
             .map_or(1, |targets| targets.engines.count())
     }
 
-    /// The shard of engines that takes the work of `key`.
+    /// The engine shard that handles the work of `key`.
     pub fn engine_shard(&self, service: &str, key: u128) -> Shard {
         let targets = self.services.get(service);
         targets.map_or(Shard::WHOLE, |targets| targets.engines.pick(key))
     }
 
-    /// The zone of the target that made a result.
+    /// The zone of the target that holds a result.
     pub fn holder_zone(&self, handle: &str) -> Option<&str> {
         self.zones.get(handle_address(handle)).map(String::as_str)
     }
 
-    /// How many of some results were made outside `zone`.
+    /// Number of `handles` whose results are held outside `zone`.
     pub fn count_held_outside(&self, handles: &[String], zone: &str) -> usize {
-        let far = |handle: &&String| self.holder_zone(handle).is_some_and(|maker| maker != zone);
-        handles.iter().filter(far).count()
+        let outside = |handle: &&String| self.holder_zone(handle).is_some_and(|holder| holder != zone);
+        handles.iter().filter(outside).count()
     }
 }
--- a/crates/barleyspool_core/src/forward/source_role.rs
+++ b/crates/barleyspool_core/src/forward/source_role.rs
@@ -1,76 +1,81 @@
-//! Which nodes read the source, and whom they tell.
+//! Which nodes read the source (the platform), and which nodes they notify.
 //!
-//! Each node works this out for itself from the members that it knows; nobody has to agree. Where two nodes know
-//! different members, one more or one fewer reads for a while, and [`super::SourceWatch`] has nodes read for
-//! themselves that nobody tells anything. docs/DESIGN.md, "Configuration and targets", says what was weighed.
+//! Each node derives this from the members that it knows, without coordination. Where two nodes know different members,
+//! one node more or fewer reads for a while, and [`super::SourceWatch`] makes nodes that receive no notifications read
+//! the source themselves. The trade-offs are described in docs/DESIGN.md, "Configuration and targets".
 
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// How many nodes of a zone read the source: with one, a reader that is frozen or cut off is noticed only by its silence.
-const READERS: usize = 2;
-/// How many do at the most, while those before them cannot reach the source. An outage of the source fails for all of them,
-/// and each call has a price.
-const MOST_READERS: usize = 4;
-/// Nodes with a link of this many Mbit/s read before others: a whole list of 6,000 targets is 2.2 MB at the source, 0.2 s on such a link and 0.9 s on one
-/// of 20 Mbit/s.
-const READER_MBPS: u32 = 100;
-/// How many of the readers of all zones watch the feeds for a short time only. A watch that reached the source in the moment
-/// in which it fell silent never answers, which looks like a feed without changes; nodes that arm their watches together
-/// lose them together (docs/incidents, 7). Two, so that one of them may be cut off; more cost calls and find
-/// nothing sooner.
-const SHORT_POLLERS: usize = 2;
-/// The key by which readers are picked among the members of a zone.
+/// Number of nodes per zone that read the source. With a single reader, a reader that hangs or is cut off would only be
+/// noticed by its silence.
+const READERS_PER_ZONE: usize = 2;
+/// Maximum number of readers per zone, while preferred readers cannot reach the source. In an outage of the source all
+/// of them fail, and the platform charges for each call.
+const MAX_READERS_PER_ZONE: usize = 4;
+/// Link bandwidth from which a node is preferred as a reader, in Mbit/s. A whole list of 6,000 targets is 2.2 MB at the
+/// source, which takes 0.2 s on such a link and 0.9 s on one of 20 Mbit/s.
+const PREFERRED_READER_MBPS: u32 = 100;
+/// Number of readers, over all zones, that use a short watch timeout. A watch that reaches the source just as it stops
+/// responding never returns, which looks like a feed without changes, and nodes that start their watches together lose
+/// them together (docs/incidents, 7). There are two so that one of them may be cut off; more would cost calls without
+/// detecting the outage sooner.
+const SHORT_WATCHERS: usize = 2;
+/// Rendezvous hashing key that selects the readers among the members of a zone.
 const READER_KEY: u128 = 0x5c00_4ead;
-/// The key by which short pollers are picked among the readers.
-const POLLER_KEY: u128 = 0x5c00_7a11;
+/// Rendezvous hashing key that selects the readers that use a short watch timeout.
+const SHORT_WATCHER_KEY: u128 = 0x5c00_7a11;
 
 /// A node that may read the source.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReaderCandidate<'a> {
-    /// Where it is told things by datagram.
+    /// Address for datagrams.
     pub address: &'a str,
-    /// A number that stays the same while the node keeps its address; as in [`super::MemberView::key`].
+    /// Identifier that stays the same while the node keeps its address; equal to [`super::MemberView::key`].
     pub key: u64,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: &'a str,
-    /// Whether the source does not answer it.
+    /// Whether the source does not respond to it.
     pub failing: bool,
-    /// Its link, in Mbit/s.
+    /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
 }
 
-/// What a node does at the source.
+/// How a node uses the source.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceRole {
     /// Whether it reads the source for its zone.
     pub reads: bool,
-    /// Whether it watches for a short time only.
+    /// Whether it uses a short watch timeout.
     pub short_watch: bool,
 }
 
-/// What node `me` does at the source; `members` are all nodes that answer, itself among them.
+/// The role of node `me`, where `members` are all nodes that answer, including itself.
 pub fn source_role(members: &[ReaderCandidate], me: u64) -> SourceRole {
     let readers = readers(members);
     let reads = readers.iter().any(|reader| reader.key == me);
-    let mut pollers = readers;
-    pollers.sort_by_key(|reader| (reader.failing, rendezvous::place(POLLER_KEY, reader.key)));
-    let mut pollers = pollers.iter().take(SHORT_POLLERS);
+    let mut watchers = readers;
+    watchers.sort_by_key(|reader| (reader.failing, rendezvous::place(SHORT_WATCHER_KEY, reader.key)));
+    let mut watchers = watchers.iter().take(SHORT_WATCHERS);
     SourceRole {
         reads,
-        short_watch: pollers.any(|poller| poller.key == me),
+        short_watch: watchers.any(|watcher| watcher.key == me),
     }
 }
 
-/// Whom node `me` of `zone` tells what it reads: all nodes of its zone, and the readers of the others.
+/// Addresses of the nodes that node `me` of `zone` notifies of what it reads: all nodes of its zone and the readers of
+/// the other zones.
 pub fn source_recipients(members: &[ReaderCandidate], zone: &str, me: u64) -> Vec<String> {
-    let near = members.iter().filter(|member| member.zone == zone);
-    let far = readers(members).into_iter().filter(|reader| reader.zone != zone);
-    let all = near.copied().chain(far).filter(|member| member.key != me);
-    all.map(|member| member.address.to_owned()).collect()
+    let same_zone = members.iter().filter(|member| member.zone == zone);
+    let other_zones = readers(members).into_iter().filter(|reader| reader.zone != zone);
+    let recipients = same_zone
+        .copied()
+        .chain(other_zones)
+        .filter(|member| member.key != me);
+    recipients.map(|member| member.address.to_owned()).collect()
 }
 
-/// The readers of all zones.
+/// The readers of all zones, in order of preference within each zone.
 fn readers<'a>(members: &[ReaderCandidate<'a>]) -> Vec<ReaderCandidate<'a>> {
     let mut zones: BTreeMap<&str, Vec<ReaderCandidate>> = BTreeMap::new();
     for member in members {
@@ -79,12 +84,12 @@
     let mut readers = Vec::new();
     for mut zone in zones.into_values() {
         zone.sort_by_key(|member| {
-            let weak = member.link_mbps < READER_MBPS;
-            (weak, rendezvous::place(READER_KEY, member.key))
+            let slow_link = member.link_mbps < PREFERRED_READER_MBPS;
+            (slow_link, rendezvous::place(READER_KEY, member.key))
         });
         let mut answering = 0;
-        for member in zone.into_iter().take(MOST_READERS) {
-            if answering == READERS {
+        for member in zone.into_iter().take(MAX_READERS_PER_ZONE) {
+            if answering == READERS_PER_ZONE {
                 break;
             }
             answering += usize::from(!member.failing);
--- a/crates/barleyspool_core/src/forward/source_watch.rs
+++ b/crates/barleyspool_core/src/forward/source_watch.rs
@@ -1,126 +1,132 @@
-//! Whether a node reads the source itself, and when it asks another node instead.
+//! Decides when a node reads the source (the platform) itself and when it requests updates from another node.
 //!
-//! Readers of a zone tell all its nodes how far they have read, at each change and now and then in between. Whoever is behind
-//! asks one that is further for the difference. A node that hears nothing of that kind for a while does not
-//! wait to find out why: it reads the source itself.
+//! The readers of a zone notify all its nodes of the revisions that they have read, at each change and periodically in
+//! between. A node that is behind requests the difference from one that is ahead. A node that receives no notification
+//! for a while reads the source itself, whatever the cause.
 
 use super::SourceRole;
 use crate::{Revision, SourceState, Span, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The time between two announcements of a reader to which nothing is new. At 103 nodes in a zone some 70 bytes each, headers
-/// included, are 12 KB a second as reckoned, just below the 13 that a node may spend on control (docs/CAPACITY.md).
-pub const ANNOUNCE_EVERY: Span = Span::from_millis(600);
-/// A node that heard no reader for this long reads for itself: two announcements may be lost, and with
-/// [`SILENCE_SPREAD`] and the time to read it is below the three seconds within which a change has to be known everywhere.
-const SILENCE: Span = Span::from_millis(1500);
-/// What is added at random, so that of the nodes whose readers are gone together a few read and tell the rest.
-const SILENCE_SPREAD: Span = Span::from_millis(800);
-/// How long a node that watches the source waits for its own watch to tell what another has: an answer of a slow source
-/// takes some 250 ms.
-const OWN_WATCH: Span = Span::from_millis(400);
-/// Nodes that are no readers try a source that does not answer so often all together, whatever their number: readers
-/// try more often, and tell them when it answers again. With waits that grew from a short one, 410 nodes that had just started
-/// made 584 calls in five seconds.
-const TRIES_PER_S: f64 = 10.0;
-
-/// What a node has of the source.
+/// Interval between announcements of a reader without changes. With 103 nodes in a zone and about 70 bytes each,
+/// including headers, they take a calculated 12 KB/s, just below the 13 KB/s that a node may spend on control traffic
+/// (docs/CAPACITY.md).
+pub const ANNOUNCE_INTERVAL: Span = Span::from_millis(600);
+/// A node that has received no announcement for this long reads the source itself. Two announcements may be lost, and
+/// together with [`READER_TIMEOUT_JITTER`] and the time to read it stays below the three seconds within which a change
+/// must reach all nodes.
+const READER_TIMEOUT: Span = Span::from_millis(1500);
+/// Maximum random addition to [`READER_TIMEOUT`], so that of the nodes that lose their readers together a few read first
+/// and notify the others.
+const READER_TIMEOUT_JITTER: Span = Span::from_millis(800);
+/// How long a node that watches the source waits for its own watch to deliver what another node already has: a slow
+/// source takes about 250 ms to respond.
+const OWN_WATCH_GRACE: Span = Span::from_millis(400);
+/// Total rate at which all nodes that are not readers retry a source that does not respond, whatever their number.
+/// Readers retry more often and notify them when it responds again. With exponential backoff on each node, 410 nodes that
+/// had just started made 584 calls in five seconds.
+const NON_READER_RETRIES_PER_S: f64 = 10.0;
+
+/// The revisions of the source data that a node holds.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeldRevisions {
-    /// The version of its configuration.
+    /// Version of its configuration.
     pub version: Revision,
-    /// The revision at which its list of targets stands; not that of the list's last change.
+    /// Revision up to which its target list is current, which may be later than the last change of the list.
     pub list: Revision,
-    /// The revision up to which it knows which zones are evacuated.
+    /// Revision up to which its set of evacuated zones is current.
     pub evacuations: Revision,
 }
 
 impl HeldRevisions {
-    /// Whether a node that told `told` has something newer.
+    /// Whether a node that reported `state` has newer data.
     pub fn is_behind(&self, state: SourceState) -> bool {
         state.version > self.version || state.list > self.list || state.evacuations > self.evacuations
     }
 }
 
-/// Whether a node reads the source itself, and when it asks another node instead.
+/// Tracks the role of this node and the announcements of others, to decide where it gets source data from.
 #[derive(Debug)]
 pub struct SourceWatch {
     role: SourceRole,
-    nodes: usize,
-    /// When it reads for itself because it heard no reader.
+    node_count: usize,
+    /// When it reads the source itself if no announcement arrives before.
     fallback_at: Time,
-    /// When it tells others next although nothing is new.
+    /// When it announces its state next although nothing has changed.
     announce_at: Time,
-    /// Something newer that another node has, and since when that is known.
-    ahead: Option<(Time, SourceState)>,
+    /// Newer state of other nodes, and when this node first learned of it.
+    newer: Option<(Time, SourceState)>,
     random: SmallRng,
 }
 
 impl SourceWatch {
-    /// A node that starts at `now` and knows nobody.
+    /// The state of a node that starts at `now` and knows no other nodes.
     pub fn new(now: Time, seed: u64) -> Self {
         let mut watch = Self {
             role: SourceRole {
                 reads: true,
                 short_watch: true,
             },
-            nodes: 1,
+            node_count: 1,
             fallback_at: now,
             announce_at: now,
-            ahead: None,
+            newer: None,
             random: SmallRng::seed_from_u64(seed),
         };
         watch.record_reader_answer(now);
         watch
     }
 
-    /// Takes the role that follows from the members, and how many there are. Returns whether the role is another one.
-    pub fn set_role(&mut self, role: SourceRole, nodes: usize) -> bool {
-        self.nodes = nodes;
+    /// Sets the role that follows from the members, and the number of nodes. Returns whether the role has changed.
+    pub fn set_role(&mut self, role: SourceRole, node_count: usize) -> bool {
+        self.node_count = node_count;
         std::mem::replace(&mut self.role, role) != role
     }
 
-    /// Whether this node watches the feeds for a short time only.
+    /// Whether this node uses a short watch timeout.
     pub fn uses_short_watch(&self) -> bool {
         self.role.short_watch
     }
 
-    /// Whether this node is one of those that read for their zone.
+    /// Whether this node is one of the readers of its zone.
     pub fn is_reader(&self) -> bool {
         self.role.reads
     }
 
-    /// Whether this node reads the source itself now.
+    /// Whether this node reads the source itself at `now`.
     pub fn reads(&self, now: Time) -> bool {
         self.role.reads || now >= self.fallback_at
     }
 
-    /// How long another node has been known to have something newer.
+    /// Time since this node learned that another node has newer data.
     pub fn behind_for(&self, now: Time) -> Span {
-        self.ahead.map_or(Span::ZERO, |(since, _)| now.since(since))
+        self.newer.map_or(Span::ZERO, |(since, _)| now.since(since))
     }
 
-    /// When a node that does not read the source looks again whether it should.
+    /// When a node that does not read the source should check again whether it must.
     pub fn next_check(&self) -> Time {
         self.fallback_at
     }
 
-    /// A node to which the source answers told how far it has read, or the source answered this node itself.
+    /// Records an announcement of a node to which the source responds, or a response of the source to this node.
     pub fn record_reader_answer(&mut self, now: Time) {
-        let spread = self.random.random_range(0..SILENCE_SPREAD.0);
-        self.fallback_at = now + SILENCE + Span(spread);
+        let jitter = self.random.random_range(0..READER_TIMEOUT_JITTER.0);
+        self.fallback_at = now + READER_TIMEOUT + Span(jitter);
     }
 
-    /// The longest wait before the next try at a source that does not answer, where a reader would wait `wait`.
+    /// Maximum delay before the next retry of a source that does not respond, where a reader would wait `wait`.
     pub fn retry_delay(&self, wait: Span) -> Span {
         if self.role.reads {
             return wait;
         }
-        wait.max(Span((self.nodes as f64 / TRIES_PER_S * 1e6) as u64))
+        wait.max(Span(
+            (self.node_count as f64 / NON_READER_RETRIES_PER_S * 1e6) as u64,
+        ))
     }
 
-    /// Whether a reader tells others now how far it is, because it has not for a while.
+    /// Whether a reader has to announce its state because the announcement interval is over. If so, the next interval
+    /// starts.
     pub fn announcement_due(&mut self, now: Time) -> bool {
         if !self.role.reads || now < self.announce_at {
             return false;
@@ -129,32 +135,32 @@
         true
     }
 
-    /// This node has notified others how far it is.
+    /// Records that this node has announced its state.
     pub fn record_announcement(&mut self, now: Time) {
-        self.announce_at = now + ANNOUNCE_EVERY;
+        self.announce_at = now + ANNOUNCE_INTERVAL;
     }
 
-    /// Another node reported how far it is.
+    /// Handles the state reported by another node.
     pub fn handle_report(&mut self, now: Time, state: SourceState, held: HeldRevisions) {
         if !held.is_behind(state) {
             return;
         }
-        let (since, before) = self.ahead.unwrap_or((now, state));
-        self.ahead = Some((since, before.merge(state)));
+        let (since, before) = self.newer.unwrap_or((now, state));
+        self.newer = Some((since, before.merge(state)));
     }
 
-    /// Whether this node should ask another one for what is newer there. One that watches the source itself gives its
-    /// own watch a moment.
+    /// Whether this node should request newer data from another node. A node that watches the source itself first gives
+    /// its own watch time to deliver it.
     pub fn should_ask(&mut self, now: Time, held: HeldRevisions, failing: bool) -> bool {
-        let Some((since, state)) = self.ahead else {
+        let Some((since, state)) = self.newer else {
             return false;
         };
         if !held.is_behind(state) {
-            self.ahead = None;
+            self.newer = None;
             return false;
         }
-        // Who has no list at all does not wait for its own reading of it.
+        // A node without a target list does not wait for its own read to complete.
         let watches = self.reads(now) && !failing && held.list != Revision(0);
-        !watches || now.since(since) >= OWN_WATCH
+        !watches || now.since(since) >= OWN_WATCH_GRACE
     }
 }
--- a/crates/barleyspool_core/tests/source_reading/first_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/first_list.rs
@@ -65,7 +65,7 @@
     page_at: Option<Time>,
     asks: Waits,
     ask_at: Time,
-    handout: ListTransfers,
+    transfers: ListTransfers,
     avoided: BTreeMap<usize, Time>,
     has: Option<Time>,
 }
@@ -127,7 +127,7 @@
                 page_at: None,
                 asks: Waits::Nothing,
                 ask_at: starts,
-                handout: ListTransfers::new(link_mbps),
+                transfers: ListTransfers::new(link_mbps),
                 avoided: BTreeMap::new(),
                 has: None,
             }
@@ -250,7 +250,7 @@
         }
         match std::mem::replace(&mut self.nodes[place].asks, Waits::Nothing) {
             Waits::List(holder, key) => {
-                self.nodes[holder].handout.taken(key);
+                self.nodes[holder].transfers.finish(key);
                 self.has(place);
                 return;
             }
@@ -260,7 +260,7 @@
             Waits::Nothing => {}
         }
         let Some(holder) = self.holder(place) else { return };
-        let admitted = self.nodes[holder].handout.admit(now);
+        let admitted = self.nodes[holder].transfers.admit(now);
         let taker_mbps = f64::from(self.nodes[place].link_mbps);
         let node = &mut self.nodes[place];
         match admitted {
@@ -296,11 +296,11 @@
             ListHolder {
                 address: number,
                 avoided: node.avoided.get(&number).is_some_and(|until| now < *until),
-                far: member.facts.zone != node.zone,
+                other_zone: member.facts.zone != node.zone,
                 link_mbps: member.facts.link_mbps,
             }
         });
-        let candidates = candidates.filter(|holder| taker.may_ask_other_zones() || !holder.far);
+        let candidates = candidates.filter(|holder| taker.may_ask_other_zones() || !holder.other_zone);
         choose_list_holder(candidates, &mut self.random)
     }
 
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -80,33 +80,33 @@
 #[test]
 fn a_weak_link_hands_out_one_list_at_a_time_and_a_strong_one_a_few() {
     for (mbps, most) in [(1, 1), (20, 1), (60, 3), (1000, 8)] {
-        let mut handout = ListTransfers::new(mbps);
-        let admitted = (0..20).filter(|_| handout.admit(START).is_some()).count();
+        let mut transfers = ListTransfers::new(mbps);
+        let admitted = (0..20).filter(|_| transfers.admit(START).is_some()).count();
         assert_eq!(admitted, most, "{mbps} Mbit/s");
     }
 }
 
 #[test]
 fn a_list_that_was_taken_makes_room_for_the_next_and_a_taker_that_is_gone_does_so_after_a_second() {
-    let mut handout = ListTransfers::new(20);
-    let first = handout.admit(at(0)).expect("the first");
-    assert_eq!(handout.admit(at(10)), None);
-    handout.taken(first);
-    let second = handout.admit(at(20)).expect("the second");
+    let mut transfers = ListTransfers::new(20);
+    let first = transfers.admit(at(0)).expect("the first");
+    assert_eq!(transfers.admit(at(10)), None);
+    transfers.finish(first);
+    let second = transfers.admit(at(20)).expect("the second");
     // Late word of the first does not make room for a third.
-    handout.taken(first);
-    assert_eq!(handout.admit(at(30)), None);
-    assert!(handout.admit(at(1100)).is_some(), "the second taker is gone");
-    handout.taken(second);
-    assert_eq!(handout.admit(at(1110)), None);
+    transfers.finish(first);
+    assert_eq!(transfers.admit(at(30)), None);
+    assert!(transfers.admit(at(1100)).is_some(), "the second taker is gone");
+    transfers.finish(second);
+    assert_eq!(transfers.admit(at(1110)), None);
 }
 
 #[test]
 fn holders_that_are_free_near_and_strong_are_asked_first_in_this_order() {
-    let holder = |address, avoided, far, link_mbps| ListHolder {
+    let holder = |address, avoided, other_zone, link_mbps| ListHolder {
         address,
         avoided,
-        far,
+        other_zone,
         link_mbps,
     };
     let mut random = SmallRng::seed_from_u64(1);
--- a/crates/barleyspool_gateway/src/control/follow.rs
+++ b/crates/barleyspool_gateway/src/control/follow.rs
@@ -111,12 +111,12 @@
         Some(ListHolder {
             address: relay,
             avoided: avoided.get(&relay).is_some_and(|until| state.now() < *until),
-            far: member.facts.zone != settings.zone,
+            other_zone: member.facts.zone != settings.zone,
             link_mbps: member.facts.link_mbps,
         })
     };
     let holders = membership.members().filter(answers).filter_map(holder);
-    let holders = holders.filter(|holder| may_ask_other_zones || !holder.far);
+    let holders = holders.filter(|holder| may_ask_other_zones || !holder.other_zone);
     choose_list_holder(holders, &mut rand::rng())
 }
 
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -63,10 +63,10 @@
 }
 
 fn answer(state: &Rc<ControlState>, metrics: &Metrics, request: &Request<Incoming>) -> PortAnswer {
-    let mut handed_out = None;
+    let mut transfer = None;
     let body = match request.uri().path() {
         METRICS_PATH => metrics.text(),
-        KNOWN_PATH => known(state, request.uri().query().unwrap_or_default(), &mut handed_out),
+        KNOWN_PATH => known(state, request.uri().query().unwrap_or_default(), &mut transfer),
         _ => Vec::new(),
     };
     let found = !body.is_empty();
@@ -75,13 +75,13 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
     }
     let state = Rc::clone(state);
-    let closed =
-        handed_out.map(|key| Box::new(move || state.handout.borrow_mut().taken(key)) as Box<dyn FnOnce()>);
+    let closed = transfer
+        .map(|key| Box::new(move || state.list_transfers.borrow_mut().finish(key)) as Box<dyn FnOnce()>);
     PortAnswer { response, closed }
 }
 
-/// What this node knows beyond what the query names; see [`known_query`]. `handed_out` is set when that is a whole list.
-fn known(state: &ControlState, query: &str, handed_out: &mut Option<TransferKey>) -> Vec<u8> {
+/// What this node knows beyond what the query names; see [`known_query`]. `transfer` is set when that is a whole list.
+fn known(state: &ControlState, query: &str, transfer: &mut Option<TransferKey>) -> Vec<u8> {
     // What cannot be read counts as nothing known, and is answered with everything.
     let mut have = query.split(',').map(|text| text.parse().unwrap_or(0));
     let held = HeldRevisions {
@@ -95,7 +95,7 @@
         configuration: configuration(state, held, whole),
         evacuations: state.evacuations.borrow().clone(),
         at: state.targets.borrow().at,
-        targets: targets(state, held, handed_out),
+        targets: targets(state, held, transfer),
         expiring: state.targets.borrow().expiring(state.now()),
     };
     rmp_serde::to_vec(&known).unwrap_or_default()
@@ -122,7 +122,7 @@
 fn targets(
     state: &ControlState,
     held: HeldRevisions,
-    handed_out: &mut Option<TransferKey>,
+    transfer: &mut Option<TransferKey>,
 ) -> Part<ByteBuf, TargetChange> {
     let targets = state.targets.borrow();
     if !state.targets_known.get() || targets.at <= held.list {
@@ -131,8 +131,8 @@
     if let Some(changes) = targets.changes_since(held.list) {
         return Part::Changes(changes);
     }
-    *handed_out = state.handout.borrow_mut().admit(state.now());
-    let list = handed_out.and_then(|_| packed(state));
+    *transfer = state.list_transfers.borrow_mut().admit(state.now());
+    let list = transfer.and_then(|_| packed(state));
     list.map_or(Part::Busy, Part::Whole)
 }
 
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -70,7 +70,7 @@
     /// The list as it is handed out whole, and the revision at which it stands.
     pub packed: RefCell<Option<(Revision, ByteBuf)>>,
     /// Whole lists that other nodes are taking from this one.
-    pub handout: RefCell<ListTransfers>,
+    pub list_transfers: RefCell<ListTransfers>,
     /// Whether the nodes that are known are likely to be all there are.
     pub settled: Cell<bool>,
     /// When the last answers of a planned stop are given; `None` while no stop was asked for.
@@ -100,7 +100,7 @@
             ..MembershipSettings::default()
         });
         let reading = Reading::new(shared.clock.now(), shared.settings.is_seed());
-        let handout = ListTransfers::new(shared.settings.link());
+        let list_transfers = ListTransfers::new(shared.settings.link());
         Self {
             shared,
             log,
@@ -114,7 +114,7 @@
             members_changed: Notify::new(),
             reading,
             packed: RefCell::default(),
-            handout: RefCell::new(handout),
+            list_transfers: RefCell::new(list_transfers),
             settled: Cell::new(false),
             abort_at: Cell::new(None),
         }
