--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -1,4 +1,4 @@
-//! Which target answers a forwarded call, and whether a call may be sent again.
+//! Selection of targets for forwarded calls, and the retry budget.
 
 use super::target_choice::unshared_tokens;
 use super::{
@@ -16,37 +16,38 @@
 use std::sync::Arc;
 
 slotmap::new_key_type! {
-    /// A send that is under way.
+    /// Identifies an active send: one attempt to have a target answer a call.
     pub struct SendKey;
 }
 
-/// Prompt tokens read in a millisecond until something has been measured.
-const FIRST_RATE: f64 = 40.0;
-/// The time of an answer until something has been measured.
-const FIRST_TIME: Span = Span::from_millis(60);
-/// How much a new measurement moves an average.
-const GAIN: f64 = 0.05;
-/// How much a new time to the first output moves its average: loads change within seconds.
-const FIRST_GAIN: f64 = 0.15;
-/// Prompts shorter than this say little of the reading rate.
-const LEAST_TOKENS: f64 = 500.0;
-/// How long a target that said it is full gets nothing.
-const FULL_WAIT: Span = Span::from_millis(40);
-/// The most targets, as a share, that failures may keep out; beyond it the view is suspect.
-const MOST_OUT: f64 = 0.5;
+/// Initial estimate of the prefill rate of an engine, in prompt tokens per millisecond.
+const INITIAL_PREFILL_RATE: f64 = 40.0;
+/// Initial estimate of the time until an answer.
+const INITIAL_ANSWER_TIME: Span = Span::from_millis(60);
+/// Weight of a new sample in a moving average.
+const AVERAGE_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in the average time to the first output; it is higher because load changes within seconds.
+const FIRST_OUTPUT_WEIGHT: f64 = 0.15;
+/// Minimum number of tokens of a sample of the prefill rate; shorter ones are too inaccurate.
+const MIN_SAMPLE_TOKENS: f64 = 500.0;
+/// How long a target that refused a call because it is full receives no calls.
+const FULL_TARGET_PAUSE: Span = Span::from_millis(40);
+/// Maximum fraction of a service's targets that may be in quarantine. Beyond it, this node's own view is more likely to
+/// be wrong than the targets.
+const MAX_QUARANTINED_FRACTION: f64 = 0.5;
 
-/// What a forwarder is set up with.
+/// Settings of a [`Forwarder`].
 #[derive(Clone, Debug)]
 pub struct ForwardSettings {
-    /// This node's zone.
+    /// Availability zone of this node.
     pub zone: String,
-    /// Repeats allowed per request, over the whole fleet.
+    /// Retries allowed per request, over the whole fleet.
     pub retry_ratio: f64,
-    /// Repeats allowed per window besides, over the whole fleet.
+    /// Retries allowed per window in addition, over the whole fleet.
     pub retry_fixed: f64,
-    /// The window over which repeats are counted.
+    /// Window over which requests and retries are counted.
     pub retry_window: Span,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -62,51 +63,51 @@
     }
 }
 
-/// A send that is under way, for the books.
+/// State of an active send.
 #[derive(Clone, Debug)]
 pub(super) struct Send {
     target: TargetKey,
     route: String,
     started: Time,
-    /// The time to the first output that was expected, in microseconds.
+    /// Expected time to the first output, in microseconds.
     expected: f64,
-    /// Tokens of its prompt that are not read yet.
-    unread: f64,
-    /// Tokens that stood before it when it was sent, its own included.
+    /// Prompt tokens of this call that the target has to prefill.
+    prefill_tokens: f64,
+    /// Tokens to prefill at the target when the call was sent, including its own.
     queue_tokens: f64,
     first_output: bool,
 }
 
-/// Chooses targets for forwarded calls and rations retries, for one traffic thread.
+/// Chooses targets for forwarded calls and limits retries, for one traffic thread.
 #[derive(Debug)]
 pub struct Forwarder {
     pub(super) settings: ForwardSettings,
     pub(super) targets: SlotMap<TargetKey, TargetRecord>,
-    /// The list that the books below were made from.
+    /// The target list that `targets` and its indexes are built from.
     pub(super) table: Arc<TargetTable>,
     pub(super) by_id: HashMap<String, TargetKey>,
     pub(super) by_service: BTreeMap<String, Vec<TargetKey>>,
-    /// Targets that rest, or did a while ago.
-    pub(super) resting: Vec<TargetKey>,
+    /// Targets that are or were recently in cooldown.
+    pub(super) cooldown_targets: Vec<TargetKey>,
     pub(super) sends: SlotMap<SendKey, Send>,
     pub(super) retries: HashMap<String, RetryWindow>,
     pub(super) answer_time: HashMap<String, f64>,
-    /// Time to the first output of an engine, by route.
-    pub(super) first_time: HashMap<String, f64>,
-    pub(super) read_rate: f64,
+    /// Average time to the first output of an engine, by route, in microseconds.
+    pub(super) first_output_time: HashMap<String, f64>,
+    pub(super) prefill_rate: f64,
     pub(super) members: Arc<Vec<MemberView>>,
-    /// Since when these are the members.
+    /// Time since which the members are unchanged.
     pub(super) members_since: Time,
     /// This node's key among the members.
     pub(super) me: u64,
-    /// Whether the members are likely to be all there are.
+    /// Whether `members` most likely contains all nodes.
     pub(super) converged: bool,
-    /// How the targets of each service are split.
+    /// Targets of each service, with their shards.
     pub(super) services: Arc<HashMap<String, ServiceTargets>>,
     pub(super) reach: Reachability,
-    /// What targets have said of their limits.
+    /// Rate limits reported by targets.
     pub(super) limits: LimitTable,
-    /// Which shards of services this node owns, by their keys, and who asks it.
+    /// Ownership of shards and the nodes that request a share of them, by shard key.
     pub(super) owned: HashMap<u128, Ownership>,
     pub(super) catalog: Option<Arc<Catalog>>,
     pub(super) random: SmallRng,
@@ -114,10 +115,10 @@
 }
 
 impl Forwarder {
-    /// A forwarder that knows no targets yet.
+    /// Creates a forwarder without targets.
     ///
     /// # Errors
-    /// When the chart file does not fit the code.
+    /// Fails if the state chart file does not match the code.
     pub fn new(settings: ForwardSettings) -> Result<Self, ChartError> {
         Ok(Self {
             random: SmallRng::seed_from_u64(settings.seed),
@@ -127,12 +128,12 @@
             table: Arc::default(),
             by_id: HashMap::new(),
             by_service: BTreeMap::new(),
-            resting: Vec::new(),
+            cooldown_targets: Vec::new(),
             sends: SlotMap::with_key(),
             retries: HashMap::new(),
             answer_time: HashMap::new(),
-            first_time: HashMap::new(),
-            read_rate: FIRST_RATE,
+            first_output_time: HashMap::new(),
+            prefill_rate: INITIAL_PREFILL_RATE,
             members: Arc::default(),
             members_since: Time(0),
             me: 0,
@@ -146,9 +147,9 @@
     }
 
     // ------------------------------------------------------------------------
-    // The plan
+    // Plan
 
-    /// Takes what a newer plan says of targets and members.
+    /// Applies the targets and members of a newer plan.
     pub fn apply_plan(&mut self, plan: &ForwardPlan) {
         if self.members != plan.members {
             self.members_since = plan.made;
@@ -162,7 +163,7 @@
         self.update_ownership(plan.made);
         self.catalog.clone_from(&plan.catalog);
         if Arc::ptr_eq(&self.table, &plan.targets) {
-            // Members come and go far more often than a large list should be walked through.
+            // Members change far more often than targets; a change of members should not cost a walk through a large list.
             return;
         }
         self.table = Arc::clone(&plan.targets);
@@ -181,7 +182,7 @@
             match self.by_id.get(id).and_then(|key| self.targets.get_mut(*key)) {
                 Some(record) if record.entry == *entry && record.entry.times == entry.times => {}
                 Some(record) if record.entry.incarnation == entry.incarnation => record.entry = entry.clone(),
-                // Nothing that was seen of the run before holds for this one; its sends end without a record.
+                // What was measured of the previous incarnation does not apply to this one; its sends end without a record.
                 _ => self.insert(entry),
             }
         }
@@ -196,17 +197,17 @@
 
     fn insert(&mut self, entry: &TargetEntry) {
         let key = self.targets.insert(TargetRecord::new(entry.clone()));
-        if let Some(before) = self.by_id.insert(entry.id.clone(), key) {
-            self.targets.remove(before);
+        if let Some(previous) = self.by_id.insert(entry.id.clone(), key) {
+            self.targets.remove(previous);
         }
     }
 
-    /// What is known of the targets, for operators.
+    /// The records of all targets, for status reports to operators.
     pub fn targets(&self) -> impl Iterator<Item = &TargetRecord> {
         self.targets.values()
     }
 
-    /// The target of that id, when this node may use it now.
+    /// The target with this id, if this node may send to it at `now`.
     pub fn usable(&mut self, now: Time, id: &str) -> Option<TargetChoice> {
         let key = *self.by_id.get(id)?;
         let record = self.targets.get_mut(key)?;
@@ -221,19 +222,20 @@
         })
     }
 
-    /// The key of the target of that id.
+    /// The key of the target with this id.
     pub fn key(&self, id: &str) -> Option<TargetKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The run of a target that said in the answer to a request sent at `sent` that it leaves; `None` when the list has it so already, or has a later run.
+    /// The incarnation of a target that reported, in the answer to a request sent at `sent`, that it is leaving. `None` if
+    /// the list has it as leaving already or has a later incarnation.
     pub fn leaving_incarnation(&self, sent: Time, id: &str) -> Option<IncarnationId> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         let entry = &record.entry;
         (!entry.leaving && sent >= entry.times.restarted_at).then_some(record.incarnation_id)
     }
 
-    /// What is known of one target.
+    /// The record of a target.
     pub fn target(&self, key: TargetKey) -> Option<&TargetRecord> {
         self.targets.get(key)
     }
@@ -241,34 +243,34 @@
     // ------------------------------------------------------------------------
     // Sends
 
-    /// A call goes out to `target`.
-    pub fn begin(&mut self, now: Time, need: &TargetQuery, target: TargetKey) -> SendKey {
-        let (expected, unread, queue_tokens) = match need.engine_memory {
+    /// Records that a call is being sent to `target`.
+    pub fn begin(&mut self, now: Time, query: &TargetQuery, target: TargetKey) -> SendKey {
+        let (expected, prefill_tokens, queue_tokens) = match query.engine_memory {
             Some(memory) => {
-                let unread =
-                    unshared_tokens(need) + self.uncached_prefix_tokens(now, need, memory, target, None);
+                let prefill_tokens =
+                    unshared_tokens(query) + self.uncached_prefix_tokens(now, query, memory, target, None);
                 let before = self
                     .targets
                     .get(target)
                     .map_or(0.0, |record| record.pending_prefill_tokens);
-                let tokens = before + unread;
-                (tokens / self.read_rate * 1000.0, unread, tokens)
+                let tokens = before + prefill_tokens;
+                (tokens / self.prefill_rate * 1000.0, prefill_tokens, tokens)
             }
-            None => (self.expected_answer(&need.service), 0.0, 0.0),
+            None => (self.expected_answer(&query.service), 0.0, 0.0),
         };
         if let Some(record) = self.targets.get_mut(target) {
             record.in_flight += 1;
-            record.pending_prefill_tokens += unread;
-            if need.prefix != 0 {
-                record.prefixes.record(now, need.prefix, need.prefix_tokens);
+            record.pending_prefill_tokens += prefill_tokens;
+            if query.prefix != 0 {
+                record.prefixes.record(now, query.prefix, query.prefix_tokens);
             }
         }
         self.sends.insert(Send {
             target,
-            route: need.route.clone(),
+            route: query.route.clone(),
             started: now,
             expected,
-            unread,
+            prefill_tokens,
             queue_tokens,
             first_output: false,
         })
@@ -278,20 +280,20 @@
         self.answer_time
             .get(service)
             .copied()
-            .unwrap_or(FIRST_TIME.0 as f64)
+            .unwrap_or(INITIAL_ANSWER_TIME.0 as f64)
     }
 
-    /// The expected time until a call of this need yields its first output, once it is sent.
-    pub fn expected_first_output(&self, need: &TargetQuery) -> Span {
-        let Some(_) = need.engine_memory else {
-            return Span(self.expected_answer(&need.service) as u64);
+    /// Expected time from sending a call for this query to its first output.
+    pub fn expected_first_output(&self, query: &TargetQuery) -> Span {
+        let Some(_) = query.engine_memory else {
+            return Span(self.expected_answer(&query.service) as u64);
         };
-        let reading = f64::from(need.prompt_tokens) / self.read_rate * 1000.0;
-        let measured = self.first_time.get(&need.route);
-        Span(measured.copied().unwrap_or(reading) as u64)
+        let prefill = f64::from(query.prompt_tokens) / self.prefill_rate * 1000.0;
+        let measured = self.first_output_time.get(&query.route);
+        Span(measured.copied().unwrap_or(prefill) as u64)
     }
 
-    /// The first output of a call came: its prompt is read.
+    /// Records the first output of a call, which means that its prompt has been prefilled.
     pub fn first_output(&mut self, now: Time, send: SendKey) {
         let Some(send) = self.sends.get_mut(send) else {
             return;
@@ -301,23 +303,23 @@
         }
         send.first_output = true;
         let took = now.since(send.started).0.max(1) as f64;
-        if send.unread > 0.0 {
-            let average = self.first_time.entry(send.route.clone()).or_insert(took);
-            *average += FIRST_GAIN * (took - *average);
+        if send.prefill_tokens > 0.0 {
+            let average = self.first_output_time.entry(send.route.clone()).or_insert(took);
+            *average += FIRST_OUTPUT_WEIGHT * (took - *average);
         }
         let Some(record) = self.targets.get_mut(send.target) else {
             return;
         };
-        record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
-        if send.queue_tokens >= LEAST_TOKENS {
+        record.pending_prefill_tokens = (record.pending_prefill_tokens - send.prefill_tokens).max(0.0);
+        if send.queue_tokens >= MIN_SAMPLE_TOKENS {
             let rate = send.queue_tokens * 1000.0 / took;
-            self.read_rate += GAIN * (rate - self.read_rate);
-            self.read_rate = self.read_rate.max(1.0);
+            self.prefill_rate += AVERAGE_WEIGHT * (rate - self.prefill_rate);
+            self.prefill_rate = self.prefill_rate.max(1.0);
             record.record_answer(now, took / send.expected.max(10_000.0), false, &self.chart);
         }
     }
 
-    /// A send ended. Returns true when its target went into quarantine.
+    /// Records the end of a send. Returns whether its target was put into quarantine.
     pub fn end(&mut self, now: Time, key: SendKey, end: SendEnd) -> bool {
         let Some(send) = self.sends.remove(key) else {
             return false;
@@ -329,7 +331,7 @@
         let service = record.entry.service.clone();
         record.in_flight = record.in_flight.saturating_sub(1);
         if !send.first_output {
-            record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
+            record.pending_prefill_tokens = (record.pending_prefill_tokens - send.prefill_tokens).max(0.0);
         }
         match end {
             SendEnd::Answered { success } => {
@@ -337,7 +339,7 @@
                     record.record_answer(now, took / send.expected.max(1000.0), !success, &self.chart);
                     if success {
                         let average = self.answer_time.entry(service).or_insert(took);
-                        *average += GAIN * (took - *average);
+                        *average += AVERAGE_WEIGHT * (took - *average);
                     }
                 }
                 false
@@ -349,7 +351,7 @@
                 misdirected: true, ..
             } => self.failed(now, send.target, true),
             SendEnd::Refused { .. } => {
-                record.full_until = now + FULL_WAIT;
+                record.full_until = now + FULL_TARGET_PAUSE;
                 self.failed(now, send.target, false)
             }
             SendEnd::Unreachable => self.failed(now, send.target, true),
@@ -357,7 +359,7 @@
         }
     }
 
-    /// The caller left or the time was up: nothing is known of the target.
+    /// Ends a send whose caller disconnected or whose deadline passed; this says nothing about the target.
     pub fn abandon(&mut self, key: SendKey) {
         let Some(send) = self.sends.remove(key) else {
             return;
@@ -365,12 +367,14 @@
         if let Some(record) = self.targets.get_mut(send.target) {
             record.in_flight = record.in_flight.saturating_sub(1);
             if !send.first_output {
-                record.pending_prefill_tokens = (record.pending_prefill_tokens - send.unread).max(0.0);
+                record.pending_prefill_tokens =
+                    (record.pending_prefill_tokens - send.prefill_tokens).max(0.0);
             }
         }
     }
 
-    /// Counts a failure. When most targets of a service look bad the view is suspect, and none goes out.
+    /// Records a failure and returns whether the target was put into quarantine. No target is quarantined beyond
+    /// [`MAX_QUARANTINED_FRACTION`].
     fn failed(&mut self, now: Time, target: TargetKey, certain: bool) -> bool {
         let Some(record) = self.targets.get(target) else {
             return false;
@@ -385,7 +389,7 @@
             };
             keys.iter().filter(quarantined).count()
         });
-        let capped = (out + 1) as f64 > all as f64 * MOST_OUT;
+        let capped = (out + 1) as f64 > all as f64 * MAX_QUARANTINED_FRACTION;
         let Some(record) = self.targets.get_mut(target) else {
             return false;
         };
@@ -399,7 +403,7 @@
     // ------------------------------------------------------------------------
     // Retries
 
-    /// A call came for a service; it adds to what may be repeated there.
+    /// Counts a request for a service, which adds to its retry budget.
     pub fn count_request(&mut self, now: Time, service: &str) {
         let window = self.settings.retry_window;
         match self.retries.get_mut(service) {
@@ -412,7 +416,7 @@
         }
     }
 
-    /// Takes one repeat out of this node's part of the budget; false when it is used up.
+    /// Takes one retry from this node's share of the budget; returns false if it is used up.
     pub fn allow_retry(&mut self, now: Time, service: &str) -> bool {
         let settings = &self.settings;
         let fixed = settings.retry_fixed / self.members.len().max(1) as f64;
--- a/crates/barleyspool_core/src/forward/list_transfer.rs
+++ b/crates/barleyspool_core/src/forward/list_transfer.rs
@@ -6,7 +6,7 @@
 use rand::seq::IteratorRandom;
 
 /// Bandwidth from which a link counts as fast, in Mbit/s. It carries a list of some hundred KB in about 10 ms.
-const FAST_LINK_MBPS: u32 = 100;
+const FAST_MBPS: u32 = 100;
 /// Link bandwidth per concurrent transfer, in Mbit/s. A slow link serves transfers one after the other, so that the
 /// first receiver can pass the list on while the second one receives it.
 const MBPS_PER_TRANSFER: u32 = 20;
@@ -32,7 +32,7 @@
 impl ListRequester {
     /// Whether it may request the list from nodes in other zones.
     pub fn may_ask_other_zones(&self) -> bool {
-        self.link_mbps >= FAST_LINK_MBPS || self.waited >= OTHER_ZONES_DELAY
+        self.link_mbps >= FAST_MBPS || self.waited >= OTHER_ZONES_DELAY
     }
 }
 
@@ -56,16 +56,10 @@
     holders: impl Iterator<Item = ListHolder<A>>,
     random: &mut impl Rng,
 ) -> Option<A> {
-    let preference = |holder: &ListHolder<A>| {
-        (
-            holder.avoided,
-            holder.other_zone,
-            holder.link_mbps < FAST_LINK_MBPS,
-        )
-    };
+    let cost = |holder: &ListHolder<A>| (holder.avoided, holder.other_zone, holder.link_mbps < FAST_MBPS);
     let holders: Vec<ListHolder<A>> = holders.collect();
-    let best = holders.iter().map(preference).min()?;
-    let preferred = holders.into_iter().filter(|holder| preference(holder) == best);
+    let best = holders.iter().map(cost).min()?;
+    let preferred = holders.into_iter().filter(|holder| cost(holder) == best);
     preferred.map(|holder| holder.address).choose(random)
 }
 
--- a/crates/barleyspool_core/src/forward/target_cooldown.rs
+++ b/crates/barleyspool_core/src/forward/target_cooldown.rs
@@ -27,7 +27,7 @@
     ///
     /// An earlier request for a longer cooldown stays in force.
     pub fn apply_cooldown(&mut self, now: Time, sent: Time, id: &str, requested: Span) -> bool {
-        self.resting.retain(|key| {
+        self.cooldown_targets.retain(|key| {
             let record = self.targets.get(*key);
             record.is_some_and(|record| record.cooldown(now) > Span::ZERO)
         });
@@ -39,9 +39,9 @@
             return false;
         }
         record.cooldown_until = record.cooldown_until.max(now + requested.min(MAX_COOLDOWN));
-        let begins = !self.resting.contains(&key);
+        let begins = !self.cooldown_targets.contains(&key);
         if begins {
-            self.resting.push(key);
+            self.cooldown_targets.push(key);
         }
         begins
     }
@@ -58,13 +58,13 @@
             let record = self.targets.get(*key);
             record.is_some_and(|record| record.entry.service == service && record.cooldown(now) > Span::ZERO)
         };
-        self.resting.iter().copied().filter(is_cooling_down)
+        self.cooldown_targets.iter().copied().filter(is_cooling_down)
     }
 
     /// The shortest remaining cooldown among the targets of a call's service that accept work; zero if
     /// one of them is not in cooldown.
     pub fn service_cooldown(&self, now: Time, query: &TargetQuery) -> Span {
-        if self.resting.is_empty() || query.for_other_node {
+        if self.cooldown_targets.is_empty() || query.for_other_node {
             return Span::ZERO;
         }
         let keys = self.by_service.get(&query.service).into_iter().flatten();
