--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -58,7 +58,8 @@
     #[serde(rename = "sealed")]
     pub closed: Epoch,
     /// The newest incarnation of the requesting node that the voter knows.
-    pub asker: Incarnation,
+    #[serde(rename = "asker")]
+    pub requester: Incarnation,
     /// Whether the voter has caught up since it started. Votes of nodes that have not are ignored.
     pub joined: bool,
 }
@@ -174,8 +175,8 @@
             self.eras.clear();
             self.truncated = cell.truncated;
         }
-        let present = self.epoch();
-        let newer = cell.eras.iter().filter(|era| era.epoch > present);
+        let current = self.epoch();
+        let newer = cell.eras.iter().filter(|era| era.epoch > current);
         self.eras.extend(newer.map(|era| KnownEra {
             era: era.clone(),
             confirmed_at: None,
@@ -188,12 +189,12 @@
     pub fn vote_for(&mut self, peer: NodeId, incarnation: Incarnation) -> LeaseVote {
         let peer = self.peers.entry(peer).or_default();
         peer.incarnation = peer.incarnation.max(incarnation);
-        let asker = peer.incarnation;
+        let requester = peer.incarnation;
         let joined = self.joined || !self.guards.enforces(Guard::VoteJoined);
         LeaseVote {
             epoch: self.epoch(),
             closed: self.closed,
-            asker,
+            requester,
             joined,
         }
     }
@@ -244,8 +245,8 @@
 
     /// Closes epochs, oldest first, whose members have moved on to later epochs by a majority.
     fn close_epochs(&mut self) {
-        let present = self.epoch();
-        let oldest = self.eras.first().map_or(present, |known| known.era.epoch);
+        let current = self.epoch();
+        let oldest = self.eras.first().map_or(current, |known| known.era.epoch);
         if self.truncated && self.closed < oldest {
             // Only a node that knows the eras before the oldest one here can close them.
             return;
@@ -262,7 +263,7 @@
                         .get(node)
                         .is_some_and(|peer| peer.highest_epoch > epoch)
             };
-            if epoch >= present || known.era.members.iter().filter(left).count() < known.era.majority() {
+            if epoch >= current || known.era.members.iter().filter(left).count() < known.era.majority() {
                 return;
             }
             self.closed = epoch;
@@ -280,11 +281,11 @@
     /// The nodes whose votes this node needs: the members of the current epoch and of every epoch that
     /// is not closed.
     pub fn voters(&self) -> BTreeSet<NodeId> {
-        let present = self.epoch();
+        let current = self.epoch();
         let needed = self
             .eras
             .iter()
-            .filter(|known| known.era.epoch == present || known.era.epoch > self.closed);
+            .filter(|known| known.era.epoch == current || known.era.epoch > self.closed);
         needed
             .flat_map(|known| known.era.members.iter().copied())
             .filter(|node| *node != self.me)
@@ -294,10 +295,11 @@
     // ------------------------------------------------------------------------
     // Decisions
 
-    fn counts(&self, peer: &PeerRecord) -> bool {
+    fn vote_counts(&self, peer: &PeerRecord) -> bool {
         let epoch = !self.guards.enforces(Guard::VoteEpoch) || peer.vote.epoch == self.epoch();
-        let run = !self.guards.enforces(Guard::VoteIncarnation) || peer.vote.asker == self.incarnation;
-        peer.received && peer.vote.joined && epoch && run
+        let incarnation =
+            !self.guards.enforces(Guard::VoteIncarnation) || peer.vote.requester == self.incarnation;
+        peer.received && peer.vote.joined && epoch && incarnation
     }
 
     /// Whether a majority has voted, at any time, for this epoch and incarnation of this node.
@@ -314,7 +316,7 @@
         let others = era.members.iter().filter(|node| **node != self.me);
         let mut requested_at: Vec<Time> = others
             .filter_map(|node| self.peers.get(node))
-            .filter(|peer| self.counts(peer))
+            .filter(|peer| self.vote_counts(peer))
             .map(|peer| peer.requested_at)
             .collect();
         requested_at.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/barleyspool_core/src/router/admission.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -12,14 +12,14 @@
 
 /// The longest key and organisation name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Retry delay for callers of a node that has no configuration or an outdated one.
-const CATCH_UP_RETRY_AFTER: Span = Span::from_millis(200);
-/// Retry delay for callers of a home node whose lease has no valid votes of a majority.
-const UNCONFIRMED_RETRY_AFTER: Span = Span::from_millis(500);
+/// Retry delay while this node has no configuration, an outdated one or a stale plan.
+const CATCH_UP_DELAY: Span = Span::from_millis(200);
+/// Retry delay while the lease is unconfirmed, no more keys can be remembered or no target is usable.
+const UNREADY_DELAY: Span = Span::from_millis(500);
 /// Retry delay for callers that are referred to another node.
-const REDIRECT_RETRY_AFTER: Span = Span::from_millis(1);
+const REDIRECT_DELAY: Span = Span::from_millis(1);
 /// The shortest retry delay that a fully loaded node gives.
-const MIN_RETRY_AFTER: Span = Span::from_millis(50);
+const MIN_RETRY_DELAY: Span = Span::from_millis(50);
 
 /// A call with its names resolved under the configuration.
 struct ResolvedCall {
@@ -45,10 +45,10 @@
 
 impl Rejection {
     fn new(reason: Reason) -> Self {
-        Self::retry_after(reason, Span::ZERO)
+        Self::retry_in(reason, Span::ZERO)
     }
 
-    fn retry_after(reason: Reason, retry_after: Span) -> Self {
+    fn retry_in(reason: Reason, retry_after: Span) -> Self {
         Self {
             reason,
             retry_after,
@@ -99,26 +99,17 @@
             return Err(Rejection::new(Reason::PayloadTooLarge));
         }
         let Some(config) = plan.config.clone() else {
-            return Err(Rejection::retry_after(
-                Reason::NoConfiguration,
-                CATCH_UP_RETRY_AFTER,
-            ));
+            return Err(Rejection::retry_in(Reason::NoConfiguration, CATCH_UP_DELAY));
         };
         if self.plan_stale(now) {
-            return Err(Rejection::retry_after(Reason::PlanStale, CATCH_UP_RETRY_AFTER));
+            return Err(Rejection::retry_in(Reason::PlanStale, CATCH_UP_DELAY));
         }
         if plan.serving == Serving::CatchingUp {
-            return Err(Rejection::retry_after(
-                Reason::NoConfiguration,
-                CATCH_UP_RETRY_AFTER,
-            ));
+            return Err(Rejection::retry_in(Reason::NoConfiguration, CATCH_UP_DELAY));
         }
         if call.seen > config.revision && self.enforces(Guard::SeenRevision) {
             self.actions.push(TrafficAction::NotifyBehind);
-            return Err(Rejection::retry_after(
-                Reason::ConfigurationBehind,
-                CATCH_UP_RETRY_AFTER,
-            ));
+            return Err(Rejection::retry_in(Reason::ConfigurationBehind, CATCH_UP_DELAY));
         }
         let org = config
             .organisation(&call.organisation)
@@ -191,7 +182,7 @@
             self.admit_at_most_once(now, call, resolved.key)?;
         }
         let admitted = if self.stopping() {
-            Err(Rejection::retry_after(Reason::Leaving, REDIRECT_RETRY_AFTER))
+            Err(Rejection::retry_in(Reason::Leaving, REDIRECT_DELAY))
         } else {
             self.admit_load(now, call.deadline, resolved)
         };
@@ -211,17 +202,11 @@
             return Err(self.not_home_rejection(home));
         }
         match self.plan.lease.check(now, key) {
-            Ok(()) if self.key_memory.full() => Err(Rejection::retry_after(
-                Reason::MemoryFull,
-                UNCONFIRMED_RETRY_AFTER,
-            )),
+            Ok(()) if self.key_memory.full() => Err(Rejection::retry_in(Reason::MemoryFull, UNREADY_DELAY)),
             Ok(()) => Ok(()),
             Err(LeaseRefusal::NotHome(home)) => Err(self.not_home_rejection(home)),
-            Err(LeaseRefusal::TakeoverWait(wait)) => Err(Rejection::retry_after(Reason::TakeoverWait, wait)),
-            Err(LeaseRefusal::Unconfirmed) => Err(Rejection::retry_after(
-                Reason::Unconfirmed,
-                UNCONFIRMED_RETRY_AFTER,
-            )),
+            Err(LeaseRefusal::TakeoverWait(wait)) => Err(Rejection::retry_in(Reason::TakeoverWait, wait)),
+            Err(LeaseRefusal::Unconfirmed) => Err(Rejection::retry_in(Reason::Unconfirmed, UNREADY_DELAY)),
         }
     }
 
@@ -230,11 +215,11 @@
     fn not_home_rejection(&self, home: Option<NodeId>) -> Rejection {
         let leaving = |peer: &&PlanPeer| Some(peer.id) == home && peer.state == ListState::Leaving;
         if self.plan.peers.iter().any(|peer| leaving(&peer)) {
-            return Rejection::retry_after(Reason::Leaving, self.plan.rules.takeover_wait());
+            return Rejection::retry_in(Reason::Leaving, self.plan.rules.takeover_wait());
         }
         Rejection {
             home,
-            ..Rejection::retry_after(Reason::NotHome, REDIRECT_RETRY_AFTER)
+            ..Rejection::retry_in(Reason::NotHome, REDIRECT_DELAY)
         }
     }
 
@@ -246,9 +231,9 @@
             if self.capacity(stage.service) == 0 {
                 let cooldown = self.service_cooldown(now, stage.service);
                 return Err(if cooldown > Span::ZERO {
-                    Rejection::retry_after(Reason::TargetsRest, cooldown)
+                    Rejection::retry_in(Reason::TargetsRest, cooldown)
                 } else {
-                    Rejection::retry_after(Reason::NoTarget, UNCONFIRMED_RETRY_AFTER)
+                    Rejection::retry_in(Reason::NoTarget, UNREADY_DELAY)
                 });
             }
         }
@@ -258,11 +243,11 @@
         let class = &resolved.config.classes[usize::from(rank)];
         let expected = self.expected_time(now, rank, org_key(&org.name), org.weight, &pipeline.stages);
         // The queues have to drain by this much before the request would be admitted.
-        let missing = Span(expected.0.saturating_sub(deadline.since(now).0)).max(MIN_RETRY_AFTER);
+        let missing = Span(expected.0.saturating_sub(deadline.since(now).0)).max(MIN_RETRY_DELAY);
         let full = |reason| {
             Err(Rejection {
                 jitter: true,
-                ..Rejection::retry_after(reason, missing)
+                ..Rejection::retry_in(reason, missing)
             })
         };
         if self.queue_full(
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -37,12 +37,12 @@
             return;
         };
         request.touched = true;
-        let have = request.answer.len() as u64;
-        if offset > have && self.settings.guards.enforces(Guard::NoStreamGap) {
+        let answer_length = request.answer.len() as u64;
+        if offset > answer_length && self.settings.guards.enforces(Guard::NoStreamGap) {
             self.count(Counter::Gap);
             return self.abort_attempt(now, attempt);
         }
-        let Some(new_data) = data.get(have.saturating_sub(offset) as usize..) else {
+        let Some(new_data) = data.get(answer_length.saturating_sub(offset) as usize..) else {
             return;
         };
         if request.answer.len() + new_data.len() > self.settings.max_answer {
@@ -61,15 +61,15 @@
         if !request.last() {
             return;
         }
-        let have = request.answer.len() as u64;
+        let answer_length = request.answer.len() as u64;
         for listener in request
             .listeners
             .iter_mut()
-            .filter(|listener| listener.sent < have)
+            .filter(|listener| listener.sent < answer_length)
         {
             let data: Payload = Arc::from(&request.answer[listener.sent as usize..]);
             let (caller, offset) = (listener.caller, listener.sent);
-            listener.sent = have;
+            listener.sent = answer_length;
             self.actions.push(TrafficAction::Part { caller, offset, data });
         }
     }
--- a/crates/barleyspool_core/tests/lease_model.rs
+++ b/crates/barleyspool_core/tests/lease_model.rs
@@ -72,7 +72,7 @@
 /// A scenario: the lists, the guards and what may happen.
 #[derive(Clone, Debug)]
 struct Model {
-    /// The eras of the newest fleet list. Every node starts with the first one only.
+    /// The eras of the newest fleet list. The nodes of the first era start with that one only.
     eras: Vec<(u64, Vec<u32>)>,
     guards: Guards,
     /// The key, picked so that its home nodes are those that the scenario needs.
