--- a/crates/barleyspool_core/src/forward/call_head.rs
+++ b/crates/barleyspool_core/src/forward/call_head.rs
@@ -1,43 +1,43 @@
-//! What a forwarded call says of itself, apart from its body.
+//! The metadata of a forwarded call.
 
 use crate::Span;
 
-/// A part of a prompt, named so that targets and nodes can tell that two prompts share it.
+/// A part of a prompt, with an id by which targets and nodes recognise that two prompts share it.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's name.
+    /// The id of the part.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a forwarded call says of itself, apart from its body.
+/// The metadata of a forwarded call, which comes with its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallHead {
-    /// The call's own id, never used for another call.
+    /// The id of the call, never reused for another call.
     pub id: String,
-    /// The host that it names.
+    /// The requested host.
     pub host: String,
-    /// The path, without its query.
+    /// The path without the query.
     pub path: String,
-    /// How long the caller waits; `None` when it does not say.
+    /// How long the caller waits for the answer; `None` when it does not state it.
     pub max_wait: Option<Span>,
-    /// The caller's key; `None` when it sends none.
+    /// The API key of the caller; `None` when it sends none.
     pub key: Option<String>,
-    /// The prompt's parts in order; the last belongs to this call or its session alone.
+    /// The parts of the prompt in order; the last one belongs to this call or its session alone.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the whole prompt, and the most that may be generated.
+    /// The number of tokens of the whole prompt, and the maximum number of tokens to generate.
     pub tokens: (u32, u32),
-    /// Pieces per stage; a stage without pieces is left out.
+    /// The number of pieces of each stage; a stage with zero pieces is skipped.
     pub pieces: Vec<u32>,
-    /// What the stages without predecessors work on.
+    /// The key that the pieces of stages without predecessors are computed from.
     pub piece_key: String,
-    /// The last event of a stream that the caller has; `None` for a new stream.
+    /// The id of the last event that the caller received of a stream it resumes; `None` for a new stream.
     pub resume_after: Option<u64>,
 }
 
 impl CallHead {
-    /// The chain of prompt parts that other calls may share, as one number; zero for none.
+    /// A hash of the chain of prompt parts that other calls may share; zero if there are none.
     pub fn shared_prefix_hash(&self) -> u64 {
         let shared = self.prompt.len().saturating_sub(1);
         self.prompt[..shared].iter().fold(0, |chain: u64, part| {
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Tokens of the parts that other calls may share.
+    /// The number of tokens of the prompt parts that other calls may share.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self.prompt.len().saturating_sub(1);
         self.prompt[..shared].iter().map(|part| part.tokens).sum()
--- a/crates/barleyspool_core/src/forward/forecast_correction.rs
+++ b/crates/barleyspool_core/src/forward/forecast_correction.rs
@@ -1,19 +1,21 @@
-//! How much longer the stages of calls take than was forecast, by route.
+//! Corrects forecasts of the duration of stages by how long recent calls of the same route took.
 
 use crate::{Span, Time};
 use std::collections::HashMap;
 
-/// How much a call moves the average of its route: a node sees a few calls of a route each second, and loads change
-/// within seconds.
+/// The weight of a new sample in the moving average of its route: a node sees a few calls of a route each
+/// second, and load changes within seconds.
 const SMOOTHING: f64 = 0.1;
-/// The least and the most that one call may say; a call that a lost answer held up says nothing of the next one.
+/// Samples are clamped to this range, because a call that was delayed by a lost answer says nothing about
+/// the next one.
 const SAMPLE_RANGE: (f64, f64) = (0.5, 4.0);
 
-/// How long a correction stands without a new measurement. A node of a large fleet sees a call of a route every second
-/// or two.
+/// How long a correction stays in full effect without a new sample. A node of a large fleet sees a call of
+/// a route every second or two.
 const HOLD_TIME: Span = Span::from_secs(2);
-/// What is left of it after each second beyond that. Without this a node that refuses all calls of a route, because
-/// its last ones were slow, would never see another one (docs/incidents, 13).
+/// The factor by which a correction decays in each second after that. Without the decay, a node that
+/// refuses all calls of a route because the last ones were slow would never see another one
+/// (docs/incidents, 13).
 const DECAY_PER_SECOND: f64 = 0.5;
 
 #[derive(Copy, Clone, Debug)]
@@ -29,23 +31,25 @@
     }
 }
 
-/// How much longer the stages of calls take than was forecast, by route. A forecast knows what waited a moment ago, at
-/// full calls; it does not know what more urgent orders come, what room is short, or that two nodes own a pool for a
-/// moment. All of these show in what the calls of the last seconds took (docs/DECISIONS.md).
+/// The moving average of the ratio of actual to forecast duration of stages, by route.
+///
+/// A forecast is based on what waited a moment ago and assumes full calls. It does not include more urgent
+/// orders that arrive later, a shortage of memory at targets, or two nodes owning a pool for a moment. All
+/// of these show in how long the calls of the last seconds took (docs/DECISIONS.md).
 #[derive(Clone, Debug, Default)]
 pub struct ForecastCorrection {
     by_route: HashMap<String, Ratio>,
 }
 
 impl ForecastCorrection {
-    /// The time that stages for which `forecast` was reckoned are expected to take. Calls that were faster than
-    /// forecast are no reason to take more.
+    /// The expected duration of stages with the given forecast. A forecast is never shortened: calls that
+    /// were faster than forecast are no reason to accept more calls.
     pub fn corrected(&self, now: Time, route: &str, forecast: Span) -> Span {
         let ratio = self.by_route.get(route).map_or(1.0, |ratio| ratio.decayed(now));
         forecast.scale(ratio.max(1.0))
     }
 
-    /// The stages of a call of that route are done.
+    /// Records that the stages of a call of the route took `took`.
     pub fn record(&mut self, now: Time, route: &str, forecast: Span, took: Span) {
         if forecast == Span::ZERO {
             return;
@@ -64,7 +68,7 @@
         }
     }
 
-    /// Forgets the routes that are not `known` any more.
+    /// Drops the routes that are no longer `known`.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.by_route.retain(|route, _| known(route));
     }
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -1,4 +1,4 @@
-//! Which waiting pieces go into the next call, and to which target of the pool.
+//! Selects the waiting pieces of the next batch call, and the target of the pool that gets it.
 
 use super::piece_order::BatchItem;
 use super::piece_queue::{Piece, QueuedOrder};
@@ -7,13 +7,14 @@
 use crate::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A slow target is failed again after this time.
+/// A slow target gets a call again this long after its last measured one.
 const SLOW_RETRY_INTERVAL: Span = Span::from_millis(1500);
-/// Pieces of priority r are taken as if they were due this much later, times r.
+/// Pieces of rank r are scheduled as if they were due r times this much later.
 const RANK_PENALTY: Span = Span::from_millis(150);
-/// What an order that can no longer make its objective is put back by.
+/// An order that can no longer be done when it is due is scheduled as if it were due this much later.
 const LATE_PENALTY: Span = Span::from_secs(2);
-/// Work in progress is spread over idle targets down to this share of a full call.
+/// Waiting pieces are spread over the idle targets as long as each call is filled to at least this share of
+/// a batch.
 const MIN_FILL: f64 = 0.25;
 
 /// An idle target that may get the next call.
@@ -21,18 +22,18 @@
 struct IdleTarget {
     id: String,
     zone: String,
-    /// Whether its last call took far too long.
+    /// Whether its last call became overdue.
     suspect: bool,
-    /// Tenths of its slowness, so that small differences say nothing.
+    /// Its slowness in tenths, rounded down so that small differences do not affect the order.
     slowness: u64,
 }
 
-/// What waits for a zone, and what may work there.
+/// The pieces that wait for a zone, and the targets there.
 #[derive(Clone, Debug, Default)]
 struct ZoneLoad {
-    /// Pieces that want the zone.
+    /// Waiting pieces of orders whose results are read in the zone.
     waiting: u32,
-    /// Usable targets of it, busy ones too.
+    /// Usable targets in the zone, including busy ones.
     targets: u32,
 }
 
@@ -63,8 +64,8 @@
     // ------------------------------------------------------------------------
     // Targets
 
-    /// The idle targets that may be used, those with an overdue call last, then those first whose
-    /// zone the most urgent order wants, then the fastest.
+    /// The idle targets that may get a call: those with an overdue call last, then those in the zone of the
+    /// most urgent order first, then the fastest first.
     fn idle_targets(&self, now: Time, waiting: u32) -> Vec<IdleTarget> {
         let slots = self.spec.slots.max(1);
         let usable = || self.targets.iter().filter(|(_, target)| target.usable(now));
@@ -91,7 +92,7 @@
         idle
     }
 
-    /// The zone that the most urgent order wants.
+    /// The zone in which the results of the most urgent order are read.
     fn preferred_zone(&self) -> String {
         let urgent = self.orders.values().filter(|order| order.waiting > 0);
         urgent
@@ -100,8 +101,8 @@
             .unwrap_or_default()
     }
 
-    /// An idle target's share of what waits: pieces that want its zone are shared with the idle targets there,
-    /// all others with all idle targets.
+    /// The share of an idle target in the waiting pieces: those of its zone are divided among the idle
+    /// targets there, all others among all idle targets.
     fn fair_share(&self, now: Time, loads: &ZoneLoads, zone: &str, idle: usize, zone_peers: usize) -> f64 {
         let (mut local, mut remote) = (0, 0);
         for order in self.orders.values() {
@@ -128,9 +129,10 @@
         loads
     }
 
-    /// Whether an order may be made outside the zone that it wants. Its results or inputs would cross zones, and
-    /// inputs once for each piece, so it waits for a target of its zone for as long as it has the time. When
-    /// more waits for the zone than its targets take in their next calls, idle ones elsewhere help.
+    /// Whether an order may be computed outside its zone. Results or inputs would then cross zones, the
+    /// inputs once for each piece, so an order waits for a target of its zone as long as it has time. If
+    /// more pieces wait for the zone than the next calls of its targets hold, idle targets of other zones
+    /// may take them.
     fn may_spill(&self, now: Time, loads: &ZoneLoads, order: &QueuedOrder) -> bool {
         let zone = &order.order.zone;
         if zone.is_empty() || now + self.call_time(self.spec.batch).scale(2.0) > order.order.due {
@@ -140,7 +142,7 @@
         local.waiting > local.targets * self.spec.batch.max(1)
     }
 
-    /// When an order is to be taken; the lower, the sooner.
+    /// The scheduling key of an order; the lowest is scheduled first.
     fn urgency(&self, now: Time, order: &QueuedOrder) -> (Time, Time) {
         let rank = Span(RANK_PENALTY.0 * u64::from(order.order.rank));
         let late = now + self.call_time(1) > order.order.due;
@@ -148,7 +150,7 @@
         (order.order.due + rank + penalty, order.submitted_at)
     }
 
-    /// The orders with pieces that `target` may make now, the most urgent first.
+    /// The orders with pieces that `target` may compute now, the most urgent first.
     fn eligible(&self, now: Time, loads: &ZoneLoads, target: &IdleTarget) -> Vec<OrderKey> {
         let local = |order: &QueuedOrder| order.order.zone == target.zone || order.order.zone.is_empty();
         let mut waiting: Vec<OrderKey> = self
@@ -160,7 +162,8 @@
         waiting.sort_by_cached_key(|key| {
             let order = &self.orders[*key];
             let (at, submitted_at) = self.urgency(now, order);
-            // Large results stay in the zone where they are read when something else can fill the call.
+            // Prefer orders of the zone of the target, so that large results stay in the zone where they
+            // are read.
             (if local(order) { at } else { at + RANK_PENALTY }, submitted_at)
         });
         waiting
@@ -186,7 +189,8 @@
             }
             for piece in 0..order.pieces.len() {
                 let full = items.len() as u32 >= self.spec.batch.max(1);
-                // An order that was begun is taken whole: its pieces read the same inputs.
+                // An order whose first piece is in the call is taken whole, since its pieces read the same
+                // inputs.
                 let begun = items.last().is_some_and(|item: &BatchItem| item.order == key);
                 if full || (items.len() as u32 >= size && !begun) {
                     return items;
--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -1,133 +1,135 @@
-//! Orders for pieces, calls with pieces of several orders, and what becomes of both.
+//! Orders of pieces, batch calls with pieces of several orders, and the outcomes of both.
 
 use crate::{CallFingerprint, Span, Time};
 use serde::{Deserialize, Serialize};
 
 slotmap::new_key_type! {
-    /// An order that is waiting or at work.
+    /// Identifies an order that is waiting or in progress.
     pub struct OrderKey;
-    /// A call to a target.
+    /// Identifies a batch call to a target.
     pub struct BatchKey;
 }
 
-/// Pieces of one stage of one request, to be made.
+/// The pieces of one stage of one request that are to be computed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceOrder {
     /// The request's id.
     pub request: String,
-    /// What the request has in common with other tries of the same call.
+    /// The fingerprint that all tries of the same call share.
     pub print: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
     /// How many pieces; they are counted from 0.
     pub pieces: u32,
-    /// What pieces without inputs work on; empty otherwise.
+    /// The key that pieces without inputs are computed from; empty for pieces with inputs.
     pub key: String,
-    /// The results that each piece needs.
+    /// The handles of the results that each piece reads.
     pub inputs: Vec<String>,
-    /// When the request is given up.
+    /// The time at which the request fails.
     pub deadline: Time,
-    /// When the stage should be done for the request to be in time.
+    /// The time at which the stage should be done for the request to meet its deadline.
     pub due: Time,
-    /// The request's priority; 0 is the most important.
+    /// The priority of the request; 0 is the highest.
     pub rank: u8,
     /// The approximate size of one result, in bytes.
     pub bytes: u64,
-    /// The approximate size of all results that each piece needs, in bytes.
+    /// The approximate total size of the inputs of each piece, in bytes.
     pub input_bytes: u64,
-    /// The zone where the results will be read; empty when it does not matter.
+    /// The availability zone in which the results will be read; empty when any zone will do.
     pub zone: String,
 }
 
-/// What became of one piece of a call.
+/// The outcome of one piece of a batch call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// It was made.
+    /// The piece was computed; the handle of its result.
     Computed(String),
-    /// Its time was over when its turn came.
+    /// The deadline had passed before the target started on the piece.
     Expired,
-    /// One of its inputs is gone.
+    /// An input is no longer stored.
     InputsGone,
-    /// The target has no room for the result.
+    /// The target has no memory left for the result.
     NoCapacity,
-    /// It failed otherwise.
+    /// The piece failed for another reason.
     Failed,
 }
 
-/// What became of a call.
+/// The outcome of a batch call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchOutcome {
-    /// Answered, with one outcome for each of its items.
+    /// Answered, with one outcome for each piece of the call.
     Done(Vec<PieceOutcome>),
-    /// The target said that it did not run it.
+    /// The target reported that it did not run the call.
     Refused {
-        /// Whether its address belongs to another target now.
+        /// Whether the address now belongs to another target.
         misdirected: bool,
     },
-    /// Nothing of it was written.
+    /// No byte of the request was written.
     Unreachable,
-    /// Something was written, and no whole answer came back.
+    /// Part of the request was written, and no complete answer was received.
     BrokenOff,
-    /// The same, and the target has ended.
+    /// Like `BrokenOff`, and the target has crashed.
     TargetCrashed,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// Every piece was made; the handles in order.
+    /// Every piece was computed; the handles of the results by piece index.
     #[serde(rename = "Made")]
     Computed(Vec<String>),
-    /// Inputs are gone.
+    /// Inputs are no longer stored.
     InputsGone,
-    /// It cannot be made in time; when to come back.
+    /// The order cannot be completed by its deadline; the time after which to retry.
     TooLate(Span),
-    /// Another node owns the pool now; nothing of the order was begun here.
+    /// Another node now owns the pool, and no piece of the order was started here.
     Moved,
-    /// Pieces failed too often.
+    /// A piece failed too often, or too many targets crashed while computing pieces of the order.
     Failed,
 }
 
-/// One piece of a call, by the order that it belongs to.
+/// A piece of a batch call, identified by its order.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(super) struct BatchItem {
-    /// The order.
+    /// The order that it belongs to.
     pub(super) order: OrderKey,
-    /// Which piece of it.
+    /// The index of the piece in the order.
     pub(super) piece: u32,
 }
 
-/// One piece as it is asked of a target. It is a copy: the order may be withdrawn before the call is written, and the
-/// outcomes of an answer belong to the pieces of the call by their place alone.
+/// The request for one piece as it is sent to a target.
+///
+/// It copies the data of the order, because the order may be cancelled before the call is written, and the
+/// outcomes in an answer are matched to the pieces of the call by position alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PieceRequest {
     /// The request's id.
     pub request: String,
-    /// What the request has in common with other tries of the same call.
+    /// The fingerprint that all tries of the same call share.
     pub print: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
-    /// Which piece of it.
+    /// The index of the piece in the order.
     pub piece: u32,
-    /// How long the result is of use.
+    /// The time until the deadline of the request.
     pub time_left: Span,
-    /// What a piece without inputs works on; empty otherwise.
+    /// The key that a piece without inputs is computed from; empty for a piece with inputs.
     pub key: String,
-    /// The results that it needs.
+    /// The handles of the results that the piece reads.
     pub inputs: Vec<String>,
-    /// The approximate size of all of them, in bytes.
+    /// The approximate total size of the inputs, in bytes.
     pub input_bytes: u64,
 }
 
-/// A call that is to be made.
+/// A call with pieces of one or more orders that is to be sent to a target of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchCall {
-    /// The call.
+    /// Identifies the call in the queue.
     pub call: BatchKey,
-    /// The run of the target that is meant.
+    /// The id of the target.
     pub id: String,
-    /// Its address.
+    /// The address of the target.
     pub address: String,
-    /// The pieces; an answer has one outcome for each, in this order.
+    /// The requested pieces; an answer has one outcome for each, in the same order.
     pub pieces: Vec<PieceRequest>,
 }
--- a/crates/barleyspool_core/src/forward/piece_plan_update.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -1,4 +1,4 @@
-//! What a pool takes from a newer plan: its targets, and what is lost with those that run again.
+//! Applies a newer plan to the queue of a pool: its targets, and the results lost with restarted targets.
 
 use super::piece_queue::{Piece, QueuedOrder};
 use super::{
@@ -7,10 +7,11 @@
 use crate::{RateShare, Time};
 
 impl PieceQueue {
-    /// Takes a newer specification and the targets of the pool that this queue owns. A target that went over to
-    /// another shard gets nothing more from here, but its results can still be freed.
+    /// Applies a newer specification and the targets of the pool that this queue owns. A target that moved
+    /// to another shard gets no more calls from this queue, but its results can still be freed.
     ///
-    /// A target that runs again under its id is a new one, and what the run before it held is made again.
+    /// A target that has restarted under the same id is treated as new, and the results that its previous
+    /// incarnation held for open orders are computed again.
     pub fn apply_plan(
         &mut self,
         spec: &PoolSpec,
@@ -50,21 +51,22 @@
         }
     }
 
-    /// Takes what targets said of their limits, and what this node, of key `me`, may give out of the rates of the pool's targets.
+    /// Applies the rate limits that targets reported, in calls per second, and the share of the rates that
+    /// this node, identified by `me`, may use.
     pub fn apply_rates(&mut self, now: Time, share: RateShare, me: u64, limit: impl Fn(&str) -> Option<f64>) {
         for (id, target) in &mut self.targets {
             target.apply_rate(now, limit(id), share, me);
         }
     }
 
-    /// Takes until when each target wants nothing from this node.
+    /// Applies the time until which each target is in cooldown.
     pub fn apply_cooldowns(&mut self, rest_until: impl Fn(&str) -> Time) {
         for (id, target) in &mut self.targets {
             target.cooldown_until = rest_until(id);
         }
     }
 
-    /// A run of a target has ended, and its results with it.
+    /// Drops an incarnation of a target that has ended, with the results that it held.
     fn incarnation_ended(&mut self, id: &str, address: &str) {
         self.targets.remove(id);
         self.results.retain(|_, result| result.target != id);
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Ends orders whose inputs are gone by what is known, rather than let a call find it out. `lost` says whether a result
-    /// that was known at a time has gone since.
+    /// Ends waiting orders whose inputs are known to be lost, rather than have a call fail on them. `lost`
+    /// tells whether a result that existed at the given time has been lost since.
     pub fn fail_lost_inputs(&mut self, lost: impl Fn(&str, Time) -> bool) {
         let is_lost = |order: &QueuedOrder| {
             let inputs = &order.order.inputs;
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -1,9 +1,9 @@
-//! Pieces of many requests share the calls of one stage pool.
+//! The queue of a stage pool, which batches pieces of many requests into shared calls.
 //!
-//! A call to a pool's target costs a fixed time plus a little for each piece, so a pool holds several times
-//! as much when its calls are full. One node owns a pool (or a shard of a large one) and makes all its calls;
-//! the others hand it their orders. Two owners at once, after a cut or a death, cost time and never
-//! correctness: a piece may be made anew.
+//! A call to a target of a pool takes a fixed time plus a little for each piece, so the throughput of a
+//! pool is several times higher when its calls are full. One node owns a pool (or a shard of a large one)
+//! and makes all its calls; the other nodes send it their orders. Two owners at once, after a network
+//! partition or a crash, cost time but never correctness: at worst a piece is computed twice.
 
 use super::piece_order::BatchItem;
 use super::result_store::StoredResult;
@@ -15,12 +15,13 @@
 use slotmap::SlotMap;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// A piece that failed this often is given up.
+/// An order fails when one of its pieces has failed this often.
 const MAX_ATTEMPTS: u8 = 4;
-/// An order is given up when this many targets have ended under its pieces, the second time without any other pieces beside them.
+/// An order fails when this many targets have crashed while computing its pieces; after the first crash its
+/// pieces go into calls without those of other orders.
 const MAX_CRASHES: u8 = 2;
 
-/// How far one piece of an order is.
+/// The state of one piece of an order.
 #[derive(Clone, Debug)]
 pub(super) enum Piece {
     Waiting,
@@ -36,13 +37,14 @@
     attempts: Vec<u8>,
     pub(super) computed: u32,
     pub(super) waiting: u32,
-    /// Targets that ended under its pieces.
+    /// The number of targets that crashed while computing its pieces.
     crashes: u8,
 }
 
 impl QueuedOrder {
-    /// Whether its pieces go into calls without those of others: a target has ended under them, and if it was because of them, the
-    /// next one would end under all beside them too, and each of those would be suspected.
+    /// Whether its pieces go into calls without pieces of other orders. A target has crashed while
+    /// computing them; if they are the cause, pieces of other orders in the next call would fail with them
+    /// and be suspected too.
     pub(super) fn is_isolated(&self) -> bool {
         self.crashes > 0
     }
@@ -51,18 +53,18 @@
 #[derive(Clone, Debug)]
 pub(super) struct InFlightCall {
     pub(super) target: String,
-    /// The run of the target to which it was sent.
+    /// The incarnation of the target to which it was sent.
     pub(super) incarnation: TargetIncarnation,
     pub(super) items: Vec<BatchItem>,
     pub(super) started: Time,
     pub(super) expected: Span,
     reserved: u64,
-    /// What its target was known to keep before it.
+    /// The size of the results that the target was known to hold before the call, in bytes.
     stored_before: u64,
     pub(super) overdue: bool,
 }
 
-/// The pieces that wait for one pool, and the calls at its targets.
+/// The pieces that wait for one pool, and the calls in flight at its targets.
 #[derive(Clone, Debug, Default)]
 pub struct PieceQueue {
     pub(super) spec: PoolSpec,
@@ -71,15 +73,15 @@
     pub(super) targets: BTreeMap<String, PoolTarget>,
     pub(super) results: HashMap<String, StoredResult>,
     pub(super) ended: Vec<(OrderKey, OrderOutcome)>,
-    /// When pieces were made lately.
+    /// The times at which pieces were computed within the last `RATE_WINDOW`.
     pub(super) completions: VecDeque<Time>,
     pub(super) releasable: Vec<String>,
-    /// Time of calls over what the specification says, over all targets.
+    /// The ratio of the duration of calls to that in the specification, averaged over all targets.
     pub(super) slowdown: f64,
 }
 
 impl PieceQueue {
-    /// The queue of a pool without targets yet.
+    /// Creates the queue of a pool that has no targets yet.
     pub fn new(spec: PoolSpec) -> Self {
         Self {
             spec,
@@ -88,12 +90,12 @@
         }
     }
 
-    /// The targets, for operators.
+    /// The targets of the pool, for status output.
     pub fn targets(&self) -> impl Iterator<Item = &PoolTarget> {
         self.targets.values()
     }
 
-    /// Pieces that wait.
+    /// The number of waiting pieces.
     pub fn waiting(&self) -> u32 {
         self.orders.values().map(|order| order.waiting).sum()
     }
@@ -101,10 +103,10 @@
     // ------------------------------------------------------------------------
     // Orders
 
-    /// Takes an order, or says when to come back because it cannot be made by its deadline.
+    /// Queues an order, or refuses it when it cannot be completed by its deadline.
     ///
     /// # Errors
-    /// The time after which the same order should find room.
+    /// The time after which the pool should have capacity for the same order.
     pub fn submit(&mut self, now: Time, order: PieceOrder) -> Result<OrderKey, Span> {
         let wait = self.expected_wait(now, u64::from(order.pieces));
         if now + wait > order.deadline {
@@ -122,7 +124,8 @@
         }))
     }
 
-    /// The request does not need the order any more: what waits is dropped, what was made is given up.
+    /// Cancels an order that its request no longer needs: waiting pieces are dropped, and computed results
+    /// released.
     pub fn cancel(&mut self, key: OrderKey) {
         if let Some(order) = self.orders.remove(key) {
             let made = order.pieces.into_iter().filter_map(|piece| match piece {
@@ -133,14 +136,15 @@
         }
     }
 
-    /// Another node owns the pool now: orders of which nothing was begun go there. Two owners make small calls
-    /// to the same targets, which hold a fraction of what they hold with full ones.
+    /// Ends the orders of which no piece was started, because another node now owns the pool and is to get
+    /// them. Two owners would send small calls to the same targets, which have a fraction of the throughput
+    /// of full calls.
     pub fn hand_over(&mut self) {
         let untouched = |order: &QueuedOrder| order.waiting as usize == order.pieces.len();
         self.end_orders(untouched, &OrderOutcome::Moved);
     }
 
-    /// What an order asks for.
+    /// The order that was submitted under the key.
     pub fn order(&self, key: OrderKey) -> Option<&PieceOrder> {
         self.orders.get(key).map(|order| &order.order)
     }
@@ -148,7 +152,7 @@
     // ------------------------------------------------------------------------
     // Calls
 
-    /// The calls to make now.
+    /// The calls to send now.
     pub fn next_calls(&mut self, now: Time) -> Vec<BatchCall> {
         self.fail_late_orders(now);
         self.expire_results(now);
@@ -197,7 +201,7 @@
     }
 
     fn piece_request(&self, now: Time, item: BatchItem) -> PieceRequest {
-        // The item was taken from the order a moment ago, so the order is there.
+        // The item was just selected from this order, so the order exists.
         let order = &self.orders[item.order].order;
         PieceRequest {
             request: order.request.clone(),
@@ -211,14 +215,14 @@
         }
     }
 
-    /// A call ended. Returns whether its connection is of use again: an answer that is none of this call may be
-    /// followed by the one that is.
+    /// Handles the end of a call. Returns whether its connection may be reused: after an answer that does
+    /// not belong to this call, the right one may still follow on the connection.
     pub fn call_ended(&mut self, now: Time, key: BatchKey, outcome: BatchOutcome) -> bool {
         let Some(call) = self.calls.remove(key) else {
             return false;
         };
         if let Some(target) = self.target_of(&call) {
-            // The place of an overdue call was given away when it became overdue.
+            // The slot of an overdue call was released when the call became overdue.
             target.in_flight = target.in_flight.saturating_sub(u32::from(!call.overdue));
             target.stored_bytes = target.stored_bytes.saturating_sub(call.reserved);
         }
@@ -243,7 +247,7 @@
                 self.requeue(&call, true);
                 false
             }
-            // An answer that is none of this call says as little of its pieces as none at all.
+            // An answer that does not belong to this call says nothing about its pieces, like a missing one.
             BatchOutcome::Done(_) | BatchOutcome::BrokenOff => {
                 self.update_target(&call, |target| target.record_failure(now));
                 self.requeue(&call, true);
@@ -252,7 +256,8 @@
         }
     }
 
-    /// A target ended under a call. Which of its orders did it, if any, shows when each is made without the others.
+    /// Counts a crash of a target against all orders of a call. Which of them caused it, if any, shows when
+    /// the pieces of each are computed without those of the others.
     fn count_crash(&mut self, call: &InFlightCall) {
         let orders: HashSet<OrderKey> = call.items.iter().map(|item| item.order).collect();
         for key in orders {
@@ -272,15 +277,16 @@
         }
     }
 
-    /// The target of a call, when it still is in the run to which the call was sent: what an earlier run did says nothing of
-    /// a later one.
+    /// The target of a call, if it is still the incarnation to which the call was sent: what an earlier
+    /// incarnation did says nothing about a later one.
     fn target_of(&mut self, call: &InFlightCall) -> Option<&mut PoolTarget> {
         let target = self.targets.get_mut(&call.target);
         target.filter(|target| target.entry.incarnation == call.incarnation)
     }
 
-    /// Whether an answer can belong to a call: one outcome for each piece, and no result that an earlier answer
-    /// named. Nothing else ties the two together but their connection, on which a target may send an answer twice.
+    /// Whether an answer can belong to a call: it has one outcome for each piece, and no result that an
+    /// earlier answer named. Only the connection ties the two together otherwise, and a target may send an
+    /// answer twice on it.
     fn matches_call(&self, call: &InFlightCall, outcomes: &[PieceOutcome]) -> bool {
         let mut seen = HashSet::new();
         let is_new = |outcome: &PieceOutcome| match outcome {
@@ -294,7 +300,8 @@
         let base = self.call_time(call.items.len() as u32).0.max(1) as f64;
         let relative = now.since(call.started).0 as f64 / base;
         self.update_target(call, |target| target.record_answer(now, relative));
-        // The slowdown of the whole pool changes slowly and little, so that one slow target does not look normal.
+        // The slowdown of the whole pool changes slowly and little, so that one slow target does not look
+        // normal.
         self.slowdown = (self.slowdown * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
         let mut made = 0;
         let mut refused: Option<u64> = None;
@@ -334,13 +341,13 @@
                 let come_back = self.expected_wait(now, 1);
                 self.end_order(item.order, OrderOutcome::TooLate(come_back));
             }
-            // That is no fault of the piece: it waits for room elsewhere.
+            // The piece did not fail; it waits until a target has memory for its result.
             PieceOutcome::NoCapacity => self.requeue_item(item, false),
             PieceOutcome::Failed => self.requeue_item(item, true),
         }
     }
 
-    /// Notes a result; false when the piece had one already.
+    /// Records the result of a piece. Returns false when the piece already had one or is no longer needed.
     fn record_piece(&mut self, now: Time, item: &BatchItem, handle: &str) -> bool {
         let Some(order) = self.orders.get_mut(item.order) else {
             return false;
@@ -375,7 +382,7 @@
         }
     }
 
-    /// Ends the orders that `ends` names.
+    /// Ends the orders that `selects` returns true for.
     pub(super) fn end_orders(&mut self, selects: impl Fn(&QueuedOrder) -> bool, end: &OrderOutcome) {
         let ended = self.orders.iter().filter(|(_, order)| selects(order));
         let keys: Vec<OrderKey> = ended.map(|(key, _)| key).collect();
@@ -385,7 +392,7 @@
     }
 
     fn requeue(&mut self, call: &InFlightCall, failed: bool) {
-        // An overdue call was put back when it became overdue.
+        // The pieces of an overdue call were requeued when the call became overdue.
         if call.overdue {
             return;
         }
@@ -410,7 +417,7 @@
         }
     }
 
-    /// Orders that have ended since the last time.
+    /// Takes the orders that have ended since the last call of this method.
     pub fn take_ended(&mut self) -> Vec<(OrderKey, OrderOutcome)> {
         std::mem::take(&mut self.ended)
     }
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -1,17 +1,17 @@
-//! What time does to orders and calls: calls become overdue, orders too late.
+//! Timeouts of calls and orders: calls become overdue, and orders can no longer meet their deadlines.
 
 use super::piece_queue::InFlightCall;
 use super::{BatchKey, OrderKey, OrderOutcome, PieceQueue};
 use crate::{Span, Time};
 
-/// A call is overdue after this many times its expected time.
+/// A call is overdue after this many times its expected duration.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// And never before this much beyond it.
+/// A call is never overdue before this much beyond its expected duration.
 const MIN_OVERDUE_MARGIN: Span = Span::from_millis(60);
 
 impl PieceQueue {
-    /// Puts back the pieces of calls that take far too long, and gives their places at the targets to others: the
-    /// answer may be lost. Late results still count.
+    /// Requeues the pieces of overdue calls and releases their slots at the targets, since the answer may
+    /// be lost. Results that arrive later are still used.
     pub fn tick(&mut self, now: Time) {
         let overdue: Vec<BatchKey> = self
             .calls
@@ -32,7 +32,7 @@
         }
     }
 
-    /// When [`PieceQueue::tick`] or [`PieceQueue::next_calls`] has something to do, if nothing happens before.
+    /// When [`PieceQueue::tick`] or [`PieceQueue::next_calls`] should run next if no other event comes first.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let overdue = self
             .calls
--- a/crates/barleyspool_core/src/forward/planned_stop.rs
+++ b/crates/barleyspool_core/src/forward/planned_stop.rs
@@ -1,36 +1,40 @@
-//! What a node does from the moment it is asked to stop until its process may end.
+//! The graceful shutdown of a node, from the request to stop until its process may end.
 //!
-//! A call is done when its caller has the answer, not when this node has made it. So a stop counts open connections of
-//! callers, and ends when there are none. See docs/DESIGN.md, "A planned stop".
+//! A call is complete when its caller has the answer, not when this node has written it. A stop therefore
+//! counts the open connections of callers, and ends when there are none. See docs/DESIGN.md, "A planned
+//! stop".
 
 use crate::{Span, Time};
 
-/// How long connections at rest may still bring a call after the last connection was taken. A caller that was connected sends
-/// its call at once, so this covers its way and a thread that is kept from running for a while.
+/// How long idle connections may still carry a new call after the last connection was accepted. A caller
+/// sends its call right after connecting, so this covers the network delay and a thread that is not
+/// scheduled for a while.
 const LATE_CALL_WINDOW: Span = Span::from_millis(200);
-/// How long before the end what is not done is answered with what became of it: time for a refusal to be written and read,
-/// also on a node that gets a tenth of a core.
+/// How long before the end of the stop unfinished calls are answered with a refusal: time for it to be
+/// written and read, even on a node that gets only a tenth of a core.
 const ABORT_LEAD: Span = Span::from_millis(300);
 
-/// What a node does with calls and connections.
+/// A phase of the stop: how the node treats calls and connections.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop was asked for.
+    /// No stop was requested.
     #[default]
     Serving,
-    /// Calls and connections are taken as before, since callers keep addresses; each answer closes its connection.
+    /// Calls and connections are accepted as before, since callers cache addresses; each answer closes its
+    /// connection.
     Leaving,
-    /// The listener is to be closed: connections that wait are taken, then no more. Open ones may still bring a call.
+    /// The listener closes after the waiting connections were accepted. Open connections may still carry a
+    /// new call.
     Closing,
-    /// What was taken is finished; connections at rest are closed, and a call that comes now is refused.
+    /// Accepted calls are completed, idle connections are closed, and new calls are refused.
     Draining,
-    /// Whatever is not done is answered with what became of it.
+    /// Each unfinished call is answered with a refusal that says what is known of it.
     Aborting,
     /// The process may end.
     Finished,
 }
 
-/// A planned stop, stepped by time and by what is still open.
+/// A planned stop, whose phase follows from the time and the open connections.
 #[derive(Copy, Clone, Debug)]
 pub struct PlannedStop {
     started_at: Time,
@@ -40,7 +44,8 @@
 }
 
 impl PlannedStop {
-    /// A stop was asked for: connections are taken for `accept_for`, and the process ends after `end` at the latest.
+    /// Starts a stop: connections are accepted for `accept_for`, and the process ends after `max_duration`
+    /// at the latest.
     pub fn new(now: Time, accept_for: Span, max_duration: Span) -> Self {
         Self {
             started_at: now,
@@ -50,23 +55,24 @@
         }
     }
 
-    /// Every connection that had been made was taken, and no new one can be made.
+    /// Records that the listener is closed: every established connection was accepted, and no new one is
+    /// possible.
     pub fn listener_closed(&mut self, now: Time) {
         self.listener_closed_at.get_or_insert(now);
     }
 
-    /// When the last answers are given: no call that is taken during the stop may last longer.
+    /// The time at which unfinished calls are aborted; no call accepted during the stop may last longer.
     pub fn abort_at(&self) -> Time {
         self.started_at + Span(self.max_duration.0.saturating_sub(ABORT_LEAD.0))
     }
 
-    /// The phase at `now`, while `open` connections of callers are open.
+    /// The phase at `now`, with `open` connections of callers still open.
     pub fn phase(&self, now: Time, open: usize) -> StopPhase {
         if now >= self.started_at + self.max_duration {
             return StopPhase::Finished;
         }
         match self.listener_closed_at {
-            // Connections that nobody has taken yet are not among the open ones.
+            // Connections that were not accepted yet are not counted in `open`.
             Some(closed) if now >= closed + LATE_CALL_WINDOW && open == 0 => StopPhase::Finished,
             _ if now >= self.abort_at() => StopPhase::Aborting,
             Some(closed) if now >= closed + LATE_CALL_WINDOW => StopPhase::Draining,
--- a/crates/barleyspool_core/src/forward/pool_shards.rs
+++ b/crates/barleyspool_core/src/forward/pool_shards.rs
@@ -1,26 +1,28 @@
-//! How the targets of a stage pool are split over owners.
+//! Splits the targets of a stage pool into shards with one owner node each.
 //!
-//! Results of stages are large, and cost when they cross zones, so a pool of many targets is split by zone: one owner makes
-//! the calls at the targets of one zone, and a request's stages stay in a zone as long as its targets can take its share.
+//! Stage results are large and costly to move across zones, so a pool of many targets is split by zone: one
+//! owner makes the calls to the targets of a zone, or of a part of it, and the stages of a request stay in
+//! one zone as long as its targets have capacity for their share.
 
 use super::{TargetEntry, TargetTable};
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// A pool with more targets than this is split; so are the targets of one zone.
+/// A pool with more targets than this is split by zone, and a zone with more than this into several shards.
 const MAX_SHARD_TARGETS: usize = 16;
-/// Mixed into the key of a request for the choice whether it stays in its zone.
+/// Salt of the request key for deciding whether the request stays in its zone.
 const STAY_SALT: u128 = 0x57a4;
-/// Mixed into it for the choice of another zone.
+/// Salt of the request key for choosing another zone.
 const AWAY_SALT: u128 = 0xa3a4;
 
-/// A part of a pool's targets, with an owner of its own.
+/// A part of the targets of a pool, with its own owner node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PoolShard {
-    /// The same on all nodes and for as long as the zone has so many targets; zero for a pool that is not split.
+    /// The id, which is the same on all nodes and stays while the number of shards of the zone does; zero
+    /// for a pool that is not split.
     id: u32,
     zone: String,
-    /// Its targets that may get work.
+    /// The number of its targets that may get work.
     working: u32,
 }
 
@@ -28,13 +30,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolShards {
     shards: Vec<PoolShard>,
-    /// Into how many shards the targets of each zone are split; empty for a pool that is not split.
+    /// The number of shards of each zone; empty for a pool that is not split.
     zones: BTreeMap<String, u32>,
     working: u32,
 }
 
 impl PoolShards {
-    /// The shards of the pool of that name, as listed.
+    /// Splits the pool of the service with that name by its listed targets.
     pub(super) fn new(table: &TargetTable, service: &str) -> Self {
         let entries = || table.values().filter(|entry| entry.service == service);
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The shard to which a listed target of the pool belongs.
+    /// The id of the shard to which a listed target of the pool belongs.
     pub fn shard_of(&self, entry: &TargetEntry) -> u32 {
         let Some(parts) = self.zones.get(&entry.zone) else {
             return 0;
@@ -92,7 +94,7 @@
         zone_shard(&entry.zone, part as u32)
     }
 
-    /// Whether there is such a shard.
+    /// Whether there is a shard with that id.
     pub fn contains(&self, id: u32) -> bool {
         self.shards.iter().any(|shard| shard.id == id)
     }
@@ -103,18 +105,20 @@
         shard.map_or("", |shard| &shard.zone)
     }
 
-    /// The part of its working targets that lies in a zone.
+    /// The share of the working targets of the pool that are in a zone, from 0 to 1.
     fn target_share(&self, zone: &str) -> f64 {
         let of_zone = self.shards.iter().filter(|shard| shard.zone == zone);
         let working: u32 = of_zone.map(|shard| shard.working).sum();
         f64::from(working) / f64::from(self.working.max(1))
     }
 
-    /// The shard that makes the pieces of a request with that key whose inputs, or whose next step, lie in zone `near`.
+    /// The id of the shard that computes the pieces of a request with that key whose inputs, or whose next
+    /// step, are in the zone `near`.
     ///
-    /// `arrival_share` is the part of all requests that arrival_share from that zone. What goes beyond the zone's part of the targets is
-    /// given to the others by theirs: with the same number of calls each, a shard of 7 targets of 42 had 1,170 pieces waiting
-    /// while the others were idle for a quarter of the time.
+    /// `arrival_share` is the share of all requests that come from that zone, from 0 to 1. Requests beyond
+    /// the share of the zone in the targets are distributed over the other zones in proportion to their
+    /// targets: when each shard got the same number of calls, a shard of 7 of 42 targets had 1,170 pieces
+    /// waiting while the others were idle for a quarter of the time.
     pub fn pick(&self, key: u128, near: &str, arrival_share: f64) -> u32 {
         let local_share = self.target_share(near);
         let stays = local_share > 0.0 && rendezvous::even(key ^ STAY_SALT, 0) * arrival_share <= local_share;
@@ -122,7 +126,7 @@
             .shards
             .iter()
             .any(|shard| shard.zone != near && shard.working > 0);
-        // Another key, or whoever leaves the zone that the key picked would be sent back there.
+        // A different key is needed, since the same one could pick the zone that the request just left.
         let key = if stays { key } else { key ^ AWAY_SALT };
         let wanted = |shard: &&PoolShard| (shard.zone == near) == (stays || !elsewhere);
         let candidates = self.shards.iter().filter(wanted);
--- a/crates/barleyspool_core/src/forward/prefix_tracker.rs
+++ b/crates/barleyspool_core/src/forward/prefix_tracker.rs
@@ -1,11 +1,11 @@
-//! Which shared beginnings of prompts an engine most likely still holds.
+//! Tracks which shared prompt prefixes an engine most likely still has in its cache.
 
 use crate::{Span, Time};
 use std::collections::HashMap;
 
-/// A prefix that was not used for this long is no longer reckoned with.
+/// A prefix that was not sent for this long counts as evicted.
 const PREFIX_TTL: Span = Span::from_secs(30);
-/// Entries above which old ones are dropped.
+/// The number of entries from which expired ones are dropped.
 const MAX_PREFIXES: usize = 4096;
 
 #[derive(Copy, Clone, Debug)]
@@ -14,15 +14,16 @@
     tokens: u32,
 }
 
-/// Prefixes that this node sent to one engine, with when it last did. A hint only: the engine may have
-/// dropped them, or hold others that other nodes sent.
+/// The prefixes that this node sent to one engine, and when it last did.
+///
+/// This is only a hint: the engine may have evicted them, or hold others that other nodes sent.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixTracker {
     sent: HashMap<u64, SentPrefix>,
 }
 
 impl PrefixTracker {
-    /// Notes that the engine reads `prefix` now.
+    /// Records that the engine gets `prefix`, of the given number of tokens, now.
     pub fn record(&mut self, now: Time, prefix: u64, tokens: u32) {
         if self.sent.len() >= MAX_PREFIXES {
             self.sent
@@ -37,8 +38,8 @@
         );
     }
 
-    /// Whether the engine most likely holds `prefix`: it was sent there, and since then not so much else
-    /// that `memory` tokens were filled up.
+    /// Whether the engine most likely holds `prefix`: it was sent there recently, and the prefixes sent
+    /// since then fill less than half of its memory of `memory_tokens` tokens.
     pub fn holds(&self, now: Time, prefix: u64, memory_tokens: u64) -> bool {
         let Some(known) = self.sent.get(&prefix) else {
             return false;
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -1,16 +1,16 @@
-//! The results that a pool's targets keep, until somebody gives them up.
+//! Tracks the results that the targets of a pool hold until they are released.
 
 use super::PieceQueue;
 use super::wait_estimate::RATE_WINDOW;
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// A result that was made here. It is remembered until its maker drops it by itself, also when it has been freed: an
-/// answer that names it again is the repetition of an old one.
+/// A result that was computed for this queue. The record stays until the holder of the result drops it on
+/// its own, even if the result is freed before: an answer that names the result again repeats an old one.
 #[derive(Clone, Debug)]
 pub(super) struct StoredResult {
     pub(super) target: String,
-    /// The room that it takes at its maker; none once it has been freed.
+    /// The memory that it takes at its holder, in bytes; zero once it has been freed.
     pub(super) bytes: u64,
     pub(super) expires_at: Time,
 }
@@ -29,20 +29,21 @@
         self.results.insert(handle.to_owned(), result);
     }
 
-    /// Results that nobody needs any more.
+    /// Releases results that are no longer needed.
     pub fn release(&mut self, handles: Vec<String>) {
         self.releasable.extend(handles);
     }
 
-    /// The results to be freed: address and id of their maker, and their handles. A maker that limits what it takes is told only when it has
-    /// room for it and no piece waits; else its results go by themselves after their time.
+    /// Takes the results to be freed now: address and id of their holder, and their handles. A rate-limited
+    /// holder gets a request to free results only when its rate allows one and no piece waits; otherwise
+    /// its results expire.
     pub fn take_releasable(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
         let has_waiting = self.waiting() > 0;
         let mut by_holder: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
         for handle in std::mem::take(&mut self.releasable) {
             let holder = match self.results.get(&handle) {
                 Some(result) => Some(result.target.clone()),
-                // Made for another owner of the pool; the handle tells by whom.
+                // Computed for another owner of the pool; the handle names the holder.
                 None => self.holder_of(&handle),
             };
             let Some(id) = holder else { continue };
@@ -64,7 +65,7 @@
             .collect()
     }
 
-    /// Their maker has freed them: only now is there room.
+    /// Records that the holder has freed results; only now is their memory available again.
     pub fn mark_freed(&mut self, handles: &[String]) {
         for handle in handles {
             let Some(result) = self.results.get_mut(handle) else {
@@ -86,7 +87,7 @@
         holder.map(|(id, _)| id.clone())
     }
 
-    /// Whether results wait to be freed.
+    /// Whether released results wait to be freed.
     pub fn has_releasable(&self) -> bool {
         !self.releasable.is_empty()
     }
@@ -110,7 +111,7 @@
     }
 }
 
-/// The address of the target that made a result: a handle names it before its first slash.
+/// The address of the target that holds a result, which is the part of the handle before the first slash.
 pub fn handle_address(handle: &str) -> &str {
     handle.split('/').next().unwrap_or_default()
 }
--- a/crates/barleyspool_core/src/forward/stage_progress.rs
+++ b/crates/barleyspool_core/src/forward/stage_progress.rs
@@ -1,18 +1,18 @@
-//! The stages of one call: which may start, whose results are still needed.
+//! Tracks the stages of one call: which may start, and whose results are still needed.
 
 use super::StageSpec;
 
-/// How often the results of a call may be lost and made anew.
+/// How often lost results of a call may be computed again before the call fails.
 const MAX_RECOMPUTATIONS: u32 = 2;
 
-/// A stage that starts now.
+/// A stage that is to start now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyStage {
-    /// Its place in the route.
+    /// The index of the stage in the route.
     pub stage: usize,
-    /// How many pieces it has.
+    /// The number of pieces.
     pub pieces: u32,
-    /// The results that each of its pieces needs.
+    /// The handles of the results that each piece reads.
     pub inputs: Vec<String>,
 }
 
@@ -23,7 +23,7 @@
     Done(Vec<String>),
 }
 
-/// The stages of one call.
+/// The progress of the stages of one call.
 #[derive(Clone, Debug)]
 pub struct StageProgress {
     specs: Vec<StageSpec>,
@@ -34,7 +34,8 @@
 }
 
 impl StageProgress {
-    /// The stages of a route with the pieces that a call names; a stage that it does not name has one.
+    /// Tracks the stages of a route with the number of pieces that the call states for each; a stage that
+    /// it does not mention has one.
     pub fn new(specs: &[StageSpec], pieces: &[u32]) -> Self {
         let pieces: Vec<u32> = (0..specs.len())
             .map(|stage| pieces.get(stage).copied().unwrap_or(1))
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes the stages that are to start now; each is named once.
+    /// Starts the stages that are ready and returns them; each stage is returned once.
     pub fn start_ready(&mut self) -> Vec<ReadyStage> {
         let ready: Vec<usize> = (0..self.specs.len())
             .filter(|&stage| self.states[stage] == StageState::Waiting && self.inputs(stage).is_some())
@@ -75,9 +76,10 @@
             .collect()
     }
 
-    /// Whether it is time for a stage whose inputs are there. One that is followed by fewer stages than another that is
-    /// still open would be done too early: its results would take room at their makers for as long as the longer
-    /// chain takes, and for nothing when that fails. The longest open chain is never held, so this cannot stall.
+    /// Whether a stage whose inputs are available may start now. A stage with fewer stages after it than
+    /// another open stage would be done too early: its results would occupy memory at their holders while
+    /// the longer chain runs, in vain if that fails. The longest open chain is never delayed, so this
+    /// cannot stall.
     fn may_start(&self, stage: usize) -> bool {
         let own = self.depth_after(stage);
         let open = |other: &usize| !matches!(self.states[*other], StageState::Done(_));
@@ -96,7 +98,8 @@
         Some(inputs)
     }
 
-    /// A stage is complete; returns the results that nobody needs any more.
+    /// Records that a stage is complete, with the handles of its results. Returns the handles of results
+    /// that are no longer needed.
     pub fn complete(&mut self, stage: usize, handles: Vec<String>) -> Vec<String> {
         self.states[stage] = StageState::Done(handles);
         let mut releasable = Vec::new();
@@ -114,8 +117,9 @@
         !self.is_final(stage) && dependents.all(|other| matches!(self.states[other], StageState::Done(_)))
     }
 
-    /// Inputs of `stage` are gone: everything it rests on is made anew. False when that has happened too
-    /// often. With no stage, the call itself found its inputs gone.
+    /// Resets a stage whose inputs are lost, and all stages it depends on, so that they are computed again.
+    /// Returns false when that has happened too often. `None` stands for the call itself, which found its
+    /// inputs lost.
     pub fn recompute(&mut self, stage: Option<usize>) -> bool {
         if self.recomputations >= MAX_RECOMPUTATIONS {
             return false;
@@ -144,7 +148,8 @@
             .all(|state| matches!(state, StageState::Done(_)))
     }
 
-    /// The results that the call itself needs: those of the stages that no other stage comes after.
+    /// The handles of the results that the call itself reads: those of the stages that no other stage
+    /// depends on.
     pub fn outputs(&self) -> Vec<String> {
         (0..self.specs.len())
             .filter(|&stage| self.is_final(stage))
@@ -152,7 +157,7 @@
             .collect()
     }
 
-    /// Every result that has not been given up yet.
+    /// The handles of all results that have not been released yet.
     pub fn unreleased(&self) -> Vec<String> {
         (0..self.specs.len())
             .filter(|&stage| !self.released[stage])
@@ -160,7 +165,7 @@
             .collect()
     }
 
-    /// How many stages come after `stage` on the longest chain from it to the call.
+    /// The number of stages after `stage` on the longest chain from it to the call.
     pub fn depth_after(&self, stage: usize) -> usize {
         let dependents =
             (stage + 1..self.specs.len()).filter(|&other| self.specs[other].needs.contains(&stage));
--- a/crates/barleyspool_core/src/forward/wait_estimate.rs
+++ b/crates/barleyspool_core/src/forward/wait_estimate.rs
@@ -1,21 +1,23 @@
-//! How long pieces wait for a pool.
+//! Estimates how long pieces wait for a pool.
 
 use super::{PieceQueue, PoolTarget};
 use crate::{Span, Time};
 
-/// The span over which the rate of made pieces is measured.
+/// The window over which the throughput of the pool in pieces is measured.
 pub(super) const RATE_WINDOW: Span = Span::from_millis(1000);
 
-/// What is reckoned with when this node may give out nothing of any target's rate yet: about when it hears who does.
+/// The estimated wait while this node may not yet use any share of the targets' rate limits: about the time
+/// until it learns which node may.
 const NO_RATE_WAIT: Span = Span::from_millis(1000);
 
 impl PieceQueue {
-    /// How long `more` pieces that came now would take to be made, waiting included.
+    /// The time until `more` pieces submitted now would be computed, including their wait.
     pub fn expected_wait(&self, now: Time, more: u64) -> Span {
         let available = |target: &&PoolTarget| target.is_available(now);
         let usable = self.targets.values().filter(available).count();
         if usable == 0 {
-            // A pool without targets may get some; until then a call's time is the best guess.
+            // A pool without usable targets may get some; until then the duration of a call is the best
+            // estimate.
             return self.shortest_cooldown(now)
                 + self.call_time(self.spec.batch)
                 + self.call_time(self.spec.batch);
@@ -37,7 +39,8 @@
         Span(busy) + queue + self.call_time(last)
     }
 
-    /// How long all targets that may get work still rest; zero when one of them does not.
+    /// The shortest remaining cooldown of the targets that may get work; zero if one of them is not in
+    /// cooldown or there are none.
     fn shortest_cooldown(&self, now: Time) -> Span {
         let working = self.targets.values();
         let working = working.filter(|target| target.owned && target.entry.accepts_work());
@@ -45,7 +48,8 @@
         cooldowns.min().unwrap_or_default()
     }
 
-    /// How long it takes until the rates of the targets have allowed so many calls. A target that nothing bounds takes one after the other.
+    /// The time until the rate limits of the targets have allowed `calls` calls. A target without a rate
+    /// limit counts as getting one call after the other.
     fn rate_limit_wait(&self, now: Time, calls: f64) -> Span {
         let working = || self.targets.values().filter(|target| target.is_available(now));
         if working().all(|target| target.rate(now).is_none()) {
@@ -59,14 +63,15 @@
             .min()
             .unwrap_or_default();
         if rate <= 0.0 {
-            // This node may give out nothing yet; a moment later it may, or another one does.
+            // This node may not use any share of the rates yet; soon it may, or another node will.
             return NO_RATE_WAIT;
         }
         first + Span(((calls.ceil() - 1.0).max(0.0) / rate * 1e6) as u64)
     }
 
-    /// How long what waits now takes at the rate at which pieces were made lately. It counts only when more
-    /// waits than a call holds, and has for a while: an idle pool makes few pieces because few come.
+    /// The time that the waiting pieces take at the recent throughput. It counts only when more pieces wait
+    /// than a call holds and the oldest order has waited for a whole window: an idle pool computes few
+    /// pieces because few are submitted.
     fn throughput_wait(&self, now: Time) -> Span {
         let waiting = self.waiting();
         let oldest = self.orders.values().map(|order| order.submitted_at).min();
@@ -83,7 +88,7 @@
         Span((f64::from(waiting) / rate * 1e6) as u64)
     }
 
-    /// The expected time of a call with `pieces` pieces.
+    /// The expected duration of a call with `pieces` pieces.
     pub fn call_time(&self, pieces: u32) -> Span {
         (self.spec.call_overhead + Span(self.spec.piece_time.0 * u64::from(pieces))).scale(self.slowdown)
     }
