--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -16,7 +16,8 @@
     /// The request's id.
     pub request: String,
     /// The fingerprint that all tries of the same call share.
-    pub print: CallFingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
     /// How many pieces; they are counted from 0.
@@ -106,7 +107,7 @@
     /// The request's id.
     pub request: String,
     /// The fingerprint that all tries of the same call share.
-    pub print: CallFingerprint,
+    pub fingerprint: CallFingerprint,
     /// The stage's place in the route.
     pub stage: u32,
     /// The index of the piece in the order.
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -205,7 +205,7 @@
         let order = &self.orders[item.order].order;
         PieceRequest {
             request: order.request.clone(),
-            print: order.print,
+            fingerprint: order.fingerprint,
             stage: order.stage,
             piece: item.piece,
             time_left: order.deadline.since(now),
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -226,7 +226,7 @@
     let requests = call
         .pieces
         .iter()
-        .map(|piece| (piece.request.as_str(), piece.print));
+        .map(|piece| (piece.request.as_str(), piece.fingerprint));
     for request in requests.collect::<HashSet<_>>() {
         traffic.ends.ended_under(traffic, &call.id, request);
     }
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -202,7 +202,7 @@
     let later = Span(call.stage_time().0 * depth as u64) + call.first_time();
     PieceOrder {
         request: call.head.id.clone(),
-        print: call.print,
+        fingerprint: call.print,
         stage: ready.stage as u32,
         pieces: ready.pieces,
         key: if first {
