--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -128,11 +128,11 @@
     /// released.
     pub fn cancel(&mut self, key: OrderKey) {
         if let Some(order) = self.orders.remove(key) {
-            let made = order.pieces.into_iter().filter_map(|piece| match piece {
+            let computed = order.pieces.into_iter().filter_map(|piece| match piece {
                 Piece::Computed(handle) => Some(handle),
                 _ => None,
             });
-            self.releasable.extend(made);
+            self.releasable.extend(computed);
         }
     }
 
@@ -303,12 +303,12 @@
         // The slowdown of the whole pool changes slowly and little, so that one slow target does not look
         // normal.
         self.slowdown = (self.slowdown * (1.0 + 0.02 * (relative.min(1.5) - 1.0))).clamp(0.3, 3.0);
-        let mut made = 0;
+        let mut computed = 0;
         let mut refused: Option<u64> = None;
         for (item, outcome) in call.items.iter().zip(outcomes) {
             let bytes = self.orders.get(item.order).map_or(0, |order| order.order.bytes);
             match outcome {
-                PieceOutcome::Computed(_) => made += bytes,
+                PieceOutcome::Computed(_) => computed += bytes,
                 PieceOutcome::NoCapacity => refused = Some(refused.map_or(bytes, |least| least.min(bytes))),
                 _ => {}
             }
@@ -338,8 +338,8 @@
             }
             PieceOutcome::InputsGone => self.end_order(item.order, OrderOutcome::InputsGone),
             PieceOutcome::Expired => {
-                let come_back = self.expected_wait(now, 1);
-                self.end_order(item.order, OrderOutcome::TooLate(come_back));
+                let retry_after = self.expected_wait(now, 1);
+                self.end_order(item.order, OrderOutcome::TooLate(retry_after));
             }
             // The piece did not fail; it waits until a target has memory for its result.
             PieceOutcome::NoCapacity => self.requeue_item(item, false),
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -69,8 +69,8 @@
             .map(|(key, _)| key)
             .collect();
         for key in late {
-            let come_back = self.expected_wait(now, 1);
-            self.end_order(key, OrderOutcome::TooLate(come_back));
+            let retry_after = self.expected_wait(now, 1);
+            self.end_order(key, OrderOutcome::TooLate(retry_after));
         }
     }
 }
