--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -315,8 +315,10 @@
             self.handle_piece_outcome(now, call, item, outcome);
         }
         if let Some(bytes) = refused {
-            let (room, known) = (self.spec.result_capacity, call.stored_before + made);
-            self.update_target(call, |target| target.record_no_capacity(now, room, known, bytes));
+            let (capacity, known) = (self.spec.result_capacity, call.stored_before + computed);
+            self.update_target(call, |target| {
+                target.record_no_capacity(now, capacity, known, bytes)
+            });
         }
     }
 
