--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -176,8 +176,8 @@
         target: &IdleTarget,
         size: u32,
     ) -> Vec<BatchItem> {
-        let room = |target: &PoolTarget| target.free_capacity(now, self.spec.result_capacity);
-        let mut room = self.targets.get(&target.id).map_or(0, room);
+        let free = |target: &PoolTarget| target.free_capacity(now, self.spec.result_capacity);
+        let mut free = self.targets.get(&target.id).map_or(0, free);
         let mut items = Vec::new();
         for key in self.eligible(now, loads, target) {
             let Some(order) = self.orders.get_mut(key) else {
@@ -195,10 +195,10 @@
                 if full || (items.len() as u32 >= size && !begun) {
                     return items;
                 }
-                if !matches!(order.pieces[piece], Piece::Waiting) || order.order.bytes > room {
+                if !matches!(order.pieces[piece], Piece::Waiting) || order.order.bytes > free {
                     continue;
                 }
-                room -= order.order.bytes;
+                free -= order.order.bytes;
                 order.pieces[piece] = Piece::InCall;
                 order.waiting -= 1;
                 items.push(BatchItem {
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -315,10 +315,8 @@
             self.handle_piece_outcome(now, call, item, outcome);
         }
         if let Some(bytes) = refused {
-            let (capacity, known) = (self.spec.result_capacity, call.stored_before + computed);
-            self.update_target(call, |target| {
-                target.record_no_capacity(now, capacity, known, bytes)
-            });
+            let (limit, held) = (self.spec.result_capacity, call.stored_before + computed);
+            self.update_target(call, |target| target.record_no_capacity(now, limit, held, bytes));
         }
     }
 
