--- a/crates/barleyspool_core/tests/forward_catalog.rs
+++ b/crates/barleyspool_core/tests/forward_catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, services, keys and versions of forwarded calls.
+//! The configuration of forwarded calls, the target list and the feed cursor.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_path_prefix_of_the_host_wins() {
     let routes = vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ];
-    let catalog = Catalog::build(document(1, routes)).expect("a right document");
+    let catalog = Catalog::build(document(1, routes)).expect("a valid document");
     let name = |host: &str, path: &str| catalog.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/x/y/z/1").as_deref(), Some("long"));
     assert_eq!(name("a.example", "/x/yy").as_deref(), Some("short"));
@@ -56,49 +56,49 @@
 }
 
 #[test]
-fn a_wrong_document_is_refused_whole_with_every_fault() {
-    let mut wrong = route("wrong", "a.example", "no-slash");
-    wrong.shares[0].service = "nobody".to_owned();
-    wrong.stages = vec![StageSpec {
+fn an_invalid_document_is_rejected_with_all_its_errors() {
+    let mut invalid = route("wrong", "a.example", "no-slash");
+    invalid.shares[0].service = "nobody".to_owned();
+    invalid.stages = vec![StageSpec {
         service: "plain".to_owned(),
         needs: vec![0],
         bytes: 1,
     }];
-    let faults = Catalog::build(document(1, vec![wrong])).expect_err("four faults");
-    assert_eq!(faults.len(), 4, "{faults:?}");
+    let errors = Catalog::build(document(1, vec![invalid])).expect_err("four errors");
+    assert_eq!(errors.len(), 4, "{errors:?}");
     assert!(
-        faults
+        errors
             .iter()
-            .any(|fault| matches!(fault, CatalogError::StageOrder { .. }))
+            .any(|error| matches!(error, CatalogError::StageOrder { .. }))
     );
     assert!(
-        faults
+        errors
             .iter()
-            .any(|fault| matches!(fault, CatalogError::NotAPool { .. }))
+            .any(|error| matches!(error, CatalogError::NotAPool { .. }))
     );
     assert!(
-        faults[0].to_string().contains("wrong"),
-        "the route is named: {}",
-        faults[0]
+        errors[0].to_string().contains("wrong"),
+        "the error names the route: {}",
+        errors[0]
     );
 }
 
 #[test]
-fn versions_only_rise_and_a_wrong_one_leaves_the_last() {
+fn versions_only_increase_and_an_invalid_document_keeps_the_current_one() {
     let mut store = CatalogStore::default();
-    let good = |version| document(version, vec![route("r", "a.example", "/")]);
-    assert_eq!(store.offer(good(5)), OfferResult::Accepted);
-    assert_eq!(store.offer(good(5)), OfferResult::Outdated);
-    assert_eq!(store.offer(good(4)), OfferResult::Outdated);
-    let mut wrong = good(9);
-    wrong.routes[0].shares.clear();
-    assert!(matches!(store.offer(wrong), OfferResult::Invalid(_)));
+    let valid = |version| document(version, vec![route("r", "a.example", "/")]);
+    assert_eq!(store.offer(valid(5)), OfferResult::Accepted);
+    assert_eq!(store.offer(valid(5)), OfferResult::Outdated);
+    assert_eq!(store.offer(valid(4)), OfferResult::Outdated);
+    let mut invalid = valid(9);
+    invalid.routes[0].shares.clear();
+    assert!(matches!(store.offer(invalid), OfferResult::Invalid(_)));
     assert_eq!(store.version(), Revision(5));
-    assert_eq!(store.offer(good(8)), OfferResult::Accepted);
+    assert_eq!(store.offer(valid(8)), OfferResult::Accepted);
 }
 
 #[test]
-fn a_key_that_was_taken_away_belongs_to_nobody() {
+fn a_removed_api_key_belongs_to_no_organisation() {
     let mut with_key = document(1, vec![route("r", "a.example", "/")]);
     with_key.organisations = vec![ForwardOrganisation {
         name: "ministry".to_owned(),
@@ -140,20 +140,21 @@
     assert!(store.apply(Time(0), Revision(9), vec![TargetChange::Put(entry("a", true))]));
     assert!(
         !store.replace(Time(0), Revision(8), table(&[entry("a", false)])),
-        "a peer was behind"
+        "the list of a node that is behind"
     );
     assert!(store.table["a"].leaving);
     assert!(
         !store.apply(Time(0), Revision(10), vec![TargetChange::Put(entry("a", true))]),
-        "nothing new"
+        "no change"
     );
     assert!(store.apply(Time(0), Revision(11), vec![TargetChange::Gone("a".to_owned())]));
     assert!(store.table.is_empty());
 }
 
-/// The store drops entries of targets that cannot write to it while it is away; those that live come back.
+/// Guards against losing live targets: the source removes the entries of targets that cannot renew them during an outage,
+/// and live targets write them again afterwards.
 #[test]
-fn entries_that_lapsed_while_the_source_was_away_stay_until_they_had_time_to_come_back() {
+fn entries_that_expire_during_a_source_outage_are_kept_for_a_grace_period() {
     let entry = |id: &str| TargetEntry {
         id: id.to_owned(),
         ..TargetEntry::default()
@@ -166,25 +167,28 @@
     store.source_recovered(at(10_000));
     assert!(
         !store.replace(at(10_000), Revision(5), table(&["d"])),
-        "three expired"
+        "three entries expired"
     );
     assert_eq!(ids(&store), ["a", "b", "c", "d"]);
     store.apply(at(10_500), Revision(6), vec![TargetChange::Put(entry("a"))]);
     store.apply(at(10_600), Revision(7), vec![TargetChange::Gone("d".to_owned())]);
     assert!(!store.expire(at(11_900)));
     assert_eq!(ids(&store), ["a", "b", "c", "d"]);
-    assert!(store.expire(at(12_000)), "those that did not come back are gone");
+    assert!(
+        store.expire(at(12_000)),
+        "entries that were not written again are removed"
+    );
     assert_eq!(ids(&store), ["a"]);
     assert!(
         store.apply(at(12_100), Revision(8), vec![TargetChange::Gone("a".to_owned())]),
-        "in calm times what is gone goes at once"
+        "without an outage a removed entry is dropped at once"
     );
 }
 
-/// A node that watched on after its watch was cut, when history had been dropped, kept an old version for
-/// seconds: the new watch heard nothing of what the old one had missed.
+/// Guards against a stale configuration after a broken watch. If the source has dropped the history meanwhile, a new
+/// watch does not deliver the changes that the old one missed, and nodes kept an old version for seconds.
 #[test]
-fn a_watch_that_broke_is_followed_by_a_whole_read() {
+fn a_broken_watch_is_followed_by_a_whole_read() {
     let mut cursor = FeedCursor::default();
     assert_eq!(cursor.next_step(), FeedStep::Read);
     cursor.advance(Revision(10));
@@ -198,17 +202,17 @@
     let first = cursor.record_failure();
     assert_eq!(cursor.next_step(), FeedStep::Read);
     let second = cursor.record_failure();
-    assert!(second > first, "errors are followed by longer waits");
+    assert!(second > first, "delays grow with consecutive failures");
     cursor.advance(Revision(12));
-    assert_eq!(cursor.record_failure(), first, "an answer ends the row of errors");
+    assert_eq!(cursor.record_failure(), first, "a response resets the backoff");
     cursor.advance(Revision(13));
     cursor.reset();
     assert_eq!(cursor.next_step(), FeedStep::Read);
 }
 
-/// Organisations of one priority sent calls of all kinds, and nothing told the most from the least important of them.
+/// Guards against equal ranks for all calls of organisations with the same priority, whatever the priority of the route.
 #[test]
-fn organisations_go_before_routes_and_routes_tell_apart_what_one_of_them_sends() {
+fn calls_are_ranked_by_organisation_priority_and_then_by_route_priority() {
     let route = |rank: u8| Route {
         rank,
         ..route("r", "a.example", "/")
@@ -221,7 +225,7 @@
         organisations: vec![organisation(Some(1)), organisation(Some(3))],
         ..document(1, vec![route(0), route(2)])
     };
-    let catalog = Catalog::build(document).expect("it is right");
+    let catalog = Catalog::build(document).expect("a valid document");
     let rank = |priority: Option<u8>, kind: u8| catalog.rank(Some(&organisation(priority)), &route(kind));
     let order = [
         rank(Some(1), 0),
@@ -233,7 +237,7 @@
     assert_eq!(
         rank(None, 0),
         0,
-        "without a priority of its own its route's counts"
+        "without an organisation priority, that of the route is used"
     );
     assert!(rank(None, 2) > order[1] && rank(None, 2) < order[2]);
 }
