--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -1,13 +1,15 @@
-//! Learning at once who is there, after a start or a sleep.
+//! Fast discovery of all nodes after a start or a suspension.
 //!
-//! Updates that ride on probes reach a large fleet within seconds, which is enough for one node that comes or goes.
-//! When all start at the same moment it is not: a node that knows a few others takes pools for its own that
-//! others own too. So a node that has just started asks again and again, a seed at first and then anybody, and
-//! names what it knows by short marks; the other tells what is missing. Whoever is asked tells little at a time,
-//! so that no seed has to tell everybody everything (docs/DESIGN.md, "Members").
+//! Updates that are piggybacked on probes reach a large fleet within seconds, which is enough when a single
+//! node joins or leaves. When all nodes start at the same moment it is not: a node that knows only a few
+//! others believes that it owns pools which other nodes own too. So a node that has just started sends
+//! `Join` requests repeatedly, at first to the seeds and then to any node, with short digests of what it
+//! knows; the receiver replies with what is missing. Each reply is limited in size, so that no seed has to
+//! send everything to everyone (docs/DESIGN.md, "Members").
 //!
-//! A node that slept asks in the same way: an update is passed on some twenty times and then no more, so what it missed it
-//! would only find out by probes of its own, of which a turn takes 21 s in a fleet of 86.
+//! A node that was suspended does the same. An update is passed on some twenty times and then no more, so
+//! the node would find what it missed only by its own probes, and probing every node of a fleet of 86 once
+//! takes 21 s.
 
 use super::table::{Membership, update_of};
 use super::{Member, MemberUpdate, MessageKind};
@@ -15,72 +17,79 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 use std::collections::HashSet;
 
-/// How long after its start or a sleep a node asks.
-const YOUNG: Span = Span::from_secs(4);
-/// The time between two questions until a node is settled. After a start of all 295 nodes of a fleet the median one knew 252 of them
-/// 0.6 s after the last was up when this was 100 ms, and all of them with 50 ms.
-const ASK_EVERY: Span = Span::from_millis(50);
-/// The time between two questions of a node that is settled: what it missed by then is little, and each question names all
-/// that it knows.
-const ASK_SETTLED: Span = Span::from_millis(100);
-/// The time over which what is told is counted.
-const SHARE_WINDOW: Span = Span::from_millis(100);
-/// Messages with which one question is answered at the most.
-const MOST_PARTS: usize = 8;
-/// Messages with which all questions of [`SHARE_WINDOW`] are answered in full; those over it get a few names only.
-const PARTS_AT_ONCE: usize = 50;
-/// The names that a question over that is answered with.
-const FEW: usize = 3;
-/// Messages over which questions are not answered: whoever asked asks again, and by then knows somebody else.
-const PARTS_MOST: usize = 100;
-/// Answers in a row without anything new after which a node takes what it knows for all there is.
-const QUIET_ANSWERS: u32 = 2;
-/// But not before this time: all may have started at the same moment.
-const SETTLE_LEAST: Span = Span::from_millis(300);
-/// Nor later than after this one. It is better to begin with a part of the fleet known than to wait: in a fleet of 295 whose
-/// pools waited for all to be known, a third as many pieces were made in the first two seconds after a start of all, although without
-/// waiting 50 nodes own nine shards for half a second and nine calls of ten meet a full target, which costs 2 ms each.
-const SETTLE_MOST: Span = Span::from_millis(600);
-/// A node to which nobody answered by then is taken to be alone.
-const ALONE: Span = Span::from_millis(600);
+/// How long a node sends `Join` requests after its start or a suspension.
+const CATCH_UP_PERIOD: Span = Span::from_secs(4);
+/// The time between two `Join` requests until the table has converged. After a simultaneous start of all
+/// 295 nodes of a fleet, the median node knew 252 of them 0.6 s after the last one was up with 100 ms, and
+/// all of them with 50 ms.
+const JOIN_INTERVAL: Span = Span::from_millis(50);
+/// The time between two `Join` requests once the table has converged: by then little is missing, and each
+/// request carries a digest of every known node.
+const CONVERGED_JOIN_INTERVAL: Span = Span::from_millis(100);
+/// The time window in which reply messages are counted.
+const REPLY_WINDOW: Span = Span::from_millis(100);
+/// Maximum number of messages in the reply to one request.
+const MAX_REPLY_MESSAGES: usize = 8;
+/// Number of reply messages per [`REPLY_WINDOW`] up to which requests get a full reply; after that each
+/// gets a few updates only.
+const FULL_REPLY_MESSAGES: usize = 50;
+/// Number of updates in a reply after [`FULL_REPLY_MESSAGES`].
+const SHORT_REPLY_UPDATES: usize = 3;
+/// Number of reply messages per [`REPLY_WINDOW`] after which requests get no reply. The sender repeats its
+/// request, and by then knows other nodes to ask.
+const MAX_WINDOW_MESSAGES: usize = 100;
+/// Number of consecutive replies without anything new after which a node assumes that it knows all nodes.
+const UNCHANGED_REPLIES: u32 = 2;
+/// The earliest time after its start at which a table can have converged: all nodes may have started at the
+/// same moment.
+const MIN_CONVERGENCE_TIME: Span = Span::from_millis(300);
+/// The time after its start at which a table counts as converged in any case. It is better to begin with a
+/// part of the fleet known than to wait. In a fleet of 295 whose pools waited until all nodes were known, a
+/// third as many pieces ran in the first two seconds after a start of all nodes. Without waiting 50 nodes
+/// own nine shards for half a second, and nine of ten calls meet a full target, which costs 2 ms each.
+const MAX_CONVERGENCE_TIME: Span = Span::from_millis(600);
+/// A node that has received no reply by this time after its start assumes that it is alone.
+const ALONE_AFTER: Span = Span::from_millis(600);
 
-/// How far a node that has just started or woken has come.
+/// Progress of a node that has just started or resumed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUp {
-    /// The time of its first step.
+    /// When the table was first stepped.
     started: Option<Time>,
-    /// Until when it asks.
+    /// Until when the node sends `Join` requests.
     until: Time,
-    next: Time,
-    /// Whom it asked last, until the answer comes.
+    next_join: Time,
+    /// The node that the latest request was sent to, until its reply arrives.
     partner: Option<String>,
-    /// Nodes that it has learnt of, and how many they were when it asked last.
-    learnt: usize,
-    learnt_before: usize,
-    /// Whether anybody ever answered.
+    /// Number of nodes discovered so far, and what it was at the latest request.
+    discovered: usize,
+    discovered_before: usize,
+    /// Whether any reply was ever received.
     answered: bool,
-    /// Answers in a row that told nothing new.
-    quiet: u32,
-    /// Until when `parts` counts.
+    /// Number of consecutive replies without anything new.
+    unchanged_replies: u32,
+    /// End of the window in which `messages` counts.
     window: Time,
-    /// Messages with which questions were answered lately.
-    parts: usize,
+    /// Reply messages sent in this window.
+    messages: usize,
 }
 
 impl Membership {
-    /// Whether what this node knows of the others is likely to be all there is. Before that it should not act as
-    /// the only owner of anything.
+    /// Whether this node most likely knows all nodes. Until then it should not act as the only owner of
+    /// anything.
     pub fn converged(&self, now: Time) -> bool {
         let Some(started) = self.catch_up.started else {
             return false;
         };
         let age = now.since(started);
-        let alone = !self.catch_up.answered && self.members.is_empty();
-        let nobody = alone && (self.other_seeds().is_empty() || age > ALONE);
-        nobody || age > SETTLE_MOST || (age > SETTLE_LEAST && self.catch_up.quiet >= QUIET_ANSWERS)
+        let no_contact = !self.catch_up.answered && self.members.is_empty();
+        let is_alone = no_contact && (self.other_seeds().is_empty() || age > ALONE_AFTER);
+        is_alone
+            || age > MAX_CONVERGENCE_TIME
+            || (age > MIN_CONVERGENCE_TIME && self.catch_up.unchanged_replies >= UNCHANGED_REPLIES)
     }
 
-    /// How long ago this node began.
+    /// The time since the table was first stepped.
     pub(super) fn age(&self, now: Time) -> Span {
         self.catch_up
             .started
@@ -90,65 +99,77 @@
     pub(super) fn catch_up(&mut self, now: Time) {
         if self.catch_up.started.is_none() {
             self.catch_up.started = Some(now);
-            self.ask_again(now);
+            self.restart_catch_up(now);
         }
-        if !self.young(now) || now < self.catch_up.next {
+        if !self.is_catching_up(now) || now < self.catch_up.next_join {
             return;
         }
-        let settled = self.converged(now);
-        self.catch_up.next = now + if settled { ASK_SETTLED } else { ASK_EVERY };
-        let anybody: Vec<String> = self.reachable().collect();
-        let partner = anybody.into_iter().choose(&mut self.random);
+        let converged = self.converged(now);
+        self.catch_up.next_join = now
+            + if converged {
+                CONVERGED_JOIN_INTERVAL
+            } else {
+                JOIN_INTERVAL
+            };
+        let reachable: Vec<String> = self.reachable().collect();
+        let partner = reachable.into_iter().choose(&mut self.random);
         self.catch_up.partner.clone_from(&partner);
-        self.catch_up.learnt_before = self.catch_up.learnt;
-        // Some seeds may be stale or down, so all are asked until somebody is known.
+        self.catch_up.discovered_before = self.catch_up.discovered;
+        // Some seeds may be stale or down, so all are asked until another node is known.
         let asked = partner.map_or_else(|| self.other_seeds(), |partner| vec![partner]);
-        let known = self.marks();
+        let known = self.digests();
         for address in asked {
             let known = known.clone();
             self.send(now, address, MessageKind::Join { known });
         }
     }
 
-    /// What this node knows, each by a mark that changes with it.
-    pub(super) fn marks(&self) -> Vec<u32> {
-        self.members.values().map(mark).collect()
+    /// The digests of all known nodes.
+    pub(super) fn digests(&self) -> Vec<u32> {
+        self.members.values().map(digest).collect()
     }
 
-    /// Tells another node some of what it does not know, or that there is nothing.
-    pub(super) fn share(&mut self, now: Time, to: &str, known: &[u32]) {
-        // Before any other work: when a fleet starts, a seed gets thousands of questions a second.
-        let sent = self.parts_lately(now);
-        if sent >= PARTS_MOST {
+    /// Replies to a `Join` with some of the updates that are missing from `known`, or with none if nothing
+    /// is missing.
+    pub(super) fn reply_to_join(&mut self, now: Time, to: &str, known: &[u32]) {
+        // Checked before any other work: when a fleet starts, a seed receives thousands of requests a
+        // second.
+        let sent = self.messages_in_window(now);
+        if sent >= MAX_WINDOW_MESSAGES {
             return;
         }
         let known: HashSet<u32> = known.iter().copied().collect();
         let mut missing: Vec<MemberUpdate> = self
             .members
             .values()
-            .filter(|member| member.facts.address != to && !known.contains(&mark(member)))
+            .filter(|member| member.facts.address != to && !known.contains(&digest(member)))
             .map(update_of)
             .collect();
-        // Those who ask at the same moment are told different things, which they then tell each other.
+        // Shuffled, so that nodes which ask at the same moment receive different updates and then exchange
+        // them.
         missing.shuffle(&mut self.random);
         let most_updates = self.settings.max_updates.max(1);
         let members = self.members.len() as u32;
-        let nothing = [Vec::new()];
+        let empty_reply = [Vec::new()];
         let parts: Vec<Vec<MemberUpdate>> = missing.chunks(most_updates).map(<[_]>::to_vec).collect();
-        let parts = if parts.is_empty() { &nothing[..] } else { &parts };
-        let busy = sent >= PARTS_AT_ONCE;
-        let (most, names) = if busy {
-            (1, FEW)
+        let parts = if parts.is_empty() {
+            &empty_reply[..]
         } else {
-            (MOST_PARTS, most_updates)
+            &parts
+        };
+        let busy = sent >= FULL_REPLY_MESSAGES;
+        let (most, updates_per_message) = if busy {
+            (1, SHORT_REPLY_UPDATES)
+        } else {
+            (MAX_REPLY_MESSAGES, most_updates)
         };
         for part in parts.iter().take(most) {
-            self.catch_up.parts += 1;
+            self.catch_up.messages += 1;
             let mut updates = vec![self.me.clone()];
-            updates.extend(part.iter().take(names).cloned());
-            let room = most_updates.saturating_sub(part.len());
-            let crashes = self.next_crashes(now, room);
-            self.post(
+            updates.extend(part.iter().take(updates_per_message).cloned());
+            let spare_updates = most_updates.saturating_sub(part.len());
+            let crashes = self.take_crash_updates(now, spare_updates);
+            self.push_message(
                 to.to_owned(),
                 MessageKind::JoinReply { members },
                 updates,
@@ -157,46 +178,50 @@
         }
     }
 
-    /// Messages with which questions were answered in this window.
-    fn parts_lately(&mut self, now: Time) -> usize {
+    /// Number of reply messages sent in this window.
+    fn messages_in_window(&mut self, now: Time) -> usize {
         if now >= self.catch_up.window {
-            self.catch_up.window = now + SHARE_WINDOW;
-            self.catch_up.parts = 0;
+            self.catch_up.window = now + REPLY_WINDOW;
+            self.catch_up.messages = 0;
         }
-        self.catch_up.parts
+        self.catch_up.messages
     }
 
-    /// From now on this node asks for a while by itself for all that there is.
-    pub(super) fn ask_again(&mut self, now: Time) {
-        self.catch_up.until = now + YOUNG;
+    /// Restarts the period in which this node sends `Join` requests.
+    pub(super) fn restart_catch_up(&mut self, now: Time) {
+        self.catch_up.until = now + CATCH_UP_PERIOD;
     }
 
-    /// Whether this node still asks by itself for all that there is.
-    pub(super) fn young(&self, now: Time) -> bool {
+    /// Whether this node is still in the period in which it sends `Join` requests.
+    pub(super) fn is_catching_up(&self, now: Time) -> bool {
         self.catch_up.started.is_none() || now <= self.catch_up.until
     }
 
-    /// A node was learnt of that this one did not know.
-    pub(super) fn note_learnt(&mut self) {
-        self.catch_up.learnt += 1;
+    /// Counts a node that was not known before.
+    pub(super) fn count_discovered(&mut self) {
+        self.catch_up.discovered += 1;
     }
 
-    /// Notes an answer, after its updates were taken. Only a node that knows as many others as this one can say that
-    /// there are no more.
-    pub(super) fn shared(&mut self, from: &str, members: u32) {
+    /// Records a reply after its updates were applied. Only a sender that knows as many nodes as this one
+    /// can confirm that there are no more.
+    pub(super) fn handle_join_reply(&mut self, from: &str, members: u32) {
         self.catch_up.answered = true;
         if self.catch_up.partner.as_deref() != Some(from) {
             return;
         }
         self.catch_up.partner = None;
-        let nothing_new = self.catch_up.learnt == self.catch_up.learnt_before;
-        let quiet = nothing_new && members as usize >= self.members.len();
-        self.catch_up.quiet = if quiet { self.catch_up.quiet + 1 } else { 0 };
+        let nothing_new = self.catch_up.discovered == self.catch_up.discovered_before;
+        let is_unchanged = nothing_new && members as usize >= self.members.len();
+        self.catch_up.unchanged_replies = if is_unchanged {
+            self.catch_up.unchanged_replies + 1
+        } else {
+            0
+        };
     }
 }
 
-/// A short mark of what is known of a node.
-fn mark(member: &Member) -> u32 {
+/// A short digest of what is known about a node.
+fn digest(member: &Member) -> u32 {
     let state = member.incarnation.0 ^ (member.facts_version << 32) ^ (member.health as u64) << 60;
     rendezvous::place(member.key, state) as u32
 }
--- a/crates/barleyspool_core/src/membership/event.rs
+++ b/crates/barleyspool_core/src/membership/event.rs
@@ -1,95 +1,96 @@
-//! What a membership table is told, and what it wants done.
+//! Events and actions of a membership table.
 
 use super::{Evidence, MemberHealth, MemberMessage, SourceState};
 use crate::{CallFingerprint, IncarnationId};
 
-/// Something that happened to the table.
+/// An event that the table handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberEvent {
-    /// A message came.
+    /// A message was received.
     Message {
-        /// From which address.
+        /// The address of the sender.
         from: String,
         /// The message.
         message: MemberMessage,
     },
     /// Time has passed.
     Tick,
-    /// Whether this node takes calls now.
+    /// Whether this node accepts calls now.
     Serving(bool),
     /// How far this node has read the source.
     Source(SourceState),
-    /// Tell these nodes how far this one has read the source.
+    /// Announces the source state of this node to the nodes at these addresses.
     Announce(Vec<String>),
-    /// A run of a target was seen to end while it had a call.
+    /// A target crashed while it was processing a call.
     Crashed {
-        /// The call.
+        /// The fingerprint of the call.
         fingerprint: CallFingerprint,
-        /// The run.
+        /// The incarnation of the target.
         incarnation: IncarnationId,
     },
-    /// An answer of a target said what it takes.
+    /// An answer from a target reported its rate limit, or none.
     LimitReceived {
-        /// The run of the target.
+        /// The incarnation of the target.
         incarnation: IncarnationId,
-        /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
+        /// The limit in calls per second from all nodes together; `None` once there is no limit.
         per_s: Option<f64>,
     },
-    /// An answer of a target said that it leaves.
+    /// An answer from a target reported that the target is leaving.
     TargetLeaves {
-        /// The run of the target.
+        /// The incarnation of the target.
         incarnation: IncarnationId,
     },
-    /// A planned stop begins.
+    /// A planned stop of this node begins.
     Leave,
-    /// New seeds are in the settings.
+    /// The settings have new seeds.
     Seeds(Vec<String>),
 }
 
-/// What the table wants done.
+/// An action for the caller of [`super::Membership::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     /// Send a datagram.
     Send {
-        /// The address.
+        /// The address of the receiver.
         to: String,
         /// The message.
         message: MemberMessage,
     },
-    /// Another node reads the source and told how far, or has something that this one has not.
+    /// Another node reads the source and announced its state, or has read something newer than this node.
     SourceReported {
-        /// What it told.
+        /// The source state of that node.
         source: SourceState,
-        /// Whether it reads the source.
+        /// Whether that node reads the source.
         reads: bool,
     },
-    /// There is another call that gets no target for a while, or one that gets none for longer.
+    /// A further call is blocked, or one is blocked for longer.
     BlockedCallsChanged,
-    /// A target has said that it leaves, in an answer to this node or another one.
+    /// A target has reported in an answer, to this node or to another, that it is leaving.
     TargetLeaves {
-        /// The run of the target.
+        /// The incarnation of the target.
         incarnation: IncarnationId,
     },
-    /// Targets take more or less than was known.
+    /// The known rate limits of targets have changed.
     LimitsChanged,
-    /// More or fewer of the nodes are heard.
+    /// The number of nodes that this one reaches has changed.
     ReachabilityChanged,
-    /// Who is there, how they are, or whether they serve has changed.
+    /// A node joined, or its health or whether it serves has changed.
     Changed {
-        /// The node's address.
+        /// The address of the node.
         address: String,
-        /// How it is now.
+        /// Its health now.
         health: MemberHealth,
-        /// What that rests on.
+        /// The evidence for it.
         evidence: Evidence,
     },
 }
 
-/// How well updates travel, for operators.
+/// Counts that show operators how well updates propagate.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Nodes whose updates are to be passed on.
+    /// Nodes with an update that is still to be passed on.
     pub queued_updates: usize,
-    /// Suspicions that were ignored because the teller knew older facts of the same run.
+    /// Suspicions and deaths that were ignored because the sender knew only older facts of the same
+    /// incarnation.
     pub outdated_suspicions: u64,
 }
--- a/crates/barleyspool_core/src/membership/limit_updates.rs
+++ b/crates/barleyspool_core/src/membership/limit_updates.rs
@@ -14,14 +14,14 @@
 /// Nodes that are told at once by each that hears of it.
 const NOTIFIED_NEXT: usize = 4;
 /// Words in one message, some 20 bytes each.
-const IN_MESSAGE: usize = 24;
+const UPDATES_PER_MESSAGE: usize = 24;
 
 /// What this node knows and tells of limits.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Limits {
     table: LimitTable,
     /// The targets in the order in which they are told; each in turn.
-    turn: RoundRobin<IncarnationId>,
+    queue: RoundRobin<IncarnationId>,
 }
 
 impl Membership {
@@ -31,20 +31,20 @@
     }
 
     /// This node has read in an answer what a target takes; `None` when it limits nothing any more.
-    pub(super) fn limit_received(&mut self, now: Time, run: IncarnationId, per_s: Option<f64>) {
+    pub(super) fn handle_limit(&mut self, now: Time, incarnation: IncarnationId, per_s: Option<f64>) {
         let report = per_s.map_or(LimitReport::None, LimitReport::PerSecond);
-        let before = self.limits.table.reported(run);
-        let is_new = self.limits.table.apply_report(now, now, run, report);
-        if before != self.limits.table.reported(run) {
+        let before = self.limits.table.reported(incarnation);
+        let is_new = self.limits.table.apply_report(now, now, incarnation, report);
+        if before != self.limits.table.reported(incarnation) {
             self.actions.push(MemberAction::LimitsChanged);
         }
         if is_new {
-            self.spread_limit(now, run, NOTIFIED_FIRST);
+            self.spread_limit(now, incarnation, NOTIFIED_FIRST);
         }
     }
 
     /// Takes what another node tells.
-    pub(super) fn take_limits(&mut self, now: Time, updates: &[LimitUpdate]) {
+    pub(super) fn apply_limits(&mut self, now: Time, updates: &[LimitUpdate]) {
         for update in updates {
             if self.limits.table.apply_update(now, update) {
                 self.actions.push(MemberAction::LimitsChanged);
@@ -54,12 +54,12 @@
     }
 
     /// Tells one other node some of what is known, in turn.
-    pub(super) fn limits_round(&mut self, now: Time) {
+    pub(super) fn gossip_limits(&mut self, now: Time) {
         if self.limits.table.is_empty() {
             return;
         }
         self.limits.table.forget(now);
-        for to in self.some_reachable(1) {
+        for to in self.random_reachable(1) {
             self.share_limits(now, &to);
         }
     }
@@ -67,17 +67,19 @@
     /// Tells a node some of what is known, in turn. One that has just started or woken asks every 50 to 100 ms whom it does not know, and hears of limits
     /// before it takes itself for an owner.
     pub(super) fn share_limits(&mut self, now: Time, to: &str) {
-        let Limits { table, turn } = &mut self.limits;
-        let updates = turn.take(IN_MESSAGE, |run| table.update_of(now, run));
+        let Limits { table, queue } = &mut self.limits;
+        let updates = queue.take(UPDATES_PER_MESSAGE, |incarnation| {
+            table.update_of(now, incarnation)
+        });
         if !updates.is_empty() {
             self.send_limits(vec![to.to_owned()], &updates);
         }
     }
 
-    fn spread_limit(&mut self, now: Time, run: IncarnationId, count: usize) {
-        self.limits.turn.put_first(run);
-        let to = self.some_reachable(count);
-        let update = self.limits.table.update_of(now, run);
+    fn spread_limit(&mut self, now: Time, incarnation: IncarnationId, count: usize) {
+        self.limits.queue.put_first(incarnation);
+        let to = self.random_reachable(count);
+        let update = self.limits.table.update_of(now, incarnation);
         self.send_limits(to, update.as_slice());
     }
 
--- a/crates/barleyspool_core/src/membership/member.rs
+++ b/crates/barleyspool_core/src/membership/member.rs
@@ -1,71 +1,72 @@
-//! One node as the others know it.
+//! A node as recorded in the membership tables of the others.
 
 use crate::{Incarnation, Revision, Time};
 use serde::{Deserialize, Serialize};
 
-/// How a node is, as far as is known.
+/// The health of a node. The order matters: of two updates with the same incarnation and facts version, the
+/// greater health wins.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberHealth {
-    /// It answers.
+    /// Responds to probes.
     #[default]
     Alive,
-    /// It did not answer lately, and may refute that.
+    /// Did not respond to the latest probes, and may still refute the suspicion.
     Suspect,
-    /// It is on its way out.
+    /// Has started a planned stop.
     Leaving,
-    /// It is gone.
+    /// Did not refute a suspicion in time.
     Dead,
 }
 
-/// What a change of a node's health rests on.
+/// The evidence on which a change of health is based.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// It said or answered so itself.
+    /// A message or an ack from the node itself.
     Answer,
-    /// It did not answer this node, or did not refute a suspicion in time.
+    /// The node did not respond to this one, or did not refute a suspicion in time.
     Silence,
-    /// Another node told so.
+    /// An update that another node passed on.
     Gossip,
 }
 
-/// What a node says of itself.
+/// The facts that a node publishes about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberFacts {
-    /// Where it is probed: IP number and port, by UDP.
+    /// IP address and UDP port for membership messages. Identifies the node.
     pub address: String,
-    /// Where callers connect.
+    /// Address for callers.
     #[serde(rename = "callers")]
     pub caller_address: String,
-    /// Where other nodes hand it pieces and fetch from it.
+    /// Address at which other nodes place pieces and fetch stage results.
     #[serde(rename = "peers")]
     pub peer_address: String,
-    /// Its zone.
+    /// The availability zone of the node.
     pub zone: String,
-    /// Whether it takes calls.
+    /// Whether the node accepts calls.
     pub serving: bool,
-    /// Its link, in Mbit/s: nodes with a strong one read the source for others.
+    /// Bandwidth of its link in Mbit/s. Nodes with a fast link read the source on behalf of others.
     pub link_mbps: u32,
 }
 
 /// How far a node has read the source.
 ///
-/// Each node tells only its own, with every message. Passed on by others it would be an update of all nodes with
-/// every configuration, and crowd out who died or leaves: at ten configurations a second the median node of 86 heard
-/// of a death after 13.7 s in place of 1.6 s.
+/// Each node sends only its own state, with every message. If it were gossiped, every configuration would
+/// cause an update about every node, and these would delay updates about deaths and planned stops: with ten
+/// configurations a second the median node of 86 received a death after 13.7 s instead of 1.6 s.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceState {
     /// The version of its configuration.
     pub version: Revision,
-    /// The revision at which its list of targets last changed.
+    /// The revision of the last change to its list of targets.
     pub list: Revision,
-    /// The revision at which the evacuated zones last became others.
+    /// The revision of the last change to the set of evacuated zones.
     pub evacuations: Revision,
-    /// Whether the source does not answer it.
+    /// Whether requests of the node to the source fail.
     pub failing: bool,
 }
 
 impl SourceState {
-    /// How far both together have read.
+    /// Combines two states: the newest revision of each part. It is failing only if both are.
     pub fn merge(self, other: Self) -> Self {
         Self {
             version: self.version.max(other.version),
@@ -76,25 +77,25 @@
     }
 }
 
-/// One node as another knows it.
+/// A node in the membership table of another node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// What it says of itself.
+    /// The facts that it published last.
     pub facts: MemberFacts,
-    /// Which run of it, raised also to refute a suspicion.
+    /// Its incarnation, raised on each start and to refute a suspicion.
     pub incarnation: Incarnation,
-    /// Counts changes of the facts within an incarnation.
+    /// Version of its facts and planned stop within the incarnation.
     pub facts_version: u64,
-    /// How it is.
+    /// Its current health.
     pub health: MemberHealth,
-    /// Its address as a key for hashing.
+    /// Hash of its address, for rendezvous hashing.
     pub key: u128,
     /// When its health last changed.
     pub health_since: Time,
-    /// How far it had read the source when it last spoke.
+    /// The source state in its latest message.
     pub source: SourceState,
-    /// Whether it ever spoke to this node itself.
+    /// Whether this node has ever received a message or an ack from it directly.
     pub heard_directly: bool,
-    /// Whether it went in order, by its own word.
+    /// Whether it announced a planned stop.
     pub left_gracefully: bool,
 }
--- a/crates/barleyspool_core/src/membership/message.rs
+++ b/crates/barleyspool_core/src/membership/message.rs
@@ -1,84 +1,85 @@
-//! What nodes say to each other about who is there.
+//! Membership messages between nodes.
 
 use super::{MemberFacts, MemberHealth, SourceState};
 use crate::{CrashUpdate, Incarnation, LeavingUpdate, LimitUpdate};
 use serde::{Deserialize, Serialize};
 
-/// What one node knows of another, passed on.
+/// What a node knows about another node, or publishes about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// What the node said of itself.
+    /// The facts that the node published.
     pub facts: MemberFacts,
-    /// Which run of it.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Which change of its facts.
+    /// The version of the facts within the incarnation.
     #[serde(rename = "change")]
     pub facts_version: u64,
-    /// How it is.
+    /// The health of the node.
     pub health: MemberHealth,
 }
 
-/// What a message wants.
+/// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Answer me.
+    /// Requests an ack.
     Probe {
-        /// Repeated in the answer.
+        /// Probe number, repeated in the ack.
         number: u64,
     },
-    /// Probe that node for me and pass its answer on.
+    /// Requests an indirect probe: the receiver probes the target and forwards its ack.
     #[serde(rename = "ProbeFor")]
     IndirectProbe {
-        /// Repeated in the answer.
+        /// Probe number, repeated in the ack.
         number: u64,
-        /// The node's address.
+        /// The address of the target node.
         target: String,
     },
-    /// An answer.
+    /// Acknowledges a probe.
     #[serde(rename = "Answer")]
     Ack {
         /// The number of the probe.
         number: u64,
     },
-    /// Tell me whom you know.
+    /// Requests updates about the nodes that the sender does not know.
     Join {
-        /// Marks of what the asking node knows already; that need not be told.
+        /// Digests of what the sender knows already, which the reply omits.
         known: Vec<u32>,
     },
-    /// A part of the answer to that.
+    /// Part of the reply to a `Join`.
     #[serde(rename = "Share")]
     JoinReply {
-        /// How many others the answering node knows.
+        /// How many other nodes the sender knows.
         members: u32,
     },
-    /// What targets have said of their limits.
+    /// Rate limits that targets have reported.
     Limits {
-        /// Their words.
+        /// The limits.
         updates: Vec<LimitUpdate>,
     },
-    /// Targets that have said in an answer that they leave.
+    /// Targets that have reported in an answer that they are leaving.
     Leaving {
-        /// Their runs.
+        /// Their incarnations.
         updates: Vec<LeavingUpdate>,
     },
-    /// Nothing but the updates.
+    /// Carries only updates.
     Update,
-    /// The sender reads the source, and this is how far.
+    /// The sender reads the source and announces its state.
     Announce,
 }
 
 /// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberMessage {
-    /// What it wants.
+    /// The purpose of the message.
     #[serde(rename = "question")]
     pub kind: MessageKind,
-    /// How far the sender has read the source.
+    /// The source state of the sender.
     pub source: SourceState,
-    /// Updates, the sender's own first.
+    /// Updates about nodes, with that of the sender itself first.
     pub updates: Vec<MemberUpdate>,
-    /// Calls under which targets have ended. Left out when there are none, as nearly always: a node that reads the source
-    /// announces that to its whole zone, and a byte in each message is 60 bytes a second at 410 nodes.
+    /// Calls that crash targets. Omitted when empty, which it nearly always is: a node that reads the
+    /// source announces its state to its whole zone, where one more byte in each message costs 60 bytes a
+    /// second with 410 nodes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<CrashUpdate>,
 }
--- a/crates/barleyspool_core/src/membership/mod.rs
+++ b/crates/barleyspool_core/src/membership/mod.rs
@@ -1,8 +1,10 @@
-//! Which nodes there are, learnt from a few seeds and from each other.
+//! SWIM membership: which nodes exist and whether they are alive, learnt from a few seeds and from each
+//! other.
 //!
-//! A SWIM protocol: each round a node probes one other in turn; when no answer comes it asks some more to
-//! probe for it, and only then suspects. A suspected node that hears of it refutes by raising its own
-//! incarnation. Updates travel on the probes themselves, so the bytes per second do not grow with the fleet.
+//! In each probe interval a node probes one other node, in shuffled order. When no ack arrives it asks a
+//! few other nodes to probe on its behalf, and suspects the target only when that fails too. A suspected
+//! node that receives the suspicion refutes it by raising its incarnation. Updates are piggybacked on the
+//! probes, so the bytes per second of a node do not grow with the fleet.
 
 mod catch_up;
 mod crash_updates;
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -6,27 +6,27 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 
 /// How long a starting node, or one that knows nobody, waits between questions to a seed.
-const JOIN_EVERY: Span = Span::from_millis(200);
+const JOIN_RETRY_INTERVAL: Span = Span::from_millis(200);
 /// Dead nodes and seeds are still asked now and then, so that two sides of a cut find each other again.
-const REVIVE_EVERY: Span = Span::from_secs(1);
+const RECONNECT_INTERVAL: Span = Span::from_secs(1);
 
 /// The part of a round after which the next probe goes out while more updates of health wait than one message takes.
 ///
 /// When half of a fleet of 86 dies at once, the last of the others has heard of every death after 4 s; with whole rounds and
 /// eight updates to a message it was 7 to 8 s.
-const CROWDED_PACE: f64 = 0.5;
+const BACKLOG_INTERVAL_FACTOR: f64 = 0.5;
 
 impl Membership {
-    pub(super) fn round(&mut self, now: Time) {
-        if now < self.next_round {
+    pub(super) fn probe_round(&mut self, now: Time) {
+        if now < self.next_probe {
             return;
         }
-        let crowded = self.updates.health_waits() > self.settings.max_updates;
-        let pace = if crowded { CROWDED_PACE } else { 1.0 };
-        self.next_round = now + self.settings.probe_interval.scale(pace);
-        self.notice_reach(now);
-        self.limits_round(now);
-        self.leaving_round(now);
+        let has_backlog = self.updates.queued_health() > self.settings.max_updates;
+        let factor = if has_backlog { BACKLOG_INTERVAL_FACTOR } else { 1.0 };
+        self.next_probe = now + self.settings.probe_interval.scale(factor);
+        self.check_reachability(now);
+        self.gossip_limits(now);
+        self.gossip_leaving(now);
         if let Some(target) = self.next_target() {
             self.probe(now, target, None);
         }
@@ -35,11 +35,11 @@
     /// The next node in turn; each is probed once before any is probed again.
     fn next_target(&mut self) -> Option<String> {
         for _ in 0..=self.members.len() {
-            let Some(address) = self.turn.pop_front() else {
+            let Some(address) = self.probe_order.pop_front() else {
                 let mut all: Vec<String> = self.reachable().collect();
                 all.shuffle(&mut self.random);
-                self.turn.extend(all);
-                if self.turn.is_empty() {
+                self.probe_order.extend(all);
+                if self.probe_order.is_empty() {
                     return None;
                 }
                 continue;
@@ -52,7 +52,7 @@
         None
     }
 
-    pub(super) fn probe(&mut self, now: Time, target: String, asked_by: Option<(String, u64)>) {
+    pub(super) fn probe(&mut self, now: Time, target: String, requested_by: Option<(String, u64)>) {
         let number = self.next_number;
         self.next_number += 1;
         self.probes.insert(
@@ -60,8 +60,8 @@
             Probe {
                 target: target.clone(),
                 sent: now,
-                helped: false,
-                asked_by,
+                indirect: false,
+                requested_by,
             },
         );
         self.send(now, target, MessageKind::Probe { number });
@@ -75,18 +75,18 @@
             .map(|(number, _)| *number)
             .collect();
         for number in late {
-            self.probe_late(now, number);
+            self.handle_probe_timeout(now, number);
         }
     }
 
-    fn probe_late(&mut self, now: Time, number: u64) {
+    fn handle_probe_timeout(&mut self, now: Time, number: u64) {
         let Some(mut probe) = self.probes.remove(&number) else {
             return;
         };
-        if probe.asked_by.is_some() {
+        if probe.requested_by.is_some() {
             return;
         }
-        if probe.helped {
+        if probe.indirect {
             let alive = self
                 .members
                 .get(&probe.target)
@@ -109,7 +109,7 @@
         }
         // One more try of its own too: datagrams are lost now and then.
         self.send(now, probe.target.clone(), MessageKind::Probe { number });
-        probe.helped = true;
+        probe.indirect = true;
         probe.sent = now;
         self.probes.insert(number, probe);
     }
@@ -136,12 +136,12 @@
 
     pub(super) fn join(&mut self, now: Time) {
         let knows_somebody = self.reachable().next().is_some();
-        if knows_somebody || self.young(now) || now < self.next_join {
+        if knows_somebody || self.is_catching_up(now) || now < self.next_join {
             return;
         }
-        self.next_join = now + JOIN_EVERY;
+        self.next_join = now + JOIN_RETRY_INTERVAL;
         for seed in self.other_seeds() {
-            let known = self.marks();
+            let known = self.digests();
             self.send(now, seed, MessageKind::Join { known });
         }
     }
@@ -153,11 +153,11 @@
     }
 
     /// Asks one node that is thought dead, or a seed that is not known, whether it is there again.
-    pub(super) fn revive(&mut self, now: Time) {
-        if now < self.next_revive {
+    pub(super) fn reconnect(&mut self, now: Time) {
+        if now < self.next_reconnect {
             return;
         }
-        self.next_revive = now + REVIVE_EVERY;
+        self.next_reconnect = now + RECONNECT_INTERVAL;
         let dead = self
             .members
             .iter()
@@ -169,7 +169,7 @@
             .filter(|seed| !self.members.contains_key(seed));
         let asked: Vec<String> = dead.chain(unknown).collect();
         if let Some(address) = asked.into_iter().choose(&mut self.random) {
-            let known = self.marks();
+            let known = self.digests();
             self.send(now, address, MessageKind::Join { known });
         }
     }
--- a/crates/barleyspool_core/src/membership/reachability.rs
+++ b/crates/barleyspool_core/src/membership/reachability.rs
@@ -1,19 +1,21 @@
-//! How many of the nodes this one hears.
+//! How many of the nodes of the fleet this node reaches.
 
 use super::table::Membership;
 use super::{Member, MemberHealth};
 use crate::{Reachability, Span, Time};
 
-/// How long a node runs, knowing the others as far as it can tell, before it takes what it hears for all there is.
-const STEADY: Span = Span::from_secs(5);
-/// How long a node that fell silent is reckoned with by those who hear more than half: it may be on the other side of a cut.
-const MISSED: Span = Span::from_secs(15);
-/// And by those who hear half of the nodes or less: the others may have the larger part, and then use all of each rate after
-/// [`MISSED`]. It is longer than cuts usually are.
-const MISSED_BY_FEW: Span = Span::from_secs(300);
+/// How long a node runs with a converged table before it assumes that it knows all nodes.
+const STEADY_AFTER: Span = Span::from_secs(5);
+/// How long a dead node counts as part of the fleet for nodes that reach more than half of it: the node may
+/// be alive on the other side of a network partition.
+const MISSING_PERIOD: Span = Span::from_secs(15);
+/// The same for nodes that reach half of the fleet or less: the other side may be the majority, which uses
+/// the whole of each rate after [`MISSING_PERIOD`]. It is longer than partitions usually last.
+const MINORITY_MISSING_PERIOD: Span = Span::from_secs(300);
 
 impl Membership {
-    /// How many of the nodes that were there lately this one hears, itself included. Nodes that went in order are not missed.
+    /// How many of the nodes that were alive lately this node reaches, itself included. Nodes that left by
+    /// a planned stop do not count as missing.
     pub fn reachability(&self, now: Time) -> Reachability {
         let reached = 1 + self.members.values().filter(|member| is_reached(member)).count();
         let missed = |since: Span| {
@@ -24,9 +26,14 @@
             };
             self.members.values().filter(missed).count()
         };
-        let few = reached <= missed(MISSED_BY_FEW);
-        let known = reached + missed(if few { MISSED_BY_FEW } else { MISSED });
-        let steady = self.age(now) >= STEADY && self.converged(now);
+        let few = reached <= missed(MINORITY_MISSING_PERIOD);
+        let known = reached
+            + missed(if few {
+                MINORITY_MISSING_PERIOD
+            } else {
+                MISSING_PERIOD
+            });
+        let steady = self.age(now) >= STEADY_AFTER && self.converged(now);
         Reachability {
             reached: reached as u32,
             known: known as u32,
--- a/crates/barleyspool_core/src/membership/receive.rs
+++ b/crates/barleyspool_core/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Taking what other nodes say, of themselves and of each other.
+//! Handling of messages and of the updates in them.
 
 use super::table::Membership;
 use super::{
@@ -8,19 +8,19 @@
 use rand::Rng;
 
 impl Membership {
-    /// Takes a message of the node at `from`, and answers it where it wants an answer.
-    pub(super) fn message(&mut self, now: Time, from: &str, message: MemberMessage) {
+    /// Handles a message from the node at `from` and replies where the message requires it.
+    pub(super) fn handle_message(&mut self, now: Time, from: &str, message: MemberMessage) {
         for (place, update) in message.updates.into_iter().enumerate() {
-            self.take_update(now, update, place == 0);
+            self.apply_update(now, update, place == 0);
         }
         if let Some(member) = self.members.get_mut(from) {
             member.heard_directly = true;
             member.source = message.source;
-            // Only of members: what they say keeps calls from targets.
-            self.take_crashes(now, &message.crashes);
+            // Only from known members, since these reports keep calls from targets.
+            self.apply_crashes(now, &message.crashes);
             match &message.kind {
-                MessageKind::Limits { updates } => self.take_limits(now, updates),
-                MessageKind::Leaving { updates } => self.take_leaving(now, updates),
+                MessageKind::Limits { updates } => self.apply_limits(now, updates),
+                MessageKind::Leaving { updates } => self.apply_leaving(now, updates),
                 _ => {}
             }
             self.source_reported(message.source, message.kind == MessageKind::Announce);
@@ -30,16 +30,16 @@
                 self.send(now, from.to_owned(), MessageKind::Ack { number });
             }
             MessageKind::IndirectProbe { number, target } => {
-                let asked_by = Some((from.to_owned(), number));
-                self.probe(now, target, asked_by);
+                let requested_by = Some((from.to_owned(), number));
+                self.probe(now, target, requested_by);
             }
-            MessageKind::Ack { number } => self.answered(now, number),
+            MessageKind::Ack { number } => self.handle_ack(now, number),
             MessageKind::Join { known } => {
-                self.share(now, from, &known);
+                self.reply_to_join(now, from, &known);
                 self.share_limits(now, from);
                 self.share_leaving(now, from);
             }
-            MessageKind::JoinReply { members } => self.shared(from, members),
+            MessageKind::JoinReply { members } => self.handle_join_reply(from, members),
             MessageKind::Limits { .. }
             | MessageKind::Leaving { .. }
             | MessageKind::Update
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Passes on what another node told of its reading, when that is of use here.
+    /// Reports the source state of another node if it is newer than that of this node, or if that node
+    /// reads the source.
     fn source_reported(&mut self, source: SourceState, reads: bool) {
         let newer = source.version > self.source.version || source.list > self.source.list;
         if newer || reads {
@@ -55,27 +56,28 @@
         }
     }
 
-    fn answered(&mut self, now: Time, number: u64) {
+    fn handle_ack(&mut self, now: Time, number: u64) {
         let Some(probe) = self.probes.remove(&number) else {
             return;
         };
         if let Some(member) = self.members.get_mut(&probe.target) {
             member.heard_directly = true;
-            // It answered, so it is there, whatever others say; it refutes by itself when it hears of it.
+            // The node responded, so it is alive, whatever others report. It refutes the suspicion itself
+            // once it receives it.
             if member.health == MemberHealth::Suspect {
                 self.set_health(now, &probe.target, MemberHealth::Alive, Evidence::Answer);
             }
         }
-        if let Some((asker, number)) = probe.asked_by {
+        if let Some((asker, number)) = probe.requested_by {
             self.send(now, asker, MessageKind::Ack { number });
         }
     }
 
-    /// Takes an update of one node, sent by itself (`first_hand`) or by another.
-    fn take_update(&mut self, now: Time, mut update: MemberUpdate, first_hand: bool) {
+    /// Applies an update about a node, sent by the node itself (`first_hand`) or by another.
+    fn apply_update(&mut self, now: Time, mut update: MemberUpdate, first_hand: bool) {
         let address = update.facts.address.clone();
         if address == self.me.facts.address {
-            self.own_update(&update);
+            self.handle_own_update(&update);
             return;
         }
         let evidence = if first_hand {
@@ -84,23 +86,24 @@
             Evidence::Gossip
         };
         let Some(known) = self.members.get_mut(&address) else {
-            // Also when it is dead: an older update of it may come later, from a node that slept.
-            self.learn(now, address, &update, evidence);
+            // Dead nodes are recorded too: an outdated update that shows the node alive may come later,
+            // from a node that was suspended.
+            self.insert_member(now, address, &update, evidence);
             return;
         };
         let newer = (update.incarnation, update.facts_version) > (known.incarnation, known.facts_version);
         let same_run = update.incarnation == known.incarnation;
-        if same_run && update.health == MemberHealth::Dead && !believes_death(known) {
+        if same_run && update.health == MemberHealth::Dead && !accepts_reported_death(known) {
             update.health = MemberHealth::Suspect;
         }
         let worse = same_run && update.facts_version >= known.facts_version && update.health > known.health;
-        // A node that speaks for itself is alive, however it was thought of.
+        // An update from the node itself overrides what others reported about it.
         let speaks = first_hand
             && same_run
             && update.facts_version >= known.facts_version
             && update.health != known.health;
         if same_run && update.facts_version < known.facts_version && update.health > known.health {
-            self.outdated += 1;
+            self.outdated_suspicions += 1;
         }
         if !newer && !worse && !speaks {
             return;
@@ -109,15 +112,15 @@
         let health = update.health;
         let changed = health > known.health || revived || speaks;
         if newer {
-            self.newer_facts(update, evidence);
+            self.apply_newer_facts(update, evidence);
         }
         if changed {
             self.set_health(now, &address, health, evidence);
         }
     }
 
-    /// Takes what a known node newly says of itself.
-    fn newer_facts(&mut self, update: MemberUpdate, evidence: Evidence) {
+    /// Applies newer facts of a known node.
+    fn apply_newer_facts(&mut self, update: MemberUpdate, evidence: Evidence) {
         let address = update.facts.address.clone();
         let Some(known) = self.members.get_mut(&address) else {
             return;
@@ -131,7 +134,7 @@
         if same_run {
             self.updates.add_facts(&address);
         } else {
-            // It refutes a suspicion, or has started again: as urgent as a suspicion itself.
+            // It refutes a suspicion or has restarted, which is as urgent as a suspicion.
             self.updates.add_health(&address);
         }
         if serving_changed {
@@ -143,19 +146,21 @@
         }
     }
 
-    /// Somebody thinks ill of this run of the node, or knows a later one: a higher incarnation refutes both.
-    fn own_update(&mut self, update: &MemberUpdate) {
+    /// Handles an update about this node. If it reports the current incarnation as unhealthy, or shows a
+    /// later incarnation, a higher incarnation refutes it.
+    fn handle_own_update(&mut self, update: &MemberUpdate) {
         let ill = update.health != MemberHealth::Alive && self.me.health == MemberHealth::Alive;
         let later = update.incarnation > self.me.incarnation;
         if (ill && update.incarnation >= self.me.incarnation) || later {
             self.me.incarnation = Incarnation(update.incarnation.0 + 1);
-            // The time to refute runs at all who heard of the suspicion. With probes alone to carry the refutation, a pause
-            // of 0.7 s was taken for a death for 10 node-seconds in a fleet of 86, told at once for 2.9.
-            self.notify_some();
+            // The suspicion times out at every node that received it. When only probes carried the
+            // refutation, a pause of 0.7 s was taken for a death for 10 node-seconds in a fleet of 86
+            // nodes; sent at once, for 2.9.
+            self.send_own_update();
         }
     }
 
-    fn learn(&mut self, now: Time, address: String, update: &MemberUpdate, evidence: Evidence) {
+    fn insert_member(&mut self, now: Time, address: String, update: &MemberUpdate, evidence: Evidence) {
         let member = Member {
             facts: update.facts.clone(),
             incarnation: update.incarnation,
@@ -168,11 +173,11 @@
             left_gracefully: update.health == MemberHealth::Leaving,
         };
         let health = member.health;
-        self.note_learnt();
+        self.count_discovered();
         self.members.insert(address.clone(), member);
         self.updates.add_facts(&address);
-        let place = self.random.random_range(0..=self.turn.len());
-        self.turn.insert(place, address.clone());
+        let place = self.random.random_range(0..=self.probe_order.len());
+        self.probe_order.insert(place, address.clone());
         self.actions.push(MemberAction::Changed {
             address,
             health,
@@ -200,11 +205,13 @@
     }
 }
 
-/// Whether word of its death is enough for this node to take `member` for dead, and not only for suspect.
+/// Whether an update that reports `member` dead is enough for this node to mark it dead rather than
+/// suspect.
 ///
-/// A node that was cut off takes everybody else for dead, and says so when it is back. When all believed it, 848 of
-/// 7,140 pairs of others took each other for dead two seconds after one node of 86 was back from a cut of 8 s; now 197.
-/// So the first word of a death only gives the node the time to refute it, unless it never spoke to this one.
-fn believes_death(member: &Member) -> bool {
+/// A node that was cut off takes all other nodes for dead and reports so on its return. When every node
+/// accepted such reports, 848 of 7,140 pairs of other nodes took each other for dead two seconds after one
+/// node of 86 returned from a partition of 8 s; now 197 do. So the first report of a death only starts the
+/// suspicion timeout, unless this node has never received anything from the member directly.
+fn accepts_reported_death(member: &Member) -> bool {
     member.health == MemberHealth::Suspect || !member.heard_directly
 }
--- a/crates/barleyspool_core/src/membership/round_robin.rs
+++ b/crates/barleyspool_core/src/membership/round_robin.rs
@@ -1,8 +1,8 @@
-//! Things that are passed on to other nodes again and again, each in turn.
+//! A round robin queue of the updates that are sent to other nodes repeatedly.
 
 use std::collections::VecDeque;
 
-/// Keys of things that are passed on, the next one first.
+/// Keys of the updates that are sent repeatedly, the next one first.
 #[derive(Clone, Debug)]
 pub(super) struct RoundRobin<K> {
     order: VecDeque<K>,
@@ -17,13 +17,14 @@
 }
 
 impl<K: Copy + PartialEq> RoundRobin<K> {
-    /// Makes a thing the next one: there is something new of it.
+    /// Moves a key to the front because its update is new or has changed.
     pub(super) fn put_first(&mut self, key: K) {
         self.order.retain(|known| *known != key);
         self.order.push_front(key);
     }
 
-    /// What is to be passed on next, `most` updates at the most. Things of which `update` knows nothing any more are dropped.
+    /// Returns the next updates, `most` at most, and moves their keys to the back. Removes keys for which
+    /// `update` returns `None`.
     pub(super) fn take<U>(&mut self, most: usize, update: impl Fn(K) -> Option<U>) -> Vec<U> {
         let mut updates = Vec::new();
         for _ in 0..self.order.len() {
--- a/crates/barleyspool_core/src/membership/settings.rs
+++ b/crates/barleyspool_core/src/membership/settings.rs
@@ -1,32 +1,33 @@
-//! What a membership table is set up with.
+//! Settings of a membership table.
 
 use super::MemberFacts;
 use crate::{Incarnation, Span};
 
-/// What a membership table is set up with.
+/// Settings of a membership table.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// What this node says of itself at its start.
+    /// The facts that this node publishes at its start.
     pub facts: MemberFacts,
-    /// This run of the node.
+    /// The incarnation of this node.
     pub incarnation: Incarnation,
-    /// Where to find others before any is known; some may be stale or dead.
+    /// Addresses to contact while no other node is known; some may be stale or down.
     pub seeds: Vec<String>,
     /// The time between two probes.
     pub probe_interval: Span,
-    /// How long an answer may take before others are asked to probe.
+    /// How long an ack may take before other nodes are asked to probe.
     pub probe_timeout: Span,
-    /// How long a suspected node may take to refute.
+    /// How long a suspected node has to refute the suspicion.
     pub suspicion_timeout: Span,
-    /// How long a dead node is remembered, so that an old update of a node that slept or was cut off does not revive it.
-    /// Longer than machines are usually suspended; each dead node costs some 200 bytes.
+    /// How long a dead node is remembered, so that an outdated update from a node that was suspended or cut
+    /// off does not revive it. Longer than machines are usually suspended; each dead node costs some 200
+    /// bytes.
     pub dead_retention: Span,
-    /// How many others are asked to probe.
+    /// How many other nodes are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The most updates in one message besides the sender's own: some 85 bytes each, so that a message fits a datagram of
-    /// 1,472 bytes that no network has to split.
+    /// Maximum number of updates in a message besides that of the sender: some 85 bytes each, so that a
+    /// message fits into a datagram of 1,472 bytes, which no network has to fragment.
     pub max_updates: usize,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
--- a/crates/barleyspool_core/src/membership/table.rs
+++ b/crates/barleyspool_core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of nodes, stepped with the time and what was heard.
+//! The membership table, stepped with the time and an event.
 
 use super::catch_up::CatchUp;
 use super::crash_updates::Crashes;
@@ -15,22 +15,23 @@
 use rand::seq::IteratorRandom;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A question that has not been answered yet.
+/// A probe that has not been acknowledged yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: String,
     pub(super) sent: Time,
-    pub(super) helped: bool,
-    /// Whoever asked for this probe, with the number to answer.
-    pub(super) asked_by: Option<(String, u64)>,
+    pub(super) indirect: bool,
+    /// The node that requested this probe, with the number to acknowledge.
+    pub(super) requested_by: Option<(String, u64)>,
 }
 
-/// How often an update is passed on, times the logarithm of the number of nodes.
-const SPREAD: f64 = 3.0;
-/// A node that itself was asleep this long suspects nobody for what it missed.
-const SLEPT: Span = Span::from_millis(800);
+/// How often an update is sent, as a multiple of the binary logarithm of the number of nodes.
+const RETRANSMIT_FACTOR: f64 = 3.0;
+/// A longer time between two steps means that this node was suspended. It then suspects no node for acks
+/// that it missed.
+const PAUSE_THRESHOLD: Span = Span::from_millis(800);
 
-/// The nodes that this one knows.
+/// The membership table of a node, which also distributes what nodes learn about calls and targets.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
@@ -41,22 +42,22 @@
     pub(super) crashes: Crashes,
     pub(super) limits: Limits,
     pub(super) leaving: Leaving,
-    pub(super) reach: Reachability,
+    pub(super) reachability: Reachability,
     pub(super) probes: HashMap<u64, Probe>,
-    pub(super) turn: VecDeque<String>,
+    pub(super) probe_order: VecDeque<String>,
     pub(super) updates: UpdateQueue,
-    pub(super) outdated: u64,
+    pub(super) outdated_suspicions: u64,
     pub(super) next_number: u64,
-    pub(super) next_round: Time,
+    pub(super) next_probe: Time,
     pub(super) next_join: Time,
-    pub(super) next_revive: Time,
+    pub(super) next_reconnect: Time,
     pub(super) last_step: Time,
     pub(super) random: SmallRng,
     pub(super) actions: Vec<MemberAction>,
 }
 
 impl Membership {
-    /// A table that knows only its own node.
+    /// Creates a table that knows only its own node.
     pub fn new(settings: MembershipSettings) -> Self {
         let me = MemberUpdate {
             facts: settings.facts.clone(),
@@ -72,40 +73,37 @@
             crashes: Crashes::default(),
             limits: Limits::default(),
             leaving: Leaving::default(),
-            reach: Reachability::default(),
+            reachability: Reachability::default(),
             members: BTreeMap::new(),
             probes: HashMap::new(),
-            turn: VecDeque::new(),
+            probe_order: VecDeque::new(),
             updates: UpdateQueue::default(),
-            outdated: 0,
+            outdated_suspicions: 0,
             next_number: 1,
-            next_round: Time(0),
+            next_probe: Time(0),
             next_join: Time(0),
-            next_revive: Time(0),
+            next_reconnect: Time(0),
             last_step: Time(0),
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// Tells the table what happened at `now`, and takes what it wants done.
+    /// Handles an event at the time `now` and returns the resulting actions.
     pub fn step(&mut self, now: Time, event: MemberEvent) -> Vec<MemberAction> {
-        self.notice_sleep(now);
+        self.detect_pause(now);
         match event {
-            MemberEvent::Message { from, message } => self.message(now, &from, message),
+            MemberEvent::Message { from, message } => self.handle_message(now, &from, message),
             MemberEvent::Tick => {}
-            MemberEvent::Serving(serving) => self.serves(serving),
+            MemberEvent::Serving(serving) => self.set_serving(serving),
             MemberEvent::Source(source) => self.source = source,
             MemberEvent::Announce(audience) => self.announce(audience),
             MemberEvent::Crashed {
-                fingerprint: print,
-                incarnation: run,
-            } => self.crashed(now, print, run),
-            MemberEvent::LimitReceived {
-                incarnation: run,
-                per_s,
-            } => self.limit_received(now, run, per_s),
-            MemberEvent::TargetLeaves { incarnation: run } => self.target_leaves(now, run),
+                fingerprint,
+                incarnation,
+            } => self.handle_crash(now, fingerprint, incarnation),
+            MemberEvent::LimitReceived { incarnation, per_s } => self.handle_limit(now, incarnation, per_s),
+            MemberEvent::TargetLeaves { incarnation } => self.handle_target_leaving(now, incarnation),
             MemberEvent::Leave => self.leave(),
             MemberEvent::Seeds(seeds) => self.settings.seeds = seeds,
         }
@@ -113,42 +111,43 @@
         self.check_suspects(now);
         self.catch_up(now);
         self.join(now);
-        self.revive(now);
-        self.round(now);
+        self.reconnect(now);
+        self.probe_round(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// When the table next wants a [`MemberEvent::Tick`].
+    /// When the table next needs a [`MemberEvent::Tick`].
     pub fn next_wake(&self) -> Time {
         let probe = self
             .probes
             .values()
             .map(|probe| probe.sent + self.settings.probe_timeout)
             .min();
-        probe.map_or(self.next_round, |at| at.min(self.next_round))
+        probe.map_or(self.next_probe, |at| at.min(self.next_probe))
     }
 
-    /// The nodes besides this one, dead ones included.
+    /// All known nodes except this one, dead ones included.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// This node as the others hear of it.
+    /// What this node publishes about itself.
     pub fn me(&self) -> &MemberUpdate {
         &self.me
     }
 
-    /// How well updates travel.
+    /// Counts that show how well updates propagate.
     pub fn counts(&self) -> MemberCounts {
         MemberCounts {
             queued_updates: self.updates.len(),
-            outdated_suspicions: self.outdated,
+            outdated_suspicions: self.outdated_suspicions,
         }
     }
 
-    /// The nodes that take calls now, by address, this one included when it does.
+    /// The nodes that accept calls now, sorted by address, including this one if it does.
     ///
-    /// A suspected node still counts: a suspicion is often wrong, and leaving it out would move work twice.
+    /// Suspected nodes are included: suspicions are often wrong, and leaving the node out would move its
+    /// work twice.
     pub fn serving(&self) -> Vec<MemberFacts> {
         let others = self
             .members
@@ -161,38 +160,35 @@
         serving
     }
 
-    // ------------------------------------------------------------------------
-    // This node
-
-    fn serves(&mut self, serving: bool) {
+    fn set_serving(&mut self, serving: bool) {
         if self.me.facts.serving == serving {
             return;
         }
         self.me.facts.serving = serving;
         self.me.facts_version += 1;
-        self.notify_some();
+        self.send_own_update();
     }
 
     fn leave(&mut self) {
         self.me.health = MemberHealth::Leaving;
         self.me.facts_version += 1;
-        self.notify_some();
+        self.send_own_update();
     }
 
-    /// Notifies some others at once of what this node says of itself, and nothing else; they pass it on.
-    pub(super) fn notify_some(&mut self) {
-        for address in self.some_reachable(self.settings.max_updates * 4) {
+    /// Sends the update of this node, and nothing else, to some nodes at once. They pass it on.
+    pub(super) fn send_own_update(&mut self) {
+        for address in self.random_reachable(self.settings.max_updates * 4) {
             self.notify(address, MessageKind::Update, Vec::new());
         }
     }
 
-    /// Notifies another node at once, with nothing but this node's own update.
+    /// Sends a message at once with no update but that of this node.
     pub(super) fn notify(&mut self, to: String, question: MessageKind, crashes: Vec<CrashUpdate>) {
         let updates = vec![self.me.clone()];
-        self.post(to, question, updates, crashes);
+        self.push_message(to, question, updates, crashes);
     }
 
-    pub(super) fn post(
+    pub(super) fn push_message(
         &mut self,
         to: String,
         question: MessageKind,
@@ -208,18 +204,18 @@
         self.actions.push(MemberAction::Send { to, message });
     }
 
-    /// Tells others how far this node has read the source, and nothing else.
+    /// Sends the source state of this node, and nothing else, to the nodes at these addresses.
     fn announce(&mut self, audience: Vec<String>) {
         for address in audience {
-            self.post(address, MessageKind::Announce, Vec::new(), Vec::new());
+            self.push_message(address, MessageKind::Announce, Vec::new(), Vec::new());
         }
     }
 
-    /// After a pause of its own, a node has missed answers, for which nobody is to blame, and updates.
-    fn notice_sleep(&mut self, now: Time) {
-        if self.last_step != Time(0) && now.since(self.last_step) > SLEPT {
+    /// After a pause of its own a node has missed acks, for which no other node is to blame, and updates.
+    fn detect_pause(&mut self, now: Time) {
+        if self.last_step != Time(0) && now.since(self.last_step) > PAUSE_THRESHOLD {
             self.probes.clear();
-            self.ask_again(now);
+            self.restart_catch_up(now);
             let asleep = now.since(self.last_step);
             for member in self.members.values_mut() {
                 if member.health == MemberHealth::Suspect {
@@ -230,17 +226,14 @@
         self.last_step = now;
     }
 
-    pub(super) fn notice_reach(&mut self, now: Time) {
+    pub(super) fn check_reachability(&mut self, now: Time) {
         let reach = self.reachability(now);
-        if reach != self.reach {
-            self.reach = reach;
+        if reach != self.reachability {
+            self.reachability = reach;
             self.actions.push(MemberAction::ReachabilityChanged);
         }
     }
 
-    // ------------------------------------------------------------------------
-    // Sending
-
     pub(super) fn reachable(&self) -> impl Iterator<Item = String> + '_ {
         self.members
             .iter()
@@ -248,27 +241,27 @@
             .map(|(address, _)| address.clone())
     }
 
-    /// Nodes that can be notified, chosen at random, so many at the most.
-    pub(super) fn some_reachable(&mut self, most: usize) -> Vec<String> {
+    /// Returns the addresses of up to `most` reachable nodes, chosen at random.
+    pub(super) fn random_reachable(&mut self, most: usize) -> Vec<String> {
         let reachable: Vec<String> = self.reachable().collect();
         reachable.into_iter().choose_multiple(&mut self.random, most)
     }
 
     pub(super) fn send(&mut self, now: Time, to: String, question: MessageKind) {
         let mut updates = vec![self.me.clone()];
-        // What a node is thought of comes first to itself, so that it can refute.
+        // The receiver has to know first what is recorded about itself, so that it can refute a suspicion.
         if let Some(member) = self.members.get(&to)
             && member.health != MemberHealth::Alive
         {
             updates.push(update_of(member));
         }
-        updates.extend(self.next_updates());
-        let crashes = self.next_crashes(now, 0);
-        self.post(to, question, updates, crashes);
+        updates.extend(self.take_updates());
+        let crashes = self.take_crash_updates(now, 0);
+        self.push_message(to, question, updates, crashes);
     }
 
-    fn next_updates(&mut self) -> Vec<MemberUpdate> {
-        let often = (SPREAD * ((self.members.len() + 2) as f64).log2()).ceil() as u32;
+    fn take_updates(&mut self) -> Vec<MemberUpdate> {
+        let often = (RETRANSMIT_FACTOR * ((self.members.len() + 2) as f64).log2()).ceil() as u32;
         let next = self.updates.take(self.settings.max_updates, often);
         let known = next.iter().filter_map(|address| self.members.get(address));
         known.map(update_of).collect()
--- a/crates/barleyspool_core/src/membership/update_queue.rs
+++ b/crates/barleyspool_core/src/membership/update_queue.rs
@@ -1,79 +1,80 @@
-//! Which updates go with the next message.
+//! The queue of membership updates that are piggybacked on messages.
 
 use std::collections::{HashMap, VecDeque};
 
-/// The part of a message that updates of facts always get, one in so many: who has come must be known also while others
-/// die and come back.
-const FACTS_SHARE: usize = 4;
+/// One in this many updates of a message is reserved for updates of facts: new nodes have to become known
+/// also while others die and return.
+const FACTS_DIVISOR: usize = 4;
 
-/// The nodes whose updates are passed on, each so many times.
+/// The nodes whose updates are passed on, each a limited number of times.
 ///
-/// Updates of health go before those of facts, and within each line every node has its turn, however often
-/// there are updates of the others. With the newest of all updates first, 56 of 85 nodes had not heard of a death after
-/// 3.5 s when 20 others changed their facts ten times a second; with one line of turns 64 had not, since
-/// a fleet that has just started passes on facts of everybody for half a minute.
+/// Updates of health go before those of facts, and within each queue the nodes take turns, however often
+/// some of them have new updates. With the newest update always first, 56 of 85 nodes had not received a
+/// death after 3.5 s while 20 others changed their facts ten times a second. With one queue for both kinds
+/// 64 had not, since a fleet that has just started passes on the facts of all nodes for half a minute.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
-    health: Line,
-    facts: Line,
+    health: NodeQueue,
+    facts: NodeQueue,
 }
 
 impl UpdateQueue {
-    /// The health of the node at `address` has changed.
+    /// Queues the node at `address` after a change of its health.
     pub(super) fn add_health(&mut self, address: &str) {
         self.health.add(address);
     }
 
-    /// There is a new node at `address`, or new facts of it.
+    /// Queues the node at `address` when it is new or has new facts.
     pub(super) fn add_facts(&mut self, address: &str) {
         self.facts.add(address);
     }
 
-    /// Updates of health to pass on.
-    pub(super) fn health_waits(&self) -> usize {
+    /// Number of queued updates of health.
+    pub(super) fn queued_health(&self) -> usize {
         self.health.order.len()
     }
 
-    /// Updates to pass on.
+    /// Number of queued updates.
     pub(super) fn len(&self) -> usize {
         self.health.order.len() + self.facts.order.len()
     }
 
-    /// Takes the nodes whose updates go with the next message, at most `most`; each is taken `often` times in all.
-    pub(super) fn take(&mut self, most: usize, often: u32) -> Vec<String> {
-        let kept = (most / FACTS_SHARE).min(self.facts.order.len());
-        let mut taken = self.health.take(most - kept, often);
-        taken.extend(self.facts.take(most - taken.len(), often));
+    /// Takes the nodes whose updates go with the next message, at most `most`. Each node is taken
+    /// `max_sends` times in all.
+    pub(super) fn take(&mut self, most: usize, max_sends: u32) -> Vec<String> {
+        let kept = (most / FACTS_DIVISOR).min(self.facts.order.len());
+        let mut taken = self.health.take(most - kept, max_sends);
+        taken.extend(self.facts.take(most - taken.len(), max_sends));
         taken
     }
 }
 
-/// Nodes in turn.
+/// Nodes in round robin order.
 #[derive(Debug, Default)]
-struct Line {
+struct NodeQueue {
     order: VecDeque<String>,
-    /// How often the update of a node was passed on.
-    passed: HashMap<String, u32>,
+    /// How often the update of each queued node was sent.
+    sent: HashMap<String, u32>,
 }
 
-impl Line {
-    /// A node that is not in the line goes first, once; one that waits already keeps its place.
+impl NodeQueue {
+    /// Adds a node at the front, or resets the send count of one that is queued, which keeps its place.
     fn add(&mut self, address: &str) {
-        if self.passed.insert(address.to_owned(), 0).is_none() {
+        if self.sent.insert(address.to_owned(), 0).is_none() {
             self.order.push_front(address.to_owned());
         }
     }
 
-    fn take(&mut self, most: usize, often: u32) -> Vec<String> {
+    fn take(&mut self, most: usize, max_sends: u32) -> Vec<String> {
         let count = most.min(self.order.len());
         let taken: Vec<String> = self.order.drain(..count).collect();
         for address in &taken {
-            let passed = self.passed.entry(address.clone()).or_default();
-            *passed += 1;
-            if *passed < often {
+            let sent = self.sent.entry(address.clone()).or_default();
+            *sent += 1;
+            if *sent < max_sends {
                 self.order.push_back(address.clone());
             } else {
-                self.passed.remove(address);
+                self.sent.remove(address);
             }
         }
         taken
