--- a/crates/barleyspool_core/src/crashes/answered_calls.rs
+++ b/crates/barleyspool_core/src/crashes/answered_calls.rs
@@ -1,48 +1,49 @@
-//! Calls that targets have lately answered: such a call does not end them.
+//! Calls that targets have answered lately, which therefore do not crash targets.
 
 use super::CallFingerprint;
 use crate::{Span, Time};
 use std::collections::HashSet;
 
-/// How long it is remembered that a call was answered, at the least.
-const KEPT: Span = Span::from_secs(60);
-/// Calls that are remembered of each such time, 8 bytes each: 68 calls a second at one node, four times its share of 6,600
-/// calls a second before 410 nodes. After that the oldest go earlier.
-const MOST: usize = 4096;
+/// Minimum time for which an answered call is remembered.
+const RETENTION: Span = Span::from_secs(60);
+/// Maximum number of calls in each of the two sets, 8 bytes each: 68 calls a second at one node, four times
+/// its share of 6,600 calls a second in front of 410 nodes. Above that rate the oldest calls are dropped
+/// earlier.
+const MAX_CALLS: usize = 4096;
 
-/// Calls that targets have lately answered, by their prints.
+/// Calls that targets have answered lately, by fingerprint.
 ///
-/// Where many callers ask for the same, some are at any target that ends. They may be told apart from a call that ends
-/// targets by the answers that the others get.
+/// Where many callers send the same call, some of these calls are running at any target that crashes. The
+/// answers to the others distinguish them from a call that crashes targets.
 #[derive(Clone, Debug, Default)]
 pub struct AnsweredCalls {
     newer: HashSet<CallFingerprint>,
     older: HashSet<CallFingerprint>,
-    turned: Time,
+    rotated_at: Time,
 }
 
 impl AnsweredCalls {
-    /// A target gave a call a whole answer, good or bad.
-    pub fn insert(&mut self, now: Time, print: CallFingerprint) {
-        self.turn(now);
-        self.newer.insert(print);
+    /// Records that a target gave a call a complete answer, successful or not.
+    pub fn insert(&mut self, now: Time, fingerprint: CallFingerprint) {
+        self.rotate(now);
+        self.newer.insert(fingerprint);
     }
 
-    /// Whether a call was answered lately.
-    pub fn contains(&mut self, now: Time, print: CallFingerprint) -> bool {
-        self.turn(now);
-        self.newer.contains(&print) || self.older.contains(&print)
+    /// Whether the call was answered lately.
+    pub fn contains(&mut self, now: Time, fingerprint: CallFingerprint) -> bool {
+        self.rotate(now);
+        self.newer.contains(&fingerprint) || self.older.contains(&fingerprint)
     }
 
-    fn turn(&mut self, now: Time) {
-        let old = now.since(self.turned) >= KEPT;
-        if old || self.newer.len() >= MOST {
-            let stale = now.since(self.turned) >= KEPT + KEPT;
+    fn rotate(&mut self, now: Time) {
+        let old = now.since(self.rotated_at) >= RETENTION;
+        if old || self.newer.len() >= MAX_CALLS {
+            let stale = now.since(self.rotated_at) >= RETENTION + RETENTION;
             self.older = std::mem::take(&mut self.newer);
             if stale {
                 self.older.clear();
             }
-            self.turned = now;
+            self.rotated_at = now;
         }
     }
 }
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -1,253 +1,270 @@
-//! Which calls targets have ended under, and which of them get no target for a while.
+//! The calls during which targets crashed, and which of them are blocked.
 
 use super::CallFingerprint;
 use crate::{Span, Time, rendezvous};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Ends of targets after which a call gets no target.
+/// Number of crashes from which on a call is blocked.
 ///
-/// Under any call a target may end by chance, since up to 64 others are at it when it does, and of those that are sent
-/// again some meet the next one that ends. But each end costs all the calls at that target, what it keeps in memory, and seconds
-/// of its work, and a call that has failed twice has little time left. The rules of the deployments allow three.
-const REFUSED_FROM: usize = 2;
-/// How long a call gets no target after so many ends, and after each further one.
+/// A target may crash during any call by chance, since up to 64 other calls are running there, and some
+/// calls that are retried meet the next target that crashes. But each crash costs all the calls at that
+/// target, its memory and seconds of its work, and a call that has failed twice has little time left. The
+/// rules of the deployments allow three crashes.
+const BLOCKED_FROM: usize = 2;
+/// How long a call is blocked after [`BLOCKED_FROM`] crashes, and after each further one.
 ///
-/// Chosen, for two errors that are possible. A call that was at two targets by chance is told to come back after 5 s, and is served
-/// then; that is long against the second within which calls that end targets come again. One that ends every target and keeps
-/// coming ends five within a quarter of an hour, and one a day after that: it is not to be tried again before somebody may have
-/// mended the targets, and the rules allow three after the third.
-const REFUSALS: [Span; 4] = [
+/// The times balance two errors. A call that was at two crashing targets by chance is told to retry after 5
+/// s, and is then served; that is long compared to the second within which calls that crash targets are
+/// sent again. A call that crashes every target and is sent again and again causes five crashes within a
+/// quarter of an hour, and one a day after that: it must not be tried before the targets may have been
+/// repaired, and the rules allow three crashes after the third.
+const BLOCK_TIMES: [Span; 4] = [
     Span::from_secs(5),
     Span::from_secs(60),
     Span::from_secs(12 * 60),
     Span::from_secs(24 * 3600),
 ];
-/// Ends that are kept of each call, the newest: as many as the longest refusal takes.
-const MOST_ENDS: usize = REFUSED_FROM + REFUSALS.len() - 1;
-/// How long a record is kept at the least after its last end.
-const KEPT: Span = Span::from_secs(600);
-/// Two words of the end of the same run of a target are of one end when they lie this close: how far the clocks of nodes and
-/// the time on the way may part them. A target is back after seconds, at times under the same mark.
-const SAME_END: Span = Span::from_secs(1);
-/// Calls that are remembered, some 200 bytes each.
-const MOST_RECORDS: usize = 4096;
-
-/// A short mark of one run of a target.
+/// Maximum number of crashes recorded for a call, the latest ones: as many as the longest block needs.
+const MAX_CRASHES: usize = BLOCKED_FROM + BLOCK_TIMES.len() - 1;
+/// Minimum retention of a record after its last crash.
+const MIN_RETENTION: Span = Span::from_secs(600);
+/// Two reports of a crash of the same incarnation are about one crash if they are this close, which covers
+/// clock differences between nodes and network latency. A target restarts within seconds, at times with the
+/// same [`IncarnationId`].
+const SAME_CRASH: Span = Span::from_secs(1);
+/// Maximum number of calls in the table, some 200 bytes each.
+const MAX_RECORDS: usize = 4096;
+
+/// A short hash that identifies one incarnation of a target.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct IncarnationId(pub u32);
 
 impl IncarnationId {
-    /// The mark of the run `run` of the target `id`.
-    pub fn of(id: &str, run: u64) -> Self {
-        Self(rendezvous::place(rendezvous::text_key(id), run) as u32)
+    /// Returns the hash for incarnation `incarnation` of the target `id`.
+    pub fn of(id: &str, incarnation: u64) -> Self {
+        Self(rendezvous::place(rendezvous::text_key(id), incarnation) as u32)
     }
 }
 
-/// A run of a target that ended while it had a call.
+/// A crash of a target that was processing the call.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-struct End {
-    run: IncarnationId,
+struct Crash {
+    incarnation: IncarnationId,
     at: Time,
 }
 
-/// What is known of one call; the ends in the order of their times.
+/// The crashes of one call, in order of time.
 #[derive(Clone, Debug, Default)]
 struct Record {
-    ends: Vec<End>,
+    crashes: Vec<Crash>,
 }
 
-/// What one node tells another of a call: which runs of targets ended under it, and how many milliseconds ago.
+/// The crashes of one call as nodes pass them on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// The call.
+    /// The fingerprint of the call.
     #[serde(rename = "print")]
     pub fingerprint: CallFingerprint,
-    /// The runs of targets, each with the age of its end in milliseconds.
+    /// The incarnations of the targets that crashed, each with the age of the crash in milliseconds.
     #[serde(rename = "ends")]
     pub crashes: Vec<(IncarnationId, u32)>,
 }
 
-/// What a node learns from a word about a call.
+/// What a report about a call adds to what a node knows.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum CrashKnowledge {
-    /// Nothing that it did not know.
+    /// The report adds nothing.
     Unchanged,
-    /// A target ended under it, which says little yet.
+    /// One target crashed during the call, which says little yet.
     Suspected,
-    /// Targets end under it: all nodes have to know.
+    /// The call crashes targets, and all nodes have to know.
     Confirmed,
 }
 
-/// Calls that get no target now, and until when.
+/// The blocked calls, and until when each is blocked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BlockedCalls(HashMap<CallFingerprint, Time>);
 
 impl BlockedCalls {
-    /// How long a call gets no target from now on; `None` when it may go to one.
-    pub fn wait(&self, now: Time, print: CallFingerprint) -> Option<Span> {
-        let until = *self.0.get(&print)?;
+    /// The time for which a call stays blocked; `None` if it is not blocked.
+    pub fn wait(&self, now: Time, fingerprint: CallFingerprint) -> Option<Span> {
+        let until = *self.0.get(&fingerprint)?;
         (now < until).then(|| until.since(now))
     }
 
-    /// How many calls get no target now.
+    /// The number of calls that are blocked now.
     pub fn count(&self, now: Time) -> usize {
         self.0.values().filter(|until| **until > now).count()
     }
 }
 
-/// Calls under which targets have ended.
+/// Calls during which targets crashed.
 ///
-/// All nodes take the same words to the same table, in whatever order they come.
+/// All nodes arrive at the same table from the same reports, in any order.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     records: HashMap<CallFingerprint, Record>,
 }
 
 impl CrashTable {
-    /// A run of a target has ended while it had a call.
-    pub fn record_crash(&mut self, now: Time, print: CallFingerprint, run: IncarnationId) -> CrashKnowledge {
-        self.add(now, print, &[End { run, at: now }])
+    /// Records the crash of a target that was processing the call.
+    pub fn record_crash(
+        &mut self,
+        now: Time,
+        fingerprint: CallFingerprint,
+        incarnation: IncarnationId,
+    ) -> CrashKnowledge {
+        self.add(now, fingerprint, &[Crash { incarnation, at: now }])
     }
 
-    /// Takes what another node tells.
+    /// Applies an update from another node.
     pub fn apply_update(&mut self, now: Time, update: &CrashUpdate) -> CrashKnowledge {
-        let end = |(run, age): &(IncarnationId, u32)| End {
-            run: *run,
+        let crash = |(incarnation, age): &(IncarnationId, u32)| Crash {
+            incarnation: *incarnation,
             at: now - Span::from_millis(u64::from(*age)),
         };
-        let ends: Vec<End> = update.crashes.iter().take(MOST_ENDS).map(end).collect();
-        self.add(now, update.fingerprint, &ends)
+        let crashes: Vec<Crash> = update.crashes.iter().take(MAX_CRASHES).map(crash).collect();
+        self.add(now, update.fingerprint, &crashes)
     }
 
-    /// What this node can tell of a call.
-    pub fn update_of(&self, now: Time, print: CallFingerprint) -> Option<CrashUpdate> {
-        let record = self.records.get(&print)?;
+    /// The update to send to other nodes about a call.
+    pub fn update_of(&self, now: Time, fingerprint: CallFingerprint) -> Option<CrashUpdate> {
+        let record = self.records.get(&fingerprint)?;
         let age = |at: Time| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
-        let ends = record.ends.iter().map(|end| (end.run, age(end.at)));
+        let crashes = record
+            .crashes
+            .iter()
+            .map(|crash| (crash.incarnation, age(crash.at)));
         Some(CrashUpdate {
-            fingerprint: print,
-            crashes: ends.collect(),
+            fingerprint,
+            crashes: crashes.collect(),
         })
     }
 
-    /// The calls that get no target now.
+    /// The calls that are blocked now.
     pub fn blocked(&self, now: Time) -> BlockedCalls {
-        let until = |(print, record): (&CallFingerprint, &Record)| Some((*print, record.refused_until()?));
-        let refused = self.records.iter().filter_map(until);
-        BlockedCalls(refused.filter(|(_, until)| *until > now).collect())
+        let until = |(fingerprint, record): (&CallFingerprint, &Record)| {
+            Some((*fingerprint, record.blocked_until()?))
+        };
+        let blocked = self.records.iter().filter_map(until);
+        BlockedCalls(blocked.filter(|(_, until)| *until > now).collect())
     }
 
-    /// Whether targets are known to end under a call, also when it may go to one again: one more end then counts for more.
-    pub fn is_confirmed(&self, now: Time, print: CallFingerprint) -> bool {
-        let record = self.records.get(&print);
-        record.is_some_and(|record| record.refused_until().is_some() && record.kept_until() > now)
+    /// Whether a call is known to crash targets, also while it is not blocked: one more crash then counts
+    /// for more.
+    pub fn is_confirmed(&self, now: Time, fingerprint: CallFingerprint) -> bool {
+        let record = self.records.get(&fingerprint);
+        record.is_some_and(|record| record.blocked_until().is_some() && record.retained_until() > now)
     }
 
-    /// How many calls are remembered.
+    /// The number of calls in the table.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    fn add(&mut self, now: Time, print: CallFingerprint, ends: &[End]) -> CrashKnowledge {
-        self.forget(now, print);
-        let record = self.records.entry(print).or_default();
-        let mut learnt = false;
-        for end in ends {
-            learnt |= record.add(*end);
+    fn add(&mut self, now: Time, fingerprint: CallFingerprint, crashes: &[Crash]) -> CrashKnowledge {
+        self.evict(now, fingerprint);
+        let record = self.records.entry(fingerprint).or_default();
+        let mut is_new = false;
+        for crash in crashes {
+            is_new |= record.add(*crash);
         }
-        match record.refused_until() {
-            _ if !learnt => CrashKnowledge::Unchanged,
+        match record.blocked_until() {
+            _ if !is_new => CrashKnowledge::Unchanged,
             Some(_) => CrashKnowledge::Confirmed,
             None => CrashKnowledge::Suspected,
         }
     }
 
-    /// Makes room for a call that is not known yet: what is old goes, and if that is not enough, the call that says least.
-    fn forget(&mut self, now: Time, print: CallFingerprint) {
-        if self.records.len() < MOST_RECORDS || self.records.contains_key(&print) {
+    /// Makes space for a call that is not in the table: expired records go first, and then the record of
+    /// the fewest and oldest crashes.
+    fn evict(&mut self, now: Time, fingerprint: CallFingerprint) {
+        if self.records.len() < MAX_RECORDS || self.records.contains_key(&fingerprint) {
             return;
         }
-        self.records.retain(|_, record| record.kept_until() > now);
-        if self.records.len() < MOST_RECORDS {
+        self.records.retain(|_, record| record.retained_until() > now);
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         let least = self.records.iter().min_by_key(|(_, record)| record.weight());
-        if let Some(print) = least.map(|(print, _)| *print) {
-            self.records.remove(&print);
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.records.remove(&fingerprint);
         }
     }
 }
 
 impl Record {
-    /// Adds an end; false when it is known.
-    fn add(&mut self, end: End) -> bool {
-        let known = |known: &End| {
-            let apart = known.at.since(end.at).max(end.at.since(known.at));
-            known.run == end.run && apart < SAME_END
+    /// Adds a crash. Returns false if it is already recorded.
+    fn add(&mut self, crash: Crash) -> bool {
+        let known = |known: &Crash| {
+            let apart = known.at.since(crash.at).max(crash.at.since(known.at));
+            known.incarnation == crash.incarnation && apart < SAME_CRASH
         };
-        if self.ends.iter().any(known) {
+        if self.crashes.iter().any(known) {
             return false;
         }
-        let place = self.ends.partition_point(|known| known.at <= end.at);
-        if place == 0 && self.ends.len() == MOST_ENDS {
+        let place = self.crashes.partition_point(|known| known.at <= crash.at);
+        if place == 0 && self.crashes.len() == MAX_CRASHES {
             return false;
         }
-        self.ends.insert(place, end);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.remove(0);
+        self.crashes.insert(place, crash);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
         true
     }
 
     fn last(&self) -> Time {
-        self.ends.last().map_or(Time(0), |end| end.at)
+        self.crashes.last().map_or(Time(0), |crash| crash.at)
     }
 
-    /// The ends that count together: of two that lie too far apart the earlier one says nothing of the later.
+    /// Number of crashes that count together. A crash does not count towards a later one that is too far
+    /// apart from it.
     fn counted(&self) -> usize {
         let mut counted = 0;
         let mut last = Time(0);
-        for end in &self.ends {
-            let apart = end.at.since(last);
-            counted = if apart < kept_after(counted) {
+        for crash in &self.crashes {
+            let apart = crash.at.since(last);
+            counted = if apart < retention_after(counted) {
                 counted + 1
             } else {
                 1
             };
-            last = end.at;
+            last = crash.at;
         }
         counted
     }
 
-    fn refused_until(&self) -> Option<Time> {
-        let more = self.counted().checked_sub(REFUSED_FROM)?;
-        Some(self.last() + refusal_after(more))
+    fn blocked_until(&self) -> Option<Time> {
+        let more = self.counted().checked_sub(BLOCKED_FROM)?;
+        Some(self.last() + block_time(more))
     }
 
-    /// Until when it is remembered.
-    fn kept_until(&self) -> Time {
-        self.last() + kept_after(self.counted())
+    /// Until when the record is retained.
+    fn retained_until(&self) -> Time {
+        self.last() + retention_after(self.counted())
     }
 
-    /// What is given up last when there is no room.
+    /// Order of eviction; the lowest goes first.
     fn weight(&self) -> (usize, Time) {
         (self.counted(), self.last())
     }
 }
 
-/// How long `ends` ends count with the next one: as long as the call gets no target after that one.
-fn kept_after(ends: usize) -> Span {
-    let next = (ends + 1).checked_sub(REFUSED_FROM);
-    next.map_or(KEPT, |more| refusal_after(more).max(KEPT))
+/// How long `crashes` crashes count together with the next one: as long as the call would be blocked after
+/// that one.
+fn retention_after(crashes: usize) -> Span {
+    let next = (crashes + 1).checked_sub(BLOCKED_FROM);
+    next.map_or(MIN_RETENTION, |more| block_time(more).max(MIN_RETENTION))
 }
 
-/// How long a call gets no target that ended `more` targets than [`REFUSED_FROM`].
-fn refusal_after(more: usize) -> Span {
-    REFUSALS[more.min(REFUSALS.len() - 1)]
+/// How long a call is blocked after `more` crashes beyond [`BLOCKED_FROM`].
+fn block_time(more: usize) -> Span {
+    BLOCK_TIMES[more.min(BLOCK_TIMES.len() - 1)]
 }
--- a/crates/barleyspool_core/src/crashes/mod.rs
+++ b/crates/barleyspool_core/src/crashes/mod.rs
@@ -1,9 +1,10 @@
-//! Calls under which targets end.
+//! Calls that crash targets.
 //!
-//! A target may end because of what a call asks of it. Such a call comes again, with another id and at another node, and ends the
-//! next target, with all the calls that are at it. So nodes tell each other under which calls targets have ended, by a mark that
-//! all tries of a call share ([`CallFingerprint`]), and after the second end none of them sends it to a target for a while
-//! ([`CrashTable`]); docs/DESIGN.md, "Calls that end targets".
+//! A target may crash because of what a call asks of it. The caller sends such a call again, with another
+//! id and to another node, and it crashes the next target together with all the calls that are running
+//! there. So nodes exchange reports of the calls during which targets crashed, identified by a fingerprint
+//! that all tries of a call share ([`CallFingerprint`]), and after the second crash every node blocks the
+//! call for a while ([`CrashTable`]). See docs/DESIGN.md, "Calls that end targets".
 
 mod answered_calls;
 mod call_fingerprint;
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -1,9 +1,10 @@
-//! Telling other nodes under which calls targets have ended.
+//! Distribution of calls that crash targets.
 //!
-//! One end under a call says little, and when many targets end at once there are thousands of such words. So it goes to a few
-//! nodes only, the same ones for all words of that call. When they have heard of two, everybody is told: some at once, who pass it
-//! on, and all again and again with the messages that go out anyway, so that nodes that start, sleep or are cut off learn it
-//! within seconds after they are back.
+//! A single crash during a call says little, and when many targets crash at once there are thousands of
+//! such reports. So a first report goes only to a few nodes, which are the same for all reports about a
+//! call. As soon as one of them knows of two crashes, all nodes are notified: some at once, which pass it
+//! on, and all repeatedly with the messages that are sent anyway, so that nodes that start, resume or were
+//! cut off receive it within seconds.
 
 use super::round_robin::RoundRobin;
 use super::table::Membership;
@@ -11,33 +12,36 @@
 use crate::{CallFingerprint, CrashKnowledge, CrashTable, CrashUpdate, IncarnationId, Time, rendezvous};
 use std::collections::HashMap;
 
-/// Nodes that hear of every end under a call, in different zones. A zone may be lost, and another datagram, without anything being
-/// missed.
+/// Number of nodes in different zones that collect all reports about a call. A zone may be lost, and
+/// another datagram, without a report being missed.
 const COLLECTORS: usize = 3;
-/// Nodes that are told at once by the one that finds out that targets end under a call.
+/// Number of nodes that are notified at once by the node that confirms that a call crashes targets.
 const NOTIFIED_FIRST: usize = 16;
-/// Nodes that are told at once by each that hears of it: by a simulation of 89 and 410 nodes that lose 3 of 100 datagrams 98 of
-/// 100 hear it so, the rest with the next messages that go out anyway.
+/// Number of nodes that are notified at once by each node that receives the update from another. In a
+/// simulation of 89 and 410 nodes that lose 3 of 100 datagrams this reaches 98 of 100 nodes, and the rest
+/// receive it with the next messages that are sent anyway.
 const NOTIFIED_NEXT: usize = 4;
-/// Calls that are told with each message, 30 to 61 bytes each; the whole message fits a datagram that no network has to split. A
-/// node gets some eight messages a second, so it hears of 24 calls a second.
+/// Maximum number of calls in a message, 30 to 61 bytes each; the whole message fits into a datagram that
+/// no network has to fragment. A node receives some eight messages a second, so it learns of 24 calls a
+/// second.
 const UPDATES_PER_MESSAGE: usize = 3;
 
-/// What this node knows and tells of calls under which targets have ended.
+/// Calls that crash targets, as known to this node, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Crashes {
     table: CrashTable,
-    /// Confirmed calls in the order in which they are told; the newest first, and then each in turn.
+    /// Confirmed calls in the order in which they are sent: the newest first, and then in round robin
+    /// order.
     queue: RoundRobin<CallFingerprint>,
 }
 
 impl Membership {
-    /// What is known of calls under which targets have ended.
+    /// What is known about calls during which targets crashed.
     pub fn crashes(&self) -> &CrashTable {
         &self.crashes.table
     }
 
-    /// This node has seen a incarnation of a target end while it had a call.
+    /// Handles the crash of a target that was processing a call of this node.
     pub(super) fn handle_crash(
         &mut self,
         now: Time,
@@ -51,27 +55,28 @@
         }
     }
 
-    /// Takes what another node tells of such calls.
+    /// Applies updates from another node.
     pub(super) fn apply_crashes(&mut self, now: Time, updates: &[CrashUpdate]) {
         for update in updates {
             let first_end = update.crashes.len() == 1;
             if self.crashes.table.apply_update(now, update) == CrashKnowledge::Confirmed {
-                // Whoever puts two words together is the first to know.
+                // The node that combines two reports is the first to know.
                 let count = if first_end { NOTIFIED_FIRST } else { NOTIFIED_NEXT };
                 self.spread(now, update.fingerprint, count);
             }
         }
     }
 
-    /// The calls that go with a message which has room for `room` more updates of nodes; these are larger.
-    pub(super) fn take_crash_updates(&mut self, now: Time, room: usize) -> Vec<CrashUpdate> {
+    /// Returns the updates that go with a message that has space for `spare` more updates of nodes, which
+    /// are larger.
+    pub(super) fn take_crash_updates(&mut self, now: Time, spare: usize) -> Vec<CrashUpdate> {
         let Crashes { table, queue } = &mut self.crashes;
         let confirmed = |fingerprint| {
             table
                 .is_confirmed(now, fingerprint)
                 .then(|| table.update_of(now, fingerprint))
         };
-        queue.take(UPDATES_PER_MESSAGE + room, |fingerprint| {
+        queue.take(UPDATES_PER_MESSAGE + spare, |fingerprint| {
             confirmed(fingerprint).flatten()
         })
     }
@@ -88,7 +93,8 @@
         self.notify_crash(now, fingerprint, collectors);
     }
 
-    /// The nodes that hear of every end under a call: the best placed ones, of different zones as far as there are any.
+    /// The nodes that collect all reports about a call: those ranked first by rendezvous hashing, from
+    /// different zones as far as possible.
     fn collectors(&self, fingerprint: CallFingerprint) -> Vec<String> {
         let alive = |member: &&Member| matches!(member.health, MemberHealth::Alive | MemberHealth::Suspect);
         let mut ranked: Vec<&Member> = self.members.values().filter(alive).collect();
@@ -100,7 +106,7 @@
             turns.push((*before, member));
             *before += 1;
         }
-        // Stable: within each turn through the zones the order by place stays.
+        // The sort is stable: within each pass through the zones the nodes stay in the order of their rank.
         turns.sort_by_key(|(turn, _)| *turn);
         let collectors = turns.into_iter().take(COLLECTORS);
         collectors
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -1,42 +1,44 @@
-//! Notifying other nodes of targets that have said in an answer that they leave.
+//! Distribution of targets that have reported in an answer that they are leaving.
 //!
-//! The node that reads it notifies some others at once, who pass it on. While any is remembered each node also updates one other in
-//! each round, so that nodes that start, sleep or are cut off learn what they missed.
+//! The node that receives the answer notifies some other nodes at once, which pass it on. While any such
+//! target is remembered, each node also sends updates to one other node in each probe interval, so that
+//! nodes that start, resume or were cut off receive what they missed.
 
 use super::round_robin::RoundRobin;
 use super::table::Membership;
 use super::{MemberAction, MessageKind};
 use crate::{IncarnationId, LeavingIncarnations, LeavingUpdate, Time};
 
-/// Nodes that are notified at once by the one that reads an answer.
+/// Number of nodes that are notified at once by the node that received the answer.
 const NOTIFIED_FIRST: usize = 16;
-/// Nodes that are notified at once by each that learns it from another.
+/// Number of nodes that are notified at once by each node that receives the update from another.
 const NOTIFIED_NEXT: usize = 4;
-/// Updates in one message, some 10 bytes each.
+/// Maximum number of updates in a message, some 10 bytes each.
 const UPDATES_PER_MESSAGE: usize = 32;
 
-/// What this node knows and passes on of targets that leave.
+/// Leaving targets that this node knows, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
     runs: LeavingIncarnations,
-    /// The runs in the order in which they are passed on; each in turn.
+    /// The incarnations in the order in which they are sent.
     queue: RoundRobin<IncarnationId>,
 }
 
 impl Membership {
-    /// Runs of targets that have said in an answer, here or at another node, that they leave.
+    /// Incarnations of targets that have reported in an answer, to this node or to another, that they are
+    /// leaving.
     pub fn leaving_runs(&self) -> &LeavingIncarnations {
         &self.leaving.runs
     }
 
-    /// This node has read in an answer that a incarnation of a target leaves.
+    /// Handles an answer to this node that reports a leaving target.
     pub(super) fn handle_target_leaving(&mut self, now: Time, incarnation: IncarnationId) {
         if self.leaving.runs.record(now, incarnation) {
             self.spread_leaving(now, incarnation, NOTIFIED_FIRST);
         }
     }
 
-    /// Takes what another node passes on.
+    /// Applies updates from another node.
     pub(super) fn apply_leaving(&mut self, now: Time, updates: &[LeavingUpdate]) {
         for update in updates {
             if self.leaving.runs.merge(now, *update) {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Updates one other node with some of what is known, in turn.
+    /// Sends the next updates to one other node.
     pub(super) fn gossip_leaving(&mut self, now: Time) {
         if self.leaving.runs.is_empty() {
             return;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Updates a node with some of what is known, in turn.
+    /// Sends the next updates to a node.
     pub(super) fn share_leaving(&mut self, now: Time, to: &str) {
         let Leaving { runs, queue } = &mut self.leaving;
         let updates = queue.take(UPDATES_PER_MESSAGE, |incarnation| {
--- a/crates/barleyspool_core/src/membership/limit_updates.rs
+++ b/crates/barleyspool_core/src/membership/limit_updates.rs
@@ -1,36 +1,37 @@
-//! Telling other nodes what targets have said of their limits.
+//! Distribution of the rate limits that targets have reported.
 //!
-//! The node that reads a limit in an answer tells some others at once, who pass it on; that reaches nearly all of 410 nodes within some
-//! 20 ms. While any word is remembered each node also tells one other in each round, so that nodes that start, sleep or are cut off
-//! learn within seconds what they missed.
+//! The node that receives a limit in an answer notifies some other nodes at once, which pass it on; that
+//! reaches nearly all of 410 nodes within some 20 ms. While any report is remembered, each node also sends
+//! updates to one other node in each probe interval, so that nodes that start, resume or were cut off
+//! receive within seconds what they missed.
 
 use super::round_robin::RoundRobin;
 use super::table::Membership;
 use super::{MemberAction, MessageKind};
 use crate::{IncarnationId, LimitReport, LimitTable, LimitUpdate, Time};
 
-/// Nodes that are told at once by the one that reads an answer.
+/// Number of nodes that are notified at once by the node that received the answer.
 const NOTIFIED_FIRST: usize = 16;
-/// Nodes that are told at once by each that hears of it.
+/// Number of nodes that are notified at once by each node that receives the update from another.
 const NOTIFIED_NEXT: usize = 4;
-/// Words in one message, some 20 bytes each.
+/// Maximum number of updates in a message, some 20 bytes each.
 const UPDATES_PER_MESSAGE: usize = 24;
 
-/// What this node knows and tells of limits.
+/// Rate limits that this node knows, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Limits {
     table: LimitTable,
-    /// The targets in the order in which they are told; each in turn.
+    /// The targets in the order in which their limits are sent.
     queue: RoundRobin<IncarnationId>,
 }
 
 impl Membership {
-    /// What targets have said of their limits.
+    /// The rate limits that targets have reported.
     pub fn limits(&self) -> &LimitTable {
         &self.limits.table
     }
 
-    /// This node has read in an answer what a target takes; `None` when it limits nothing any more.
+    /// Handles the limit in an answer to this node, in calls per second; `None` once there is no limit.
     pub(super) fn handle_limit(&mut self, now: Time, incarnation: IncarnationId, per_s: Option<f64>) {
         let report = per_s.map_or(LimitReport::None, LimitReport::PerSecond);
         let before = self.limits.table.reported(incarnation);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes what another node tells.
+    /// Applies updates from another node.
     pub(super) fn apply_limits(&mut self, now: Time, updates: &[LimitUpdate]) {
         for update in updates {
             if self.limits.table.apply_update(now, update) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Tells one other node some of what is known, in turn.
+    /// Sends the next updates to one other node.
     pub(super) fn gossip_limits(&mut self, now: Time) {
         if self.limits.table.is_empty() {
             return;
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Tells a node some of what is known, in turn. One that has just started or woken asks every 50 to 100 ms whom it does not know, and hears of limits
-    /// before it takes itself for an owner.
+    /// Sends the next updates to a node. A node that has just started or resumed sends `Join` requests
+    /// every 50 to 100 ms, and so receives limits before it assumes that it owns targets.
     pub(super) fn share_limits(&mut self, now: Time, to: &str) {
         let Limits { table, queue } = &mut self.limits;
         let updates = queue.take(UPDATES_PER_MESSAGE, |incarnation| {
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -1,19 +1,20 @@
-//! Probing other nodes, suspecting those that do not answer, and looking for those that are gone.
+//! Probing of nodes, suspicion of those that do not respond, and reconnection to nodes that were lost.
 
 use super::table::{Membership, Probe};
 use super::{Evidence, MemberHealth, MessageKind};
 use crate::{Span, Time};
 use rand::seq::{IteratorRandom, SliceRandom};
 
-/// How long a starting node, or one that knows nobody, waits between questions to a seed.
+/// The time between `Join` requests to the seeds while no other node is known.
 const JOIN_RETRY_INTERVAL: Span = Span::from_millis(200);
-/// Dead nodes and seeds are still asked now and then, so that two sides of a cut find each other again.
+/// The time between `Join` requests to dead nodes and unknown seeds, so that two sides of a network
+/// partition find each other again.
 const RECONNECT_INTERVAL: Span = Span::from_secs(1);
 
-/// The part of a round after which the next probe goes out while more updates of health wait than one message takes.
+/// Factor on the probe interval while more updates of health are queued than one message takes.
 ///
-/// When half of a fleet of 86 dies at once, the last of the others has heard of every death after 4 s; with whole rounds and
-/// eight updates to a message it was 7 to 8 s.
+/// When half of a fleet of 86 dies at once, the last of the other nodes has received every death after 4 s;
+/// with the full interval and eight updates per message it took 7 to 8 s.
 const BACKLOG_INTERVAL_FACTOR: f64 = 0.5;
 
 impl Membership {
@@ -32,7 +33,8 @@
         }
     }
 
-    /// The next node in turn; each is probed once before any is probed again.
+    /// Returns the next node to probe. Each node is probed once, in shuffled order, before any is probed
+    /// again.
     fn next_target(&mut self) -> Option<String> {
         for _ in 0..=self.members.len() {
             let Some(address) = self.probe_order.pop_front() else {
@@ -107,7 +109,7 @@
             let target = probe.target.clone();
             self.send(now, helper, MessageKind::IndirectProbe { number, target });
         }
-        // One more try of its own too: datagrams are lost now and then.
+        // Repeats the direct probe too, since single datagrams are lost now and then.
         self.send(now, probe.target.clone(), MessageKind::Probe { number });
         probe.indirect = true;
         probe.sent = now;
@@ -152,7 +154,7 @@
         seeds.filter(|seed| *seed != me).cloned().collect()
     }
 
-    /// Asks one node that is thought dead, or a seed that is not known, whether it is there again.
+    /// Sends a `Join` request to one dead node or unknown seed, in case it is reachable again.
     pub(super) fn reconnect(&mut self, now: Time) {
         if now < self.next_reconnect {
             return;
--- a/crates/barleyspool_core/src/rate_limits/limit_report.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_report.rs
@@ -1,19 +1,19 @@
-//! What the head of an answer says of its target's limit.
+//! The rate limit in the header of an answer.
 
-/// What the head of an answer says of its target's limit.
+/// The rate limit in the header of an answer.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub enum LimitReport {
-    /// It names none, which ends one that was named before.
+    /// No limit, which removes one that was reported before.
     #[default]
     None,
-    /// The calls a second that it takes from all nodes together; finite and not negative.
+    /// The calls per second that the target accepts from all nodes together; finite and not negative.
     PerSecond(f64),
-    /// It names one that cannot be read: what was known before stands.
+    /// A limit that cannot be parsed; a limit that was known before stays.
     Unreadable,
 }
 
 impl LimitReport {
-    /// The word for a number that stood in an answer.
+    /// Returns the report for the number in an answer.
     pub fn of(per_s: f64) -> Self {
         if per_s.is_finite() && per_s >= 0.0 {
             Self::PerSecond(per_s)
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -1,60 +1,65 @@
-//! The limits that targets have named.
+//! The rate limits that targets have reported.
 
 use super::LimitReport;
 use crate::{IncarnationId, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Targets whose report is remembered, some 40 bytes each: more than there are targets.
-const MOST_REPORTS: usize = 4096;
-/// How long it is remembered that a limit is over, so that older reports of it, which other nodes still pass on, change nothing.
-const OVER_KEPT: Span = Span::from_secs(60);
-/// How long a limit is remembered that no answer has repeated. Whoever sends to the target hears it again.
-const LIMIT_KEPT: Span = Span::from_secs(600);
-/// Words of two nodes that lie this close came at the same time: their ages include the ways between nodes. Then the limit counts.
-const SAME_TIME: Span = Span::from_millis(100);
-/// How old a report may become before it is told again although nothing has changed.
-const REFRESH: Span = Span::from_secs(2);
-/// The least rate that is reckoned with, in calls a second. Only an answer can say that a limit is over, so that a target which
-/// takes nothing at all still gets a call now and then; one each five seconds is a fifth of what such a target may be sent.
-const LEAST_RATE: f64 = 0.2;
-
-/// What a target said last.
+/// Maximum number of remembered reports, some 40 bytes each: more than there are targets.
+const MAX_REPORTS: usize = 4096;
+/// How long the removal of a limit is remembered, so that older reports of the limit, which other nodes
+/// still pass on, have no effect.
+const REMOVAL_RETENTION: Span = Span::from_secs(60);
+/// How long a limit is remembered that no answer has repeated. Any node that sends to the target receives
+/// it again.
+const LIMIT_RETENTION: Span = Span::from_secs(600);
+/// Reports of two nodes that are this close count as simultaneous, since their ages include the latency
+/// between nodes. A limit then takes precedence over its removal.
+const CLOCK_TOLERANCE: Span = Span::from_millis(100);
+/// The age after which an unchanged report is sent to other nodes again.
+const NOTIFY_INTERVAL: Span = Span::from_secs(2);
+/// The lowest rate that is applied, in calls per second. Only an answer can remove a limit, so a target
+/// that accepts nothing still has to get a call now and then. One call in five seconds is a fifth of what
+/// such a target may be sent.
+const MIN_RATE: f64 = 0.2;
+
+/// The latest report of a target.
 #[derive(Copy, Clone, Debug, PartialEq)]
 struct Report {
-    /// The calls a second that it takes; `None` when a limit is over.
+    /// The limit in calls per second; `None` after its removal.
     per_s: Option<f64>,
     at: Time,
-    /// When others were last told.
+    /// When other nodes were last notified.
     notified: Time,
 }
 
-/// What one node tells another of a target's limit.
+/// The rate limit of a target as nodes pass it on.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// The run of the target.
+    /// The incarnation of the target.
     #[serde(rename = "run")]
     pub incarnation: IncarnationId,
-    /// The calls a second that it takes from all nodes; `None` when a limit is over.
+    /// The limit in calls per second from all nodes together; `None` after its removal.
     pub per_s: Option<f64>,
-    /// How long ago it said so, in milliseconds.
+    /// The age of the report in milliseconds.
     #[serde(rename = "age")]
     pub age_ms: u32,
 }
 
-/// The limits that targets have named, as far as this node has heard.
+/// The rate limits that targets have reported, as known to this node.
 ///
-/// All nodes take the same reports, in whatever order they come; the youngest counts.
+/// All nodes apply the same reports, in any order; the latest report of a target counts.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     reports: HashMap<IncarnationId, Report>,
 }
 
 impl LimitTable {
-    /// Takes what the answer to a call said that was sent at `sent`. Returns whether others are to be notified.
+    /// Applies the report in an answer to a call that was sent at `sent`. Returns whether other nodes are
+    /// to be notified.
     ///
-    /// An answer without a limit ends one only when its call was sent after the limit was known: others were on their way already when the
-    /// target named it.
+    /// An answer without a limit removes a known limit only if its call was sent after the limit was known:
+    /// calls that were already in flight when the target reported the limit may be answered without one.
     pub fn apply_report(&mut self, now: Time, sent: Time, run: IncarnationId, report: LimitReport) -> bool {
         let known = self.reports.get(&run);
         let per_s = match report {
@@ -62,7 +67,8 @@
             LimitReport::None if known.is_some_and(|known| known.per_s.is_some() && sent >= known.at) => None,
             LimitReport::None | LimitReport::Unreadable => return false,
         };
-        let is_new = known.is_none_or(|known| known.per_s != per_s || now.since(known.notified) > REFRESH);
+        let is_new =
+            known.is_none_or(|known| known.per_s != per_s || now.since(known.notified) > NOTIFY_INTERVAL);
         let notified = if is_new {
             now
         } else {
@@ -80,7 +86,8 @@
         is_new
     }
 
-    /// Takes the update of another node. Returns whether it is new, so that others are to be notified.
+    /// Applies an update from another node. Returns whether it changes the limit, so that other nodes are
+    /// to be notified.
     pub fn apply_update(&mut self, now: Time, update: &LimitUpdate) -> bool {
         let per_s = match update.per_s.map(LimitReport::of) {
             Some(LimitReport::PerSecond(per_s)) => Some(per_s),
@@ -92,23 +99,23 @@
             at: now - Span::from_millis(u64::from(update.age_ms)),
             notified: now,
         };
-        self.take_report(now, update.incarnation, report)
+        self.merge_report(now, update.incarnation, report)
     }
 
-    /// Takes what another table of this node knows. Returns the targets of which that changes what is known.
+    /// Applies the reports of another table of this node. Returns the targets whose limit changed.
     pub fn merge(&mut self, now: Time, other: &Self) -> Vec<IncarnationId> {
         let reports = other.reports.iter();
-        let changed = reports.filter(|(run, report)| self.take_report(now, **run, **report));
+        let changed = reports.filter(|(run, report)| self.merge_report(now, **run, **report));
         changed.map(|(run, _)| *run).collect()
     }
 
-    fn take_report(&mut self, now: Time, run: IncarnationId, report: Report) -> bool {
+    fn merge_report(&mut self, now: Time, run: IncarnationId, report: Report) -> bool {
         let Some(known) = self.reports.get(&run).copied() else {
             self.insert(now, run, report);
             return true;
         };
         let newer = if report.per_s.is_some() && known.per_s.is_none() {
-            report.at + SAME_TIME > known.at
+            report.at + CLOCK_TOLERANCE > known.at
         } else {
             report.at > known.at
         };
@@ -121,18 +128,19 @@
         changed
     }
 
-    /// The calls a second that a run of a target takes from all nodes; `None` when it names no limit.
+    /// The calls per second that a target accepts from all nodes together, and at least [`MIN_RATE`];
+    /// `None` if it has no limit.
     pub fn per_s(&self, run: IncarnationId) -> Option<f64> {
         let named = self.reports.get(&run)?.per_s?;
-        Some(named.max(LEAST_RATE))
+        Some(named.max(MIN_RATE))
     }
 
-    /// What a run of a target named itself.
+    /// The limit as the target reported it.
     pub fn reported(&self, run: IncarnationId) -> Option<f64> {
         self.reports.get(&run)?.per_s
     }
 
-    /// What this node can tell of a run of a target.
+    /// The update to send to other nodes about a target.
     pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LimitUpdate> {
         let report = self.reports.get(&run)?;
         Some(LimitUpdate {
@@ -142,7 +150,7 @@
         })
     }
 
-    /// How many targets name a limit.
+    /// The number of targets that have a limit.
     pub fn limited_count(&self) -> usize {
         self.reports
             .values()
@@ -150,18 +158,18 @@
             .count()
     }
 
-    /// Whether nothing is known of any.
+    /// Whether no report is known.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Forgets reports that are too old to matter.
+    /// Removes expired reports.
     pub fn forget(&mut self, now: Time) {
         let kept = |report: &Report| {
             if report.per_s.is_some() {
-                LIMIT_KEPT
+                LIMIT_RETENTION
             } else {
-                OVER_KEPT
+                REMOVAL_RETENTION
             }
         };
         self.reports
@@ -169,11 +177,11 @@
     }
 
     fn insert(&mut self, now: Time, run: IncarnationId, report: Report) {
-        if self.reports.len() >= MOST_REPORTS && !self.reports.contains_key(&run) {
+        if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(&run) {
             self.forget(now);
             let oldest = self.reports.iter().min_by_key(|(_, report)| report.at);
             if let Some(oldest) = oldest.map(|(run, _)| *run)
-                && self.reports.len() >= MOST_REPORTS
+                && self.reports.len() >= MAX_REPORTS
             {
                 self.reports.remove(&oldest);
             }
--- a/crates/barleyspool_core/src/rate_limits/mod.rs
+++ b/crates/barleyspool_core/src/rate_limits/mod.rs
@@ -1,9 +1,11 @@
-//! How many calls a second targets take from all nodes together.
+//! Rate limits of targets across all nodes.
 //!
-//! A target that has just started, or that names a limit in its answers, takes so many calls a second, whoever sends them. No node
-//! sees what all send. So each target has one owner by rendezvous hashing, which alone says of each call whether, and when, it may be sent
-//! ([`TargetBucket`]); the others ask it. How much of the whole a node may give out follows from who else it hears
-//! ([`Reachability`]) and whether it owns the target ([`Ownership`]). What targets have said is in [`LimitTable`]. docs/DESIGN.md, "Rates of targets".
+//! A target that has just started, or that reports a limit in its answers, accepts a limited number of
+//! calls per second from all nodes together, and no node sees what the others send. So rendezvous hashing
+//! assigns each target one owner, which alone decides whether and when a call may be sent
+//! ([`TargetBucket`]); the other nodes ask it. How much of the rate a node may grant depends on how many
+//! nodes it reaches ([`Reachability`]) and whether it owns the target ([`Ownership`]). The limits that
+//! targets have reported are in [`LimitTable`]. See docs/DESIGN.md, "Rates of targets".
 
 mod limit_report;
 mod limit_table;
--- a/crates/barleyspool_core/src/rate_limits/ownership.rs
+++ b/crates/barleyspool_core/src/rate_limits/ownership.rs
@@ -1,65 +1,68 @@
-//! Whether a node owns some targets, and what it may give out of their rates.
+//! Ownership of targets, and the share of their rates that a node may grant.
 
 use super::Reachability;
 use crate::{Span, Time};
 use std::collections::HashMap;
 
-/// How long a new owner gives out no more than those who ask it bring with them: within this time the owner before it hears that it is none
-/// any more. Word of a node that serves, or that stops, is at all others within a second.
+/// How long a new owner grants only as much as a fallback owner: within this time the previous owner learns
+/// that it is no owner any more. The update about a node that serves, or that stops, reaches all others
+/// within a second.
 const HANDOVER: Span = Span::from_secs(2);
-/// How long a node that asked counts as one that asks.
-const ASKING: Span = Span::from_secs(2);
+/// How long a node counts as requesting after a request.
+const REQUEST_RETENTION: Span = Span::from_secs(2);
 
-/// The longest wait that a node tells which stands in.
-const STAND_IN_WAIT: Span = Span::from_millis(500);
+/// The longest retry delay that a fallback owner returns.
+const FALLBACK_RETRY_DELAY: Span = Span::from_millis(500);
 
-/// Why a node may give out anything.
+/// The role in which a node grants calls.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub enum RateRole {
-    /// It owns the targets.
+    /// The owner of the targets.
     Owner,
-    /// It stands in for an owner that others do not reach.
+    /// A fallback owner, for nodes that do not reach the owner.
     #[default]
     Fallback,
 }
 
-/// What a node may give out of the rates of some targets.
+/// The share of the rates of some targets that a node may grant.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub struct RateShare {
-    /// Its part of each rate.
+    /// The fraction of each rate.
     pub fraction: f64,
-    /// Why.
+    /// The role of the node.
     pub role: RateRole,
-    /// Since when.
+    /// When the node took this role.
     pub since: Time,
 }
 
 impl RateShare {
-    /// When to ask again, for a call that would have to wait so long. Who gives out what is about to change while a node stands in.
+    /// The retry delay for a call that would have to wait for `wait`. It is short at a fallback owner,
+    /// where the owner is about to change.
     pub fn retry_after(&self, wait: Span) -> Span {
         match self.role {
             RateRole::Owner => wait,
-            RateRole::Fallback => wait.min(STAND_IN_WAIT),
+            RateRole::Fallback => wait.min(FALLBACK_RETRY_DELAY),
         }
     }
 }
 
 /// Whether a node owns some targets.
 ///
-/// While a change of owner spreads, and while an owner is frozen, dead or cut off, some nodes ask another than the owner. Each of
-/// them brings along its own part of the rate, one of as many as there are nodes. So all who stand in give out no
-/// more together than the part of the fleet that does not reach the owner, and all of it when nobody does.
+/// While a change of owner spreads, and while an owner is frozen, dead or cut off, some nodes send their
+/// requests to another node than the owner. Each of them contributes its own fraction of the rate, one part
+/// in as many as there are nodes. So all fallback owners together grant no more than the fraction of the
+/// fleet that does not reach the owner, and the whole rate if no node reaches it.
 #[derive(Clone, Debug, Default)]
 pub struct Ownership {
     owned_since: Option<Time>,
-    /// When each node last asked.
-    askers: HashMap<u64, Time>,
-    /// When the first of those asked, after a time in which nobody did.
-    asked_since: Time,
+    /// When each node last sent a request.
+    requesters: HashMap<u64, Time>,
+    /// When the first of these requests arrived after a time without any.
+    requested_since: Time,
 }
 
 impl Ownership {
-    /// Whether this node owns the targets now.
+    /// Updates whether this node owns the targets.
     pub fn update(&mut self, now: Time, owns: bool) {
         if !owns {
             self.owned_since = None;
@@ -68,16 +71,16 @@
         }
     }
 
-    /// The node of that key asks.
-    pub fn record_request(&mut self, now: Time, asker: u64) {
-        self.askers.retain(|_, at| now.since(*at) < ASKING);
-        if self.askers.is_empty() {
-            self.asked_since = now;
+    /// Records a request from the node with the key `requester`.
+    pub fn record_request(&mut self, now: Time, requester: u64) {
+        self.requesters.retain(|_, at| now.since(*at) < REQUEST_RETENTION);
+        if self.requesters.is_empty() {
+            self.requested_since = now;
         }
-        self.askers.insert(asker, now);
+        self.requesters.insert(requester, now);
     }
 
-    /// What this node may give out now, of `members` nodes that serve.
+    /// The share that this node may grant now, with `members` serving nodes.
     pub fn share(&self, now: Time, reach: Reachability, members: usize) -> RateShare {
         match self.owned_since {
             Some(since) if now.since(since) >= HANDOVER => RateShare {
@@ -86,12 +89,16 @@
                 since,
             },
             _ => {
-                let asking = self.askers.values().filter(|at| now.since(**at) < ASKING).count();
+                let requesting = self
+                    .requesters
+                    .values()
+                    .filter(|at| now.since(**at) < REQUEST_RETENTION)
+                    .count();
                 let known = (reach.known as usize).max(members).max(1);
                 RateShare {
-                    fraction: (asking as f64 / known as f64).min(reach.rate_fraction()),
+                    fraction: (requesting as f64 / known as f64).min(reach.rate_fraction()),
                     role: RateRole::Fallback,
-                    since: self.owned_since.unwrap_or(self.asked_since),
+                    since: self.owned_since.unwrap_or(self.requested_since),
                 }
             }
         }
--- a/crates/barleyspool_core/src/rate_limits/reachability.rs
+++ b/crates/barleyspool_core/src/rate_limits/reachability.rs
@@ -1,31 +1,35 @@
-//! How much of the fleet a node hears.
+//! How much of the fleet a node reaches.
 
-/// The part of a rate that a node gives out which cannot know yet whether it hears all others: two such sets of nodes, which know
-/// nothing of each other, stay within the whole.
-const UNSURE: f64 = 0.5;
+/// The greatest fraction of a rate that a node uses while it cannot know yet whether it reaches all others:
+/// two groups of nodes that do not know of each other then stay within the rate together.
+const MAX_UNSTEADY_FRACTION: f64 = 0.5;
 
-/// How many nodes a node reaches, of those that were there lately.
+/// How many of the nodes that were alive lately a node reaches.
 ///
-/// Two sides of a cut each take their own part, so that together they stay within the whole whatever the cut is. By default
-/// nothing is known.
+/// Each side of a network partition uses its own fraction of a rate, so that together they stay within the
+/// rate wherever the partition runs. The default means that nothing is known.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reachability {
-    /// Nodes that are reached, this one included.
+    /// Number of reached nodes, this one included.
     pub reached: u32,
-    /// Those, and the ones that have fallen silent without a planned stop.
+    /// Number of reached nodes and of those that were lost without a planned stop.
     pub known: u32,
-    /// Whether this node has run for long enough to know of all.
+    /// Whether this node has run long enough to know all nodes.
     pub steady: bool,
 }
 
 impl Reachability {
-    /// The part of each rate that the nodes that are reached may use.
+    /// The fraction of each rate that the reached nodes may use together.
     pub fn rate_fraction(&self) -> f64 {
         let share = if self.known == 0 {
-            UNSURE
+            MAX_UNSTEADY_FRACTION
         } else {
             f64::from(self.reached) / f64::from(self.known)
         };
-        if self.steady { share } else { share.min(UNSURE) }
+        if self.steady {
+            share
+        } else {
+            share.min(MAX_UNSTEADY_FRACTION)
+        }
     }
 }
--- a/crates/barleyspool_core/src/rate_limits/target_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/target_bucket.rs
@@ -1,33 +1,34 @@
-//! What a node has given out of the rate of one target.
+//! The calls that a node has granted of the rate of one target.
 
 use super::{Rate, RateRole, RateShare, TokenBucket};
 use crate::{Span, Time, rendezvous};
 
-/// What an owner may give out at once. Calls come in pairs now and then, and with the rate it is below one and a half times the rate
-/// and five, over any span of a second or more.
+/// Burst of an owner, in calls. Calls come in pairs now and then, and together with the rate this stays
+/// below one and a half times the rate plus five over any span of a second or more.
 const OWNER_BURST: f64 = 2.0;
-/// What a node that stands in may give out at once: many may stand in at the same time.
-const STAND_IN_BURST: f64 = 1.0;
+/// Burst of a fallback owner, in calls: there may be many fallback owners at the same time.
+const FALLBACK_BURST: f64 = 1.0;
 
-/// What this node has given out of the rate of one target.
+/// The calls that this node has granted of the rate of one target.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct TargetBucket {
     bucket: TokenBucket,
-    /// The standing for which the bucket was made.
-    begun: Option<(RateRole, Time)>,
+    /// The role that the bucket was created for, and when the node took it.
+    role_since: Option<(RateRole, Time)>,
 }
 
 impl TargetBucket {
-    /// The node of key `me` has that share of the rate of the target with that hash.
+    /// Sets the share of the node with key `me` of the rate of the target with this hash.
     ///
-    /// With a new standing the bucket begins with nothing to give: whoever gave out before may have given all of it a moment ago.
-    /// Nodes that begin to stand in at the same moment begin at different points of their first interval.
+    /// In a new role the bucket starts with nothing to grant, since the previous owner may have granted the
+    /// whole rate a moment ago. Nodes that become fallback owners at the same moment start at different
+    /// points of their first interval.
     pub fn set_share(&mut self, now: Time, share: RateShare, (target, me): (u128, u64)) {
-        let standing = Some((share.role, share.since));
-        if self.begun == standing {
+        let role_since = Some((share.role, share.since));
+        if self.role_since == role_since {
             return;
         }
-        self.begun = standing;
+        self.role_since = role_since;
         let used = match share.role {
             RateRole::Owner => OWNER_BURST,
             RateRole::Fallback => rendezvous::even(target, me),
@@ -35,12 +36,13 @@
         self.bucket = TokenBucket::new(now, used);
     }
 
-    /// How long until one more call may be sent to the target, which takes `per_s` calls a second from all nodes.
+    /// The time until one more call may be sent to the target, which accepts `per_s` calls per second from
+    /// all nodes together.
     pub fn wait(&self, now: Time, per_s: f64, share: RateShare) -> Span {
         self.bucket.wait(now, rate(per_s, share))
     }
 
-    /// One call goes there, at the end of the wait that was told.
+    /// Takes one call, which is sent at the end of the wait that was returned.
     pub fn take(&mut self, now: Time, per_s: f64, share: RateShare) {
         self.bucket.take(now, rate(per_s, share));
     }
@@ -49,7 +51,7 @@
 fn rate(per_s: f64, share: RateShare) -> Rate {
     let burst = match share.role {
         RateRole::Owner => OWNER_BURST,
-        RateRole::Fallback => STAND_IN_BURST,
+        RateRole::Fallback => FALLBACK_BURST,
     };
     Rate {
         per_s: per_s * share.fraction,
--- a/crates/barleyspool_core/src/rate_limits/token_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/token_bucket.rs
@@ -1,22 +1,23 @@
-//! A token bucket.
+//! A token bucket for calls.
 
 use crate::{Span, Time};
 
-/// What rounding may leave of a call, so that one that waited as long as it was told is not told to wait again.
+/// Rounding tolerance in calls, so that a call that waited as long as required does not have to wait again.
 const ROUNDING: f64 = 1e-6;
-/// The longest wait that is told; a rate of zero has none.
-const LONGEST: Span = Span::from_secs(3600);
+/// The longest wait that is returned; a rate of zero has no finite one.
+const MAX_WAIT: Span = Span::from_secs(3600);
 
-/// How fast a bucket fills, and what it holds.
+/// The refill rate and the capacity of a bucket.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub struct Rate {
-    /// Calls a second.
+    /// Calls per second.
     pub per_s: f64,
-    /// Calls at once.
+    /// Maximum number of calls at once.
     pub burst: f64,
 }
 
-/// What was taken lately out of a bucket. Calls may be taken ahead of their time, which makes those after them wait longer.
+/// The tokens taken lately from a bucket. Calls may be taken ahead of time, which makes later calls wait
+/// longer.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct TokenBucket {
     used: f64,
@@ -24,23 +25,23 @@
 }
 
 impl TokenBucket {
-    /// A bucket out of which `used` calls were taken a moment ago.
+    /// Creates a bucket from which `used` calls were taken at `now`.
     pub fn new(now: Time, used: f64) -> Self {
         Self { used, at: now }
     }
 
-    /// How long until one more may be taken; zero when it may be now.
+    /// The time until one more call may be taken; zero if it may be taken now.
     pub fn wait(&self, now: Time, rate: Rate) -> Span {
         let missing = self.used_at(now, rate) + 1.0 - rate.burst;
         if missing <= ROUNDING {
             return Span::ZERO;
         }
         let micros = (missing / rate.per_s * 1e6).ceil();
-        // Infinite when nothing comes in; then it is capped as every other long wait.
-        Span(micros.min(LONGEST.0 as f64) as u64)
+        // Infinite if the rate is zero, and then capped like any other long wait.
+        Span(micros.min(MAX_WAIT.0 as f64) as u64)
     }
 
-    /// One was taken.
+    /// Takes one call.
     pub fn take(&mut self, now: Time, rate: Rate) {
         self.used = self.used_at(now, rate) + 1.0;
         self.at = now;
