--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -144,9 +144,7 @@
 
     /// The calls that are blocked now.
     pub fn blocked(&self, now: Time) -> BlockedCalls {
-        let until = |(fingerprint, record): (&CallFingerprint, &Record)| {
-            Some((*fingerprint, record.blocked_until()?))
-        };
+        let until = |(call, record): (&CallFingerprint, &Record)| Some((*call, record.blocked_until()?));
         let blocked = self.records.iter().filter_map(until);
         BlockedCalls(blocked.filter(|(_, until)| *until > now).collect())
     }
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -24,7 +24,7 @@
 /// Maximum number of calls in a message, 30 to 61 bytes each; the whole message fits into a datagram that
 /// no network has to fragment. A node receives some eight messages a second, so it learns of 24 calls a
 /// second.
-const UPDATES_PER_MESSAGE: usize = 3;
+const MAX_UPDATES: usize = 3;
 
 /// Calls that crash targets, as known to this node, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
@@ -76,9 +76,7 @@
                 .is_confirmed(now, fingerprint)
                 .then(|| table.update_of(now, fingerprint))
         };
-        queue.take(UPDATES_PER_MESSAGE + spare, |fingerprint| {
-            confirmed(fingerprint).flatten()
-        })
+        queue.take(MAX_UPDATES + spare, |call| confirmed(call).flatten())
     }
 
     fn spread(&mut self, now: Time, fingerprint: CallFingerprint, count: usize) {
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -14,7 +14,7 @@
 /// Number of nodes that are notified at once by each node that receives the update from another.
 const NOTIFIED_NEXT: usize = 4;
 /// Maximum number of updates in a message, some 10 bytes each.
-const UPDATES_PER_MESSAGE: usize = 32;
+const MAX_UPDATES: usize = 32;
 
 /// Leaving targets that this node knows, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
@@ -61,9 +61,7 @@
     /// Sends the next updates to a node.
     pub(super) fn share_leaving(&mut self, now: Time, to: &str) {
         let Leaving { runs, queue } = &mut self.leaving;
-        let updates = queue.take(UPDATES_PER_MESSAGE, |incarnation| {
-            runs.update_of(now, incarnation)
-        });
+        let updates = queue.take(MAX_UPDATES, |incarnation| runs.update_of(now, incarnation));
         if !updates.is_empty() {
             self.notify(to.to_owned(), MessageKind::Leaving { updates }, Vec::new());
         }
--- a/crates/barleyspool_core/src/membership/limit_updates.rs
+++ b/crates/barleyspool_core/src/membership/limit_updates.rs
@@ -15,7 +15,7 @@
 /// Number of nodes that are notified at once by each node that receives the update from another.
 const NOTIFIED_NEXT: usize = 4;
 /// Maximum number of updates in a message, some 20 bytes each.
-const UPDATES_PER_MESSAGE: usize = 24;
+const MAX_UPDATES: usize = 24;
 
 /// Rate limits that this node knows, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
@@ -69,9 +69,7 @@
     /// every 50 to 100 ms, and so receives limits before it assumes that it owns targets.
     pub(super) fn share_limits(&mut self, now: Time, to: &str) {
         let Limits { table, queue } = &mut self.limits;
-        let updates = queue.take(UPDATES_PER_MESSAGE, |incarnation| {
-            table.update_of(now, incarnation)
-        });
+        let updates = queue.take(MAX_UPDATES, |incarnation| table.update_of(now, incarnation));
         if !updates.is_empty() {
             self.send_limits(vec![to.to_owned()], &updates);
         }
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -121,9 +121,7 @@
         let overdue: Vec<String> = self
             .members
             .iter()
-            .filter(|(_, member)| {
-                member.health == MemberHealth::Suspect && now.since(member.health_since) > refute
-            })
+            .filter(|(_, node)| node.health == MemberHealth::Suspect && now.since(node.health_since) > refute)
             .map(|(address, _)| address.clone())
             .collect();
         for address in overdue {
--- a/crates/barleyspool_core/src/membership/reachability.rs
+++ b/crates/barleyspool_core/src/membership/reachability.rs
@@ -18,17 +18,17 @@
     /// a planned stop do not count as missing.
     pub fn reachability(&self, now: Time) -> Reachability {
         let reached = 1 + self.members.values().filter(|member| is_reached(member)).count();
-        let missed = |since: Span| {
-            let missed = |member: &&Member| {
+        let missing = |since: Span| {
+            let missing = |member: &&Member| {
                 member.health == MemberHealth::Dead
                     && !member.left_gracefully
                     && now.since(member.health_since) < since
             };
-            self.members.values().filter(missed).count()
+            self.members.values().filter(missing).count()
         };
-        let few = reached <= missed(MINORITY_MISSING_PERIOD);
+        let is_minority = reached <= missing(MINORITY_MISSING_PERIOD);
         let known = reached
-            + missed(if few {
+            + missing(if is_minority {
                 MINORITY_MISSING_PERIOD
             } else {
                 MISSING_PERIOD
--- a/crates/barleyspool_core/src/membership/receive.rs
+++ b/crates/barleyspool_core/src/membership/receive.rs
@@ -149,9 +149,9 @@
     /// Handles an update about this node. If it reports the current incarnation as unhealthy, or shows a
     /// later incarnation, a higher incarnation refutes it.
     fn handle_own_update(&mut self, update: &MemberUpdate) {
-        let ill = update.health != MemberHealth::Alive && self.me.health == MemberHealth::Alive;
-        let later = update.incarnation > self.me.incarnation;
-        if (ill && update.incarnation >= self.me.incarnation) || later {
+        let is_unhealthy = update.health != MemberHealth::Alive && self.me.health == MemberHealth::Alive;
+        let is_later = update.incarnation > self.me.incarnation;
+        if (is_unhealthy && update.incarnation >= self.me.incarnation) || is_later {
             self.me.incarnation = Incarnation(update.incarnation.0 + 1);
             // The suspicion times out at every node that received it. When only probes carried the
             // refutation, a pause of 0.7 s was taken for a death for 10 node-seconds in a fleet of 86
