--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -107,8 +107,10 @@
     eras: Vec<KnownEra>,
     /// Whether the fleet list has left out eras older than the oldest in `eras`.
     truncated: bool,
+    /// Every epoch up to this one is closed: a majority of its members has moved to a later epoch.
     closed: Epoch,
     peers: BTreeMap<NodeId, PeerRecord>,
+    /// Whether this node has caught up since it started, so that its votes count.
     joined: bool,
     guards: Guards,
 }
@@ -270,6 +272,7 @@
         }
     }
 
+    /// Whether all epochs before the current one are closed.
     fn earlier_epochs_closed(&self) -> bool {
         match self.eras.len() {
             0 => false,
@@ -295,6 +298,7 @@
     // ------------------------------------------------------------------------
     // Decisions
 
+    /// Whether the vote of a peer is for this epoch and incarnation. Its age is not considered.
     fn vote_counts(&self, peer: &PeerRecord) -> bool {
         let epoch = !self.guards.enforces(Guard::VoteEpoch) || peer.vote.epoch == self.epoch();
         let incarnation =
--- a/crates/barleyspool_core/src/router/mod.rs
+++ b/crates/barleyspool_core/src/router/mod.rs
@@ -75,18 +75,24 @@
     plan: Arc<Plan>,
     requests: SlotMap<RequestId, Request>,
     attempts: SlotMap<AttemptId, Attempt>,
+    /// The request of each attempt.
     attempt_owner: HashMap<AttemptId, RequestId>,
+    /// The request that each caller waits for.
     caller_requests: HashMap<CallerId, RequestId>,
+    /// When each request has to be checked next.
     timers: BTreeSet<(Time, RequestId)>,
+    /// The state of each service, indexed by [`ServiceIx`].
     services: Vec<ServiceState>,
     targets: BTreeMap<TargetId, TargetState>,
     key_memory: KeyMemory,
     retry_budget: RetryBudget,
+    /// The number of waiting steps of each class, by its rank.
     waiting_by_rank: BTreeMap<u8, u32>,
     counters: Counters,
     random: SmallRng,
     request_chart: Chart<RequestPhase, RequestEvent>,
     target_chart: Chart<TargetPhase, TargetEvent>,
+    /// The actions of the current event, in order.
     actions: Vec<TrafficAction>,
 }
 
--- a/crates/barleyspool_core/tests/lease_model.rs
+++ b/crates/barleyspool_core/tests/lease_model.rs
@@ -223,9 +223,9 @@
             Vote => {
                 let mut pending = next.pending.take()?;
                 let from = &next.nodes[pending.from as usize - 1];
-                let (id, run) = (NodeId(from.id), from.lease.incarnation());
+                let (id, incarnation) = (NodeId(from.id), from.lease.incarnation());
                 let lease = &mut next.nodes[pending.to as usize - 1].lease;
-                pending.vote = Some(lease.vote_for(id, run));
+                pending.vote = Some(lease.vote_for(id, incarnation));
                 next.pending = Some(pending);
             }
             ReceiveVote => {
@@ -276,10 +276,10 @@
             Send(a) => {
                 let deadline = next.deadline.unwrap_or(next.now + rules().horizon);
                 let node = &mut next.nodes[*a as usize - 1];
-                let taken = next.now < deadline
+                let accepted = next.now < deadline
                     && !node.remembers
                     && node.lease.view().check(next.now, self.key).is_ok();
-                if !taken {
+                if !accepted {
                     return None;
                 }
                 node.remembers = true;
@@ -319,16 +319,16 @@
     /// Makes up to `length` random moves. Returns the moves if they lead to a second run.
     fn walk(&self, random: &mut SmallRng, length: usize) -> Option<Vec<Move>> {
         let mut state = self.start();
-        let mut taken = Vec::new();
+        let mut made = Vec::new();
         for _ in 0..length {
             let moves = self.moves(&state);
             let step = *moves.choose(random)?;
             if let Some(next) = self.apply(&state, &step) {
                 state = next;
-                taken.push(step);
+                made.push(step);
             }
             if state.runs > 1 {
-                return Some(taken);
+                return Some(made);
             }
         }
         None
@@ -337,13 +337,13 @@
 
 /// Process `a` requests a vote of process `b` and receives it without delay. Both are indices from 1.
 fn exchange(state: &mut State, a: u32, b: u32) {
-    let asker = &state.nodes[a as usize - 1];
-    let (id, run) = (NodeId(asker.id), asker.lease.incarnation());
-    let vote = state.nodes[b as usize - 1].lease.vote_for(id, run);
-    let (now, asked) = (state.now, NodeId(state.nodes[b as usize - 1].id));
+    let requester = &state.nodes[a as usize - 1];
+    let (id, incarnation) = (NodeId(requester.id), requester.lease.incarnation());
+    let vote = state.nodes[b as usize - 1].lease.vote_for(id, incarnation);
+    let (now, voter) = (state.now, NodeId(state.nodes[b as usize - 1].id));
     state.nodes[a as usize - 1]
         .lease
-        .apply_vote(now, asked, now, vote);
+        .apply_vote(now, voter, now, vote);
 }
 
 /// A 128-bit hash of a state, so that the set of seen states needs little memory.
