--- a/crates/barleyspool_core/src/forward/evacuations.rs
+++ b/crates/barleyspool_core/src/forward/evacuations.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How long a zone stays evacuated if the source lists it no longer after it was restored from a backup.
-/// By then whatever the operator wrote since the backup has been written again.
+/// How long a zone stays evacuated that a source restored from a backup does not list. By then whatever
+/// the operator wrote since the backup has been written again.
 const UNCONFIRMED_TTL: Span = Span::from_secs(10);
 
 /// The zones that the operator has evacuated, at one revision of the platform. Nothing new is sent to
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -1,5 +1,5 @@
-//! Targets with a rate limit over all nodes together: cold targets, and those that state a limit
-//! themselves.
+//! Targets with a rate limit over all nodes together: cold targets, which are still warming up after
+//! their start, and those that state a limit themselves.
 //!
 //! Every choice of a target checks the limit here, and a call is sent to such a target only after the
 //! owner of its shard has granted it.
@@ -73,7 +73,7 @@
         report: LimitReport,
     ) -> Option<ReportedLimit> {
         if report == LimitReport::None && self.limits.is_empty() {
-            // The usual case on the path of every answer.
+            // Returns early in the usual case, as this runs for every answer.
             return None;
         }
         let incarnation = self.targets.get(*self.by_id.get(id)?)?.incarnation_id;
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -19,9 +19,9 @@
     },
     /// No byte of the call was written.
     Unreachable,
-    /// Part of the call was written, and the connection failed before a complete answer arrived.
+    /// At least a part of the call was written, and no complete answer came back.
     BrokenOff,
-    /// Part of the call was written, and no answer arrived in time.
+    /// At least a part of the call was written, and nothing came back in time.
     TimedOut,
 }
 
@@ -81,8 +81,8 @@
     FailUnknown,
 }
 
-/// The limit of attempts that reach no target. These do not count as sends, so that they need a limit of
-/// their own.
+/// The limit of attempts that reach no target. They do not count as sends and therefore have their own
+/// limit.
 const MAX_UNREACHED: u32 = 3;
 
 /// Decides what follows an attempt that ended with `end`, which `history` already includes. The retry
--- a/crates/barleyspool_core/src/forward/service_spec.rs
+++ b/crates/barleyspool_core/src/forward/service_spec.rs
@@ -40,7 +40,7 @@
 }
 
 /// The time that a target gets to fetch inputs, in addition to the transfer time.
-const FETCH_TIME_MIN: Span = Span::from_millis(120);
+const FETCH_OVERHEAD: Span = Span::from_millis(120);
 /// The transfer time is multiplied by this, since other traffic shares the link.
 const LINK_SHARING_FACTOR: u64 = 4;
 
@@ -49,7 +49,7 @@
     /// `None` if the bandwidth is unknown; then the target's first output shows that it has them.
     pub fn fetch_time(&self, bytes: u64) -> Option<Span> {
         let transfer_time = (bytes * 8).checked_div(self.link_mbps)?;
-        Some(FETCH_TIME_MIN + Span(transfer_time * LINK_SHARING_FACTOR))
+        Some(FETCH_OVERHEAD + Span(transfer_time * LINK_SHARING_FACTOR))
     }
 }
 
--- a/crates/barleyspool_core/src/forward/service_targets.rs
+++ b/crates/barleyspool_core/src/forward/service_targets.rs
@@ -52,9 +52,9 @@
         }
     }
 
-    fn new(targets: usize, most: usize) -> Self {
+    fn new(targets: usize, max_per_shard: usize) -> Self {
         Self {
-            weights: vec![0; targets.div_ceil(most).max(1)],
+            weights: vec![0; targets.div_ceil(max_per_shard).max(1)],
         }
     }
 
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -38,7 +38,7 @@
     /// The first target whose rate allows another call, with the wait until then, if this node grants
     /// its rate.
     first: Option<(TargetKey, Span)>,
-    /// The shortest wait until a target may be requested again or loses its rate limit.
+    /// The shortest wait until the owner of a target may be asked again or the target's rate limit ends.
     wait: Option<Span>,
 }
 
--- a/crates/barleyspool_core/src/forward/target_log.rs
+++ b/crates/barleyspool_core/src/forward/target_log.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// The most changes that are kept; a release of a pool of 160 targets makes about three for each target.
-const MOST_CHANGES: usize = 1024;
+const MAX_CHANGES: usize = 1024;
 
 /// Changes that were applied together.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
         }
         self.changes += changes.len();
         self.batches.push_back(Batch { at, changes });
-        while self.changes > MOST_CHANGES {
+        while self.changes > MAX_CHANGES {
             let Some(oldest) = self.batches.pop_front() else {
                 break;
             };
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Records a failure caused by the target itself; true if the target goes into quarantine.
+    /// Records a failure caused by the target itself; true if the target goes into quarantine. A `certain`
+    /// failure does that by itself, others only if several occur in a row.
     pub fn record_failure(
         &mut self,
         now: Time,
