--- a/crates/barleyspool_core/tests/batch_calls/mod.rs
+++ b/crates/barleyspool_core/tests/batch_calls/mod.rs
@@ -1,9 +1,9 @@
-//! What tests of pools share: answers to their calls.
+//! Answers to batch calls, shared by the tests of pools.
 
 use barleyspool_core::{BatchCall, BatchOutcome, PieceOutcome, PieceRequest};
 
-/// Every piece of a call was made; each result has another name.
-pub fn made(call: &BatchCall) -> BatchOutcome {
+/// An answer in which every piece of the call is computed, with a different handle for each result.
+pub fn all_computed(call: &BatchCall) -> BatchOutcome {
     let handle = |piece: &PieceRequest| {
         PieceOutcome::Computed(format!(
             "{}/{}-{}-{:?}",
--- a/crates/barleyspool_core/tests/forward_pieces.rs
+++ b/crates/barleyspool_core/tests/forward_pieces.rs
@@ -1,4 +1,4 @@
-//! Pieces of many requests in shared calls.
+//! The piece queue of a pool: batching, retries, capacity, zones and ownership.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -8,7 +8,7 @@
     BatchCall, BatchOutcome, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceQueue, PoolSpec, Span,
     TargetEntry, TargetTable, Time,
 };
-use batch_calls::made;
+use batch_calls::all_computed;
 
 const BATCH: u32 = 8;
 
@@ -60,7 +60,7 @@
 }
 
 fn submit(queue: &mut PieceQueue, now: Time, order: PieceOrder) -> OrderKey {
-    queue.submit(now, order).expect("there is room")
+    queue.submit(now, order).expect("the order is accepted")
 }
 
 #[test]
@@ -73,9 +73,9 @@
     assert_eq!(calls[0].pieces.len(), 6);
     assert!(
         queue.next_calls(at(1)).is_empty(),
-        "the target works on one call at a time"
+        "the target gets one call at a time"
     );
-    queue.call_ended(at(200), calls[0].call, made(&calls[0]));
+    queue.call_ended(at(200), calls[0].call, all_computed(&calls[0]));
     let ended = queue.take_ended();
     assert_eq!(ended.len(), 2);
     for (key, end) in ended {
@@ -99,16 +99,16 @@
     submit(&mut queue, at(0), high);
     let calls = queue.next_calls(at(0));
     assert_eq!(calls[0].pieces.len(), BATCH as usize);
-    let of_high = calls[0]
+    let from_high = calls[0]
         .pieces
         .iter()
         .filter(|piece| piece.request == "high")
         .count();
-    assert_eq!(of_high, 6);
+    assert_eq!(from_high, 6);
 }
 
 #[test]
-fn the_pieces_of_an_overdue_call_go_elsewhere_and_the_first_result_counts() {
+fn the_pieces_of_an_overdue_call_are_requeued_and_the_first_result_is_used() {
     let mut queue = queue(2);
     let key = submit(&mut queue, at(0), order("a", 1));
     let first = queue.next_calls(at(0)).remove(0);
@@ -117,18 +117,18 @@
     queue.tick(at(400));
     let second = queue.next_calls(at(400)).remove(0);
     assert_ne!(first.id, second.id);
-    queue.call_ended(at(450), first.call, made(&first));
-    assert_eq!(queue.take_ended().len(), 1, "the late result is as good as any");
-    queue.call_ended(at(600), second.call, made(&second));
+    queue.call_ended(at(450), first.call, all_computed(&first));
+    assert_eq!(queue.take_ended().len(), 1, "the late result is used");
+    queue.call_ended(at(600), second.call, all_computed(&second));
     assert!(queue.take_ended().is_empty());
     let freed = queue.take_releasable(Time(0));
-    assert_eq!(freed.len(), 1, "the second result is given up");
+    assert_eq!(freed.len(), 1, "the second result is released");
     assert_eq!(freed[0].1, second.id);
     assert!(queue.order(key).is_none());
 }
 
 #[test]
-fn a_call_that_did_not_run_or_broke_off_is_made_again_but_not_without_end() {
+fn failed_calls_are_retried_with_delays_and_broken_off_ones_a_limited_number_of_times() {
     for (outcome, ends) in [
         (BatchOutcome::Refused { misdirected: false }, false),
         (BatchOutcome::Unreachable, false),
@@ -157,14 +157,14 @@
         assert_eq!(failed, ends, "{outcome:?}");
         assert!(
             calls <= 200,
-            "{calls} calls in 20 s: {outcome:?} is followed by a wait"
+            "{calls} calls in 20 s: a retry after {outcome:?} is delayed"
         );
-        assert!(calls >= 4, "{calls} calls: {outcome:?} is tried again");
+        assert!(calls >= 4, "{calls} calls: {outcome:?} is retried");
     }
 }
 
 #[test]
-fn a_target_gets_no_more_results_than_it_has_room_for() {
+fn a_target_gets_no_more_results_than_its_memory_holds() {
     let mut queue = queue(1);
     submit(
         &mut queue,
@@ -176,26 +176,29 @@
     );
     let call = queue.next_calls(at(0)).remove(0);
     assert_eq!(call.pieces.len(), 2, "two of 400 bytes fit into 1000");
-    queue.call_ended(at(200), call.call, made(&call));
-    assert!(queue.next_calls(at(201)).is_empty(), "its room is taken");
-    let BatchOutcome::Done(results) = made(&call) else {
-        panic!("it is done")
+    queue.call_ended(at(200), call.call, all_computed(&call));
+    assert!(
+        queue.next_calls(at(201)).is_empty(),
+        "the memory of the target is in use"
+    );
+    let BatchOutcome::Done(results) = all_computed(&call) else {
+        panic!("the call is answered")
     };
     let PieceOutcome::Computed(first) = &results[0] else {
-        panic!("it is made")
+        panic!("the piece is computed")
     };
     queue.release(vec![first.clone()]);
     let releasable = queue.take_releasable(Time(0));
     assert!(
         queue.next_calls(at(202)).is_empty(),
-        "its maker has not freed it yet"
+        "the holder has not freed the result yet"
     );
     queue.mark_freed(&releasable[0].2);
     assert_eq!(queue.next_calls(at(203)).remove(0).pieces.len(), 1);
 }
 
 #[test]
-fn a_piece_without_room_waits_and_does_not_use_up_its_tries() {
+fn a_piece_without_capacity_waits_without_using_up_its_attempts() {
     let mut queue = queue(1);
     submit(
         &mut queue,
@@ -211,15 +214,19 @@
         now = now + Span::from_millis(300);
         let call = queue.next_calls(now).remove(0);
         queue.call_ended(now, call.call, BatchOutcome::Done(vec![PieceOutcome::NoCapacity]));
-        assert!(queue.next_calls(now).is_empty(), "not at once again");
+        assert!(
+            queue.next_calls(now).is_empty(),
+            "the piece is not retried at once"
+        );
     }
     assert!(queue.take_ended().is_empty());
 }
 
-/// A pool under a burst uses nearly all of its room, and a result now and then finds none. When a sixteenth of the room was
-/// reckoned with for a while after that, calls were half as full as they could be while a thousand pieces waited.
+/// Under a burst a pool uses nearly all of its memory, and a result finds no capacity now and then. When
+/// only a sixteenth of the memory of the target was assumed for a while after that, calls were half as full
+/// as they could be while 1,000 pieces waited.
 #[test]
-fn a_result_without_room_leaves_room_for_smaller_ones() {
+fn a_large_result_without_capacity_does_not_block_smaller_ones() {
     let mut queue = queue(1);
     let large = PieceOrder {
         bytes: 100,
@@ -227,8 +234,8 @@
     };
     submit(&mut queue, at(0), large);
     let call = queue.next_calls(at(0)).remove(0);
-    let BatchOutcome::Done(mut outcomes) = made(&call) else {
-        panic!("they were made")
+    let BatchOutcome::Done(mut outcomes) = all_computed(&call) else {
+        panic!("the call is answered")
     };
     outcomes[7] = PieceOutcome::NoCapacity;
     queue.call_ended(at(200), call.call, BatchOutcome::Done(outcomes));
@@ -240,15 +247,15 @@
         .filter(|piece| piece.request == "small")
         .count();
     assert_eq!((small, next.pieces.len()), (BATCH as usize, BATCH as usize));
-    queue.call_ended(at(400), next.call, made(&next));
-    assert!(queue.next_calls(at(420)).is_empty(), "the large one waits");
-    assert_eq!(queue.next_calls(at(460)).len(), 1, "and is tried again");
+    queue.call_ended(at(400), next.call, all_computed(&next));
+    assert!(queue.next_calls(at(420)).is_empty(), "the large piece waits");
+    assert_eq!(queue.next_calls(at(460)).len(), 1, "the large piece is retried");
 }
 
-/// After a pool changed its owner, results that had been made for the old one were never freed and filled the
-/// targets until they expired.
+/// Guards against a leak after a change of owner: results computed for the previous owner of a pool were
+/// never freed, and filled the targets until they expired.
 #[test]
-fn results_made_for_another_owner_are_freed_at_their_maker() {
+fn results_computed_for_another_owner_are_freed_at_their_holder() {
     let mut queue = queue(2);
     queue.release(vec!["10.0.0.1:80/ff".to_owned(), "10.9.9.9:80/ff".to_owned()]);
     let freed = queue.take_releasable(Time(0));
@@ -263,34 +270,34 @@
 }
 
 #[test]
-fn a_withdrawn_order_is_not_made_and_what_was_made_of_it_is_given_up() {
+fn a_cancelled_order_is_not_computed_and_its_results_are_released() {
     let mut queue = queue(1);
     let key = submit(&mut queue, at(0), order("a", 12));
     let call = queue.next_calls(at(0)).remove(0);
-    queue.call_ended(at(200), call.call, made(&call));
+    queue.call_ended(at(200), call.call, all_computed(&call));
     queue.cancel(key);
     assert!(queue.next_calls(at(201)).is_empty());
     assert_eq!(queue.take_releasable(Time(0))[0].2.len(), call.pieces.len());
 }
 
 #[test]
-fn an_order_that_cannot_be_made_in_time_is_refused_at_once_with_when_to_come_back() {
+fn an_order_that_would_miss_its_deadline_is_refused_at_once_with_a_retry_delay() {
     let mut queue = queue(1);
     for request in 0..40 {
         let _ = queue.submit(at(0), order(&request.to_string(), BATCH));
     }
-    let come_back = queue.submit(
+    let refused = queue.submit(
         at(0),
         PieceOrder {
             deadline: at(800),
             ..order("late", 1)
         },
     );
-    assert!(come_back.expect_err("much waits") > Span::ZERO);
+    assert!(refused.expect_err("the queue is too long for the deadline") > Span::ZERO);
 }
 
 #[test]
-fn what_waits_past_its_time_ends_and_inputs_that_are_gone_end_their_order() {
+fn a_waiting_order_ends_when_it_is_late_and_one_in_a_call_does_not() {
     let mut queue = queue(1);
     let late = submit(
         &mut queue,
@@ -312,11 +319,11 @@
     queue.next_calls(at(300));
     assert!(matches!(queue.take_ended().as_slice(), [(key, OrderOutcome::TooLate(_))] if *key == waits));
     let gone = queue.order(late).is_some();
-    assert!(gone, "what is at a target stays");
+    assert!(gone, "an order whose piece is in a call stays");
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn a_target_that_is_leaving_or_removed_gets_no_calls() {
     let mut queue = queue(1);
     let mut leaving = table(1);
     for entry in leaving.values_mut() {
@@ -329,26 +336,23 @@
     assert_eq!(queue.next_calls(at(1)).len(), 1);
     queue.apply_plan(&spec(), None, &TargetTable::new(), |_| true);
     submit(&mut queue, at(2), order("b", 1));
-    assert!(
-        queue.next_calls(at(2)).is_empty(),
-        "targets that are gone get nothing"
-    );
+    assert!(queue.next_calls(at(2)).is_empty(), "removed targets get no calls");
 }
 
 #[test]
-fn a_target_that_went_to_another_shard_and_leaves_there_gets_nothing() {
+fn a_target_that_moved_to_another_shard_and_leaves_there_gets_no_calls() {
     let mut queue = queue(2);
     let mut newer = table(2);
     for entry in newer.values_mut().filter(|entry| entry.id == "i-0") {
         entry.leaving = true;
     }
-    // The pool was split: this queue owns the second target only, and the first leaves.
+    // The pool was split: this queue owns only the second target, and the first one is leaving.
     queue.apply_plan(&spec(), None, &newer, |entry| entry.id == "i-1");
     submit(&mut queue, at(0), order("a", BATCH));
     submit(&mut queue, at(0), order("b", BATCH));
     let asked: Vec<String> = queue.next_calls(at(0)).into_iter().map(|call| call.id).collect();
     assert_eq!(asked, ["i-1"]);
-    // A handle of its results is still freed at it.
+    // A result that the first target holds is still freed there.
     queue.release(vec!["10.0.0.0:80/x".to_owned()]);
     assert_eq!(queue.take_releasable(Time(0)).len(), 1);
 }
@@ -376,10 +380,10 @@
         nothing,
         "its inputs would cross zones"
     );
-    // More waits than the zone takes with its next call: the other target helps.
+    // More pieces wait than the next call in the zone holds, so the other target gets some.
     submit(&mut queue, at(1), near("c"));
     assert_eq!(asked(&queue.next_calls(at(1))), ["i-1"]);
-    queue.call_ended(at(200), first[0].call, made(&first[0]));
+    queue.call_ended(at(200), first[0].call, all_computed(&first[0]));
     assert_eq!(asked(&queue.next_calls(at(200))), ["i-0"]);
 }
 
@@ -398,8 +402,8 @@
     };
     submit(&mut queue, at(0), due("a", 9_000));
     let first = queue.next_calls(at(0));
-    assert_eq!(first.len(), 1, "no target of its zone can be used");
-    queue.call_ended(at(200), first[0].call, made(&first[0]));
+    assert_eq!(first.len(), 1, "its zone has no usable target");
+    queue.call_ended(at(200), first[0].call, all_computed(&first[0]));
     let mut both = table(2);
     for (entry, zone) in both.values_mut().zip(["x", "y"]) {
         entry.zone = zone.to_owned();
@@ -410,30 +414,32 @@
     submit(&mut queue, at(200), due("c", 1_000));
     assert!(
         queue.next_calls(at(200)).is_empty(),
-        "its own zone's target is busy, and there is time"
+        "the target of its zone is busy, and there is time"
     );
     assert_eq!(
         queue.next_calls(at(600)).len(),
         1,
-        "a late answer is worth less than what crosses zones costs"
+        "missing the due time is worse than moving data across zones"
     );
 }
 
-/// After a restart of all nodes orders stayed for seconds with nodes that had owned the pool for a moment.
+/// After a restart of all nodes, orders stayed for seconds with nodes that had owned the pool only for a
+/// moment.
 #[test]
-fn orders_of_which_nothing_was_begun_go_to_the_new_owner() {
+fn orders_without_a_started_piece_move_to_the_new_owner() {
     let mut queue = queue(1);
     let begun = submit(&mut queue, at(0), order("a", BATCH));
     let calls = queue.next_calls(at(0));
     let waiting = submit(&mut queue, at(10), order("b", 2));
     queue.hand_over();
     assert_eq!(queue.take_ended(), [(waiting, OrderOutcome::Moved)]);
-    queue.call_ended(at(200), calls[0].call, made(&calls[0]));
+    queue.call_ended(at(200), calls[0].call, all_computed(&calls[0]));
     let ended = queue.take_ended();
     assert!(matches!(&ended[..], [(key, OrderOutcome::Computed(_))] if *key == begun));
 }
 
-/// Targets whose answers were lost counted as busy until their calls were given up after 8 s; half a pool was idle.
+/// Targets whose answers were lost counted as busy until their calls timed out after 8 s, which left half a
+/// pool idle.
 #[test]
 fn a_target_whose_answer_was_lost_gets_another_call_soon_and_a_slow_one_does_not() {
     let mut queue = queue(1);
@@ -441,10 +447,10 @@
     assert_eq!(queue.next_calls(at(0)).len(), 1);
     queue.tick(at(500));
     let again = queue.next_calls(at(500));
-    assert_eq!(again.len(), 1, "the same pieces, at the only target there is");
-    queue.call_ended(at(700), again[0].call, made(&again[0]));
+    assert_eq!(again.len(), 1, "the pieces are sent again to the only target");
+    queue.call_ended(at(700), again[0].call, all_computed(&again[0]));
     assert_eq!(queue.take_ended().len(), 1);
-    // Beside a fast one, a target that lets two calls in a row wait is left alone for a while.
+    // A target with two overdue calls in a row gets none for a while if another one is fast.
     let mut two = self::queue(2);
     for (ms, name) in [(0, "a"), (0, "b"), (500, "c"), (500, "d")] {
         submit(&mut two, at(ms), order(name, BATCH));
@@ -455,7 +461,7 @@
         let calls = two.next_calls(at(ms));
         assert_eq!(slow(&calls), 1, "at {ms} ms");
         for call in calls.iter().filter(|call| call.id == "i-1") {
-            two.call_ended(at(ms + 230), call.call, made(call));
+            two.call_ended(at(ms + 230), call.call, all_computed(call));
         }
     }
     two.tick(at(1_000));
@@ -463,7 +469,7 @@
 }
 
 #[test]
-fn inputs_are_kept_for_as_long_as_their_reader_needs_to_fetch_them() {
+fn the_fetch_time_of_inputs_follows_their_size_and_the_link_rate() {
     let short = spec().fetch_time(1_000);
     let long = spec().fetch_time(100_000_000);
     assert!(short < long, "{short:?} {long:?}");
@@ -478,16 +484,16 @@
     assert_eq!(unknown.fetch_time(1_000), None);
 }
 
-/// A pool that had only just begun had made nothing yet, was taken for one that makes nothing, and refused calls
-/// that had seconds left (seen after a restart of all nodes).
+/// A pool that has just started has computed nothing yet. After a restart of all nodes such pools were
+/// treated as stuck, and refused calls that had seconds left.
 #[test]
-fn a_pool_that_has_just_begun_is_not_taken_for_a_stuck_one() {
+fn a_pool_that_has_just_started_is_not_treated_as_stuck() {
     let mut queue = queue(2);
     for request in 0..20 {
         let order = order(&request.to_string(), BATCH);
         assert!(
             queue.submit(at(0), order).is_ok(),
-            "order {request} of 20 takes 2.3 s at two targets"
+            "order {request}: all 20 take 2.3 s at two targets"
         );
         queue.next_calls(at(0));
     }
@@ -498,14 +504,12 @@
             ..order("later", 1)
         },
     );
-    assert!(
-        stuck.is_err(),
-        "after three seconds without a piece it is stuck indeed"
-    );
+    assert!(stuck.is_err(), "a pool that computed nothing for 3 s is stuck");
 }
 
-/// An order was withdrawn between the choice of its pieces and the writing of the call. The body had a gap, the answer
-/// was matched from the front, and every result after the gap was put under the wrong piece (incident 11).
+/// An order was cancelled between the selection of its pieces and the writing of the call. The body lacked
+/// its pieces, the answer was matched by position, and every result after the gap went to the wrong piece
+/// (docs/incidents, 11).
 #[test]
 fn an_answer_with_fewer_outcomes_than_pieces_is_a_failure_never_a_result() {
     let mut queue = queue(1);
@@ -516,21 +520,22 @@
     queue.call_ended(at(200), call.call, short);
     assert!(
         queue.take_ended().is_empty(),
-        "nobody gets a result that cannot be tied to a piece"
+        "a result that cannot be matched to a piece is not used"
     );
-    assert_eq!(queue.waiting(), 2, "both are made anew");
+    assert_eq!(queue.waiting(), 2, "both pieces are requeued");
 }
 
-/// A target may send an answer a second time, where the answer to the next call is expected.
+/// A target may send an answer twice, so that the second copy arrives in place of the answer to the next
+/// call.
 #[test]
 fn an_answer_that_repeats_the_results_of_an_earlier_call_is_a_failure_never_a_result() {
     let mut queue = queue(1);
     submit(&mut queue, at(0), order("a", 2));
     let first = queue.next_calls(at(0)).remove(0);
-    let answer = made(&first);
+    let answer = all_computed(&first);
     queue.call_ended(at(200), first.call, answer.clone());
     let [(_, OrderOutcome::Computed(handles))] = &queue.take_ended()[..] else {
-        panic!("the first order is made")
+        panic!("the first order is computed")
     };
     queue.release(handles.clone());
     for (_, _, handles) in queue.take_releasable(Time(0)) {
@@ -541,44 +546,48 @@
     queue.call_ended(at(310), second.call, answer);
     assert!(
         queue.take_ended().is_empty(),
-        "these are the results of another request"
+        "the results belong to another request"
     );
     assert_eq!(queue.waiting(), 2);
 }
 
 // ----------------------------------------------------------------------------
-// Targets that end under a call
+// Calls that crash targets
 
-/// One order of seven ends each target that begins to make it. Each of the others was beside it once, is made without it, and the
-/// pool loses two targets for a moment, not one after the other.
+/// One of seven orders crashes each target that starts to compute it. The other six shared a call with it
+/// once and are computed without it, and the pool loses only two targets for a moment, not all of them one
+/// by one.
 #[test]
-fn pieces_under_which_a_target_ended_are_made_without_others_and_not_for_ever() {
+fn an_order_that_crashes_targets_is_isolated_and_fails_after_the_second_crash() {
     let mut queue = queue(3);
     let bad = submit(&mut queue, at(0), order("bad", 2));
     let others: Vec<OrderKey> = (0..6)
         .map(|place| submit(&mut queue, at(0), order(&format!("good-{place}"), 1)))
         .collect();
-    let (mut ended_targets, mut ends) = (0, Vec::new());
+    let (mut crashed_targets, mut ends) = (0, Vec::new());
     for step in 0..100 {
         let now = at(step * 200);
         for call in queue.next_calls(now) {
             let crashes = call.pieces.iter().any(|piece| piece.request == "bad");
             let mixed = call.pieces.iter().any(|piece| piece.request != "bad");
             if crashes {
-                assert!(ended_targets == 0 || !mixed, "others are beside it again");
-                ended_targets += 1;
+                assert!(
+                    crashed_targets == 0 || !mixed,
+                    "the call has pieces of other orders after the first crash"
+                );
+                crashed_targets += 1;
                 queue.call_ended(
                     now + Span::from_millis(50),
                     call.call,
                     BatchOutcome::TargetCrashed,
                 );
             } else {
-                queue.call_ended(now + Span::from_millis(150), call.call, made(&call));
+                queue.call_ended(now + Span::from_millis(150), call.call, all_computed(&call));
             }
         }
         ends.extend(queue.take_ended());
     }
-    assert_eq!(ended_targets, 2);
+    assert_eq!(crashed_targets, 2);
     let of = |key: OrderKey| ends.iter().find(|(ended, _)| *ended == key).map(|(_, end)| end);
     assert_eq!(of(bad), Some(&OrderOutcome::Failed));
     for key in others {
--- a/crates/barleyspool_core/tests/forward_shards.rs
+++ b/crates/barleyspool_core/tests/forward_shards.rs
@@ -1,4 +1,4 @@
-//! How the targets of a service and its work are split over owners.
+//! The split of a service's targets into shards, and of its requests over the shards.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -31,10 +31,11 @@
     shares
 }
 
-/// A pool of 42 targets is dealt out by hash into shards of unequal size. When each got a third of the calls, the smallest
-/// had seven times the backlog of the others, which were idle for a quarter of the time.
+/// The 42 targets of a pool are hashed into shards of unequal size. When each shard got a third of the
+/// calls, the smallest had seven times the backlog of the others, which were idle for a quarter of the
+/// time.
 #[test]
-fn each_shard_gets_work_by_the_number_of_its_targets() {
+fn each_shard_gets_calls_in_proportion_to_its_targets() {
     for working in [20, 42, 48, 160] {
         let table = table(working, 6);
         let shares = shares(&table, 30_000);
@@ -49,14 +50,14 @@
             let got = shares.get(&shard).copied().unwrap_or_default() as f64;
             assert!(
                 (got - expected).abs() < 0.1 * expected + 60.0,
-                "{working} targets, {count} in shard {shard}: {got} calls in place of {expected}"
+                "{working} targets, {count} in shard {shard}: {got} calls, expected {expected}"
             );
         }
     }
 }
 
 #[test]
-fn a_target_that_goes_moves_few_calls() {
+fn removing_a_target_moves_few_calls_to_another_shard() {
     let before = table(42, 0);
     let mut after = before.clone();
     after.pop_first();
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_pool_of_few_targets_is_not_split() {
+fn a_pool_of_16_targets_is_not_split() {
     let table = table(16, 0);
     let services = service_targets(&table);
     let pool = &services["pool"].pool;
@@ -87,10 +88,10 @@
     assert_eq!(pool.pick(7, "a", 0.2), 0);
 }
 
-/// Results cost when they cross zones, so a request stays where its inputs lie. But when a zone has lost most of its targets,
-/// those left must not get all that comes from there.
+/// Moving results across zones is costly, so a request stays in the zone of its inputs. But when a zone has
+/// lost most of its targets, the rest must not get all requests that come from there.
 #[test]
-fn requests_stay_in_their_zone_as_far_as_its_targets_can_take_their_part() {
+fn requests_stay_in_their_zone_up_to_the_share_of_its_targets() {
     let entry = |place: usize, zone: &str| TargetEntry {
         id: format!("i-{place:08x}"),
         service: "pool".to_owned(),
@@ -121,7 +122,7 @@
         let got = f64::from(got[zone]);
         assert!(
             (got - expected).abs() < 0.1 * expected,
-            "{zone}: {got} in place of {expected}"
+            "{zone}: {got} calls, expected {expected}"
         );
     }
     assert!(stayed > 16_500, "{stayed} of 20,000 stayed");
--- a/crates/barleyspool_core/tests/forward_stages.rs
+++ b/crates/barleyspool_core/tests/forward_stages.rs
@@ -1,4 +1,4 @@
-//! The graph of stages before a call.
+//! The graph of stages that run before a call is sent to its target.
 
 use barleyspool_core::{StageProgress, StageSpec};
 
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn a_stage_starts_when_what_it_needs_is_made_and_gets_every_piece() {
+fn a_stage_starts_when_its_inputs_are_complete_and_gets_all_of_them() {
     let mut run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[0, 1])], &[2, 1, 3]);
     assert_eq!(started(&mut run), [0, 1]);
-    assert!(started(&mut run).is_empty(), "each is started once");
+    assert!(started(&mut run).is_empty(), "each stage is started once");
     run.complete(0, names("a", 2));
     assert!(started(&mut run).is_empty());
     run.complete(1, names("b", 1));
@@ -30,18 +30,18 @@
     assert_eq!(ready[0].inputs, ["a0", "a1", "b0"]);
     assert_eq!(ready[0].pieces, 3);
     let releasable = run.complete(2, names("c", 3));
-    assert_eq!(releasable, ["a0", "a1", "b0"], "nobody reads them any more");
+    assert_eq!(releasable, ["a0", "a1", "b0"], "no stage reads them any more");
     assert!(run.is_complete());
     assert_eq!(
         run.outputs(),
         ["c0", "c1", "c2"],
-        "the call reads the last stage only"
+        "the call reads only the last stage"
     );
     assert_eq!(run.unreleased(), ["c0", "c1", "c2"]);
 }
 
 #[test]
-fn a_stage_without_pieces_is_left_out() {
+fn a_stage_without_pieces_is_skipped() {
     let mut run = StageProgress::new(&[spec(&[]), spec(&[])], &[0, 1]);
     assert_eq!(started(&mut run), [1]);
     run.complete(1, names("b", 1));
@@ -51,39 +51,44 @@
 }
 
 #[test]
-fn results_that_are_gone_are_made_anew_with_all_they_rest_on_but_not_without_end() {
+fn lost_results_are_recomputed_with_their_inputs_a_limited_number_of_times() {
     let mut run = StageProgress::new(&[spec(&[]), spec(&[0])], &[1, 1]);
-    let make_both = |run: &mut StageProgress| {
+    let complete_both = |run: &mut StageProgress| {
         assert_eq!(started(run), [0]);
         run.complete(0, names("a", 1));
         assert_eq!(started(run), [1]);
         run.complete(1, names("b", 1));
     };
-    make_both(&mut run);
-    assert!(run.recompute(None), "the call found its inputs gone");
-    make_both(&mut run);
+    complete_both(&mut run);
+    assert!(run.recompute(None), "the call found its inputs lost");
+    complete_both(&mut run);
     assert!(run.recompute(Some(1)));
-    make_both(&mut run);
+    complete_both(&mut run);
     assert!(!run.recompute(None));
 }
 
 #[test]
-fn the_depth_after_a_stage_counts_what_follows_it_only() {
+fn the_depth_after_a_stage_counts_only_the_stages_that_follow_it() {
     let run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
     let depths: Vec<usize> = (0..4).map(|stage| run.depth_after(stage)).collect();
     assert_eq!(depths, [0, 2, 1, 0]);
 }
 
-/// Large results that only the call reads were made at once and filled their makers while a longer chain went on.
+/// Guards against a waste of memory: large results that only the call reads were computed at once, and
+/// filled the targets that held them while a longer chain was still running.
 #[test]
-fn a_stage_beside_a_longer_chain_waits_until_as_little_follows_the_chain() {
+fn a_stage_beside_a_longer_chain_waits_until_the_chain_has_as_few_stages_left() {
     let mut run = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1]), spec(&[2])], &[1, 1, 1, 1]);
-    assert_eq!(started(&mut run), [1], "two stages follow it, and none the first");
+    assert_eq!(
+        started(&mut run),
+        [1],
+        "two stages follow the second one and none the first"
+    );
     run.complete(1, names("b", 1));
     assert_eq!(started(&mut run), [2]);
     run.complete(2, names("c", 1));
-    assert_eq!(started(&mut run), [0, 3], "now both are the last before the call");
-    // Without the chain there is nothing to wait for.
+    assert_eq!(started(&mut run), [0, 3], "both are now the last before the call");
+    // Without the longer chain there is nothing to wait for.
     let mut alone = StageProgress::new(&[spec(&[]), spec(&[]), spec(&[1])], &[1, 0, 0]);
     assert_eq!(started(&mut alone), [0]);
 }
--- a/crates/barleyspool_core/tests/forward_stop.rs
+++ b/crates/barleyspool_core/tests/forward_stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop ends when nothing is owed to callers any more, and by its time in any case.
+//! A planned stop ends when no connection of a caller is open any more, and at its maximum duration in any
+//! case.
 
 #![allow(clippy::unwrap_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -26,21 +27,23 @@
     assert_eq!(
         stop.phase(at(2709), 0),
         StopPhase::Closing,
-        "a call may be on its way"
+        "a new call may be on the way"
     );
     assert_eq!(stop.phase(at(2710), 1), StopPhase::Draining);
     assert_eq!(stop.phase(at(2710), 0), StopPhase::Finished);
 }
 
-/// A traffic thread that was kept from running has not taken the connections that wait: none is open, and yet there are some.
+/// A traffic thread that was not scheduled has not accepted the waiting connections: they exist, but none
+/// counts as open.
 #[test]
 fn a_stop_does_not_end_before_the_listener_is_closed() {
     assert_eq!(stop().phase(at(6000), 0), StopPhase::Closing);
 }
 
-/// A thread that slept through all of it still gives connections that were just taken time to bring their calls.
+/// Even after a thread was not scheduled for most of the stop, connections that were just accepted get time
+/// to send their calls.
 #[test]
-fn calls_have_their_time_however_late_the_listener_was_closed() {
+fn connections_get_time_for_a_call_however_late_the_listener_closes() {
     let mut stop = stop();
     stop.listener_closed(at(4000));
     assert_eq!(stop.phase(at(4100), 40), StopPhase::Closing);
@@ -48,12 +51,12 @@
     assert_eq!(
         stop.phase(at(4200), 40),
         StopPhase::Draining,
-        "the first word counts"
+        "only the first notice counts"
     );
 }
 
 #[test]
-fn what_is_not_done_is_answered_before_the_end() {
+fn unfinished_calls_are_aborted_before_the_stop_ends() {
     let mut stop = stop();
     stop.listener_closed(at(2500));
     assert_eq!(stop.phase(at(6899), 1), StopPhase::Draining);
@@ -63,7 +66,7 @@
 }
 
 quickcheck! {
-    fn phases_only_go_forward_and_nothing_open_is_left_early(closed: u16, steps: Vec<u16>, open: u8) -> bool {
+    fn phases_only_advance_and_open_connections_are_not_dropped_early(closed: u16, steps: Vec<u16>, open: u8) -> bool {
         let mut stop = stop();
         let closed = u64::from(closed % 9000);
         let (mut now, mut last) = (0, StopPhase::Leaving);
--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lives.rs
@@ -9,7 +9,7 @@
     PackedList, PieceOrder, PieceQueue, PoolSpec, Revision, SendEnd, Span, TargetChange, TargetEntry,
     TargetIncarnation, TargetQuery, TargetStore, TargetTable, Time, service_targets,
 };
-use batch_calls::made;
+use batch_calls::all_computed;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -522,7 +522,7 @@
     let mut queue = queue(&store);
     queue.submit(at(0), order("r", 3, &[])).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
-    queue.call_ended(at(200), call.call, made(&call));
+    queue.call_ended(at(200), call.call, all_computed(&call));
     let old = queue.next_calls(at(200)).remove(0);
     assert_eq!((queue.waiting(), old.pieces.len()), (0, 1));
     put(&mut store, at(250), entry("1", 2000, 1));
@@ -563,7 +563,7 @@
     let mut queue = queue(&store);
     queue.submit(at(0), order("r", 2, &[])).expect("there is room");
     let call = queue.next_calls(at(0)).remove(0);
-    queue.call_ended(at(200), call.call, made(&call));
+    queue.call_ended(at(200), call.call, all_computed(&call));
     let Some((_, OrderOutcome::Computed(handles))) = queue.take_ended().pop() else {
         panic!("they were made");
     };
