--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -13,14 +13,14 @@
 /// The pieces of one stage of one request that are to be computed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceOrder {
-    /// The request's id.
+    /// The id of the request.
     pub request: String,
     /// The fingerprint that all tries of the same call share.
     #[serde(rename = "print")]
     pub fingerprint: CallFingerprint,
-    /// The stage's place in the route.
+    /// The index of the stage in its route.
     pub stage: u32,
-    /// How many pieces; they are counted from 0.
+    /// The number of pieces; their indexes start at 0.
     pub pieces: u32,
     /// The key that pieces without inputs are computed from; empty for pieces with inputs.
     pub key: String,
@@ -104,11 +104,11 @@
 /// outcomes in an answer are matched to the pieces of the call by position alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PieceRequest {
-    /// The request's id.
+    /// The id of the request.
     pub request: String,
     /// The fingerprint that all tries of the same call share.
     pub fingerprint: CallFingerprint,
-    /// The stage's place in the route.
+    /// The index of the stage in its route.
     pub stage: u32,
     /// The index of the piece in the order.
     pub piece: u32,
--- a/crates/barleyspool_core/src/forward/planned_stop.rs
+++ b/crates/barleyspool_core/src/forward/planned_stop.rs
@@ -1,6 +1,6 @@
 //! The graceful shutdown of a node, from the request to stop until its process may end.
 //!
-//! A call is complete when its caller has the answer, not when this node has written it. A stop therefore
+//! A call is complete when its caller has the answer, not when this node has produced it. A stop therefore
 //! counts the open connections of callers, and ends when there are none. See docs/DESIGN.md, "A planned
 //! stop".
 
