--- a/crates/barleyspool_core/src/forward/catalog.rs
+++ b/crates/barleyspool_core/src/forward/catalog.rs
@@ -1,5 +1,5 @@
-//! Configuration of forwarded calls: routes, services and API keys. A document is validated as a whole before it is
-//! applied.
+//! Configuration of forwarded calls: routes, services and API keys. A document is validated as a whole before
+//! it is applied.
 
 use super::ForwardService;
 use crate::{Revision, Span};
@@ -14,7 +14,8 @@
     /// Not idempotent: the call may be executed at most once.
     #[default]
     Unrepeatable,
-    /// Executed at most once, with an event stream as its response. See [`Route::resumable`] for the exception.
+    /// Executed at most once, with an event stream as its response. See [`Route::resumable`] for the
+    /// exception.
     Streaming,
 }
 
@@ -51,7 +52,8 @@
     pub kind: RouteKind,
     /// Maximum time that a call may take.
     pub timeout: Span,
-    /// Latency objective: the time within which a call should be answered, or a stream should yield its first event.
+    /// Latency objective: the time within which a call should be answered, or a stream should yield its first
+    /// event.
     #[serde(rename = "aim")]
     pub objective: Span,
     /// Priority; 0 is the highest.
@@ -66,7 +68,8 @@
     pub public: bool,
     /// Whether calls with the same prompt prefix should be routed to the same target.
     pub affinity: bool,
-    /// Whether an interrupted stream may be resumed at another target after the last event that was delivered.
+    /// Whether an interrupted stream may be resumed at another target after the last event that was
+    /// delivered.
     pub resumable: bool,
 }
 
@@ -190,8 +193,8 @@
 }
 
 impl Catalog {
-    /// Validates and indexes `document`. The result depends on the document alone, so all nodes accept or reject it
-    /// alike.
+    /// Validates and indexes `document`. The result depends on the document alone, so all nodes accept or
+    /// reject it alike.
     ///
     /// # Errors
     /// Returns all errors of the document, not just the first.
@@ -280,7 +283,8 @@
     }
 
     /// The rank of a call among all priorities of the configuration; 0 is the highest. The priority of the
-    /// organisation decides first; calls of equal organisation priority are ordered by the priority of their route.
+    /// organisation decides first; calls of equal organisation priority are ordered by the priority of their
+    /// route.
     pub fn rank(&self, organisation: Option<&ForwardOrganisation>, route: &Route) -> u8 {
         let rank = rank_pair(organisation, route);
         let before = self.ranks.range(..rank).count();
--- a/crates/barleyspool_core/src/forward/catalog_change.rs
+++ b/crates/barleyspool_core/src/forward/catalog_change.rs
@@ -1,4 +1,5 @@
-//! Differences between two configurations, so that nodes exchange only what changed and not the whole document.
+//! Differences between two configurations, so that nodes exchange only what changed and not the whole
+//! document.
 
 use super::{CallerLimits, CatalogDocument, ForwardOrganisation, ForwardService, Route};
 use crate::Revision;
@@ -7,8 +8,8 @@
 
 /// Maximum number of changes kept. At one change every 100 ms they cover the last six seconds.
 const MAX_CHANGES: usize = 64;
-/// Maximum number of routes, services and organisations in all changes kept. It limits their memory to that of one
-/// large configuration.
+/// Maximum number of routes, services and organisations in all changes kept. It limits their memory to that
+/// of one large configuration.
 const MAX_ENTRIES: usize = 4096;
 
 /// The difference between two versions of one list of a configuration, with entries identified by name.
@@ -59,8 +60,8 @@
 }
 
 impl CatalogChange {
-    /// The change that turns `before` into `after`. `None` when one of them has duplicate names, since entries are
-    /// identified by name; the whole document has to be sent then.
+    /// The change that turns `before` into `after`. `None` when one of them has duplicate names, since
+    /// entries are identified by name; the whole document has to be sent then.
     pub fn between(before: &CatalogDocument, after: &CatalogDocument) -> Option<Self> {
         if !has_unique_names(before) || !has_unique_names(after) {
             return None;
@@ -83,8 +84,8 @@
         self.version
     }
 
-    /// Applies the change to `document`. The order of routes, services and organisations may differ from that of the
-    /// original document; it has no effect as long as names are unique.
+    /// Applies the change to `document`. The order of routes, services and organisations may differ from that
+    /// of the original document; it has no effect as long as names are unique.
     pub fn apply(self, document: &mut CatalogDocument) {
         document.version = self.version;
         document.limits = self.limits;
--- a/crates/barleyspool_core/src/forward/feed_cursor.rs
+++ b/crates/barleyspool_core/src/forward/feed_cursor.rs
@@ -4,12 +4,12 @@
 
 /// Maximum delay before the first retry after an error.
 const MIN_RETRY_DELAY: Span = Span::from_millis(60);
-/// Limit of the exponential backoff. The platform charges for each call, including failed ones, and updates also arrive
-/// from other nodes meanwhile.
+/// Limit of the exponential backoff. The platform charges for each call, including failed ones, and updates
+/// also arrive from other nodes meanwhile.
 const MAX_RETRY_DELAY: Span = Span::from_millis(1500);
 
-/// Timeout of a short watch (see [`super::source_role`]). Together with [`WATCH_MARGIN`] and the time to read the feed
-/// it stays below the three seconds after which nodes must follow the state of the platform again.
+/// Timeout of a short watch (see [`super::source_role`]). Together with [`WATCH_MARGIN`] and the time to read
+/// the feed it stays below the three seconds after which nodes must follow the state of the platform again.
 const SHORT_WATCH_TIMEOUT: Span = Span::from_secs(2);
 /// Timeout of any other watch. The platform charges per call, so few long watches are cheaper.
 const LONG_WATCH_TIMEOUT: Span = Span::from_secs(20);
@@ -52,28 +52,28 @@
         }
     }
 
-    /// Records a successful response as of revision `at`. The position never moves backwards: a source whose revisions
-    /// restart enters a later era.
+    /// Records a successful response as of revision `at`. The position never moves backwards: a source whose
+    /// revisions restart enters a later era.
     pub fn advance(&mut self, at: Revision) {
         self.failures = 0;
         self.since = Some(self.since.map_or(at, |since| since.max(at)));
     }
 
-    /// Makes the next request read the whole feed: the platform no longer keeps the changes after the requested
-    /// revision, or another node knows of a change that a watch should have delivered.
+    /// Makes the next request read the whole feed: the platform no longer keeps the changes after the
+    /// requested revision, or another node knows of a change that a watch should have delivered.
     pub fn reset(&mut self) {
         self.since = None;
     }
 
-    /// Continues from the revision of data received from another node. The whole feed is read instead if that revision is
-    /// unknown, or if this node's last request failed: entries that expired at the source meanwhile are only noticed by
-    /// a whole read.
+    /// Continues from the revision of data received from another node. The whole feed is read instead if that
+    /// revision is unknown, or if this node's last request failed: entries that expired at the source
+    /// meanwhile are only noticed by a whole read.
     pub fn resume(&mut self, held: Option<Revision>) {
         self.since = held.filter(|_| self.failures == 0);
     }
 
-    /// Records a failed request and returns the maximum delay before the next. A broken watch may have missed changes
-    /// that a new watch does not deliver, so the whole feed is read again.
+    /// Records a failed request and returns the maximum delay before the next. A broken watch may have missed
+    /// changes that a new watch does not deliver, so the whole feed is read again.
     pub fn record_failure(&mut self) -> Span {
         self.since = None;
         let doubled = Span(MIN_RETRY_DELAY.0 << self.failures.min(6));
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -26,14 +26,15 @@
 const INITIAL_ANSWER_TIME: Span = Span::from_millis(60);
 /// Weight of a new sample in a moving average.
 const AVERAGE_WEIGHT: f64 = 0.05;
-/// Weight of a new sample in the average time to the first output; it is higher because load changes within seconds.
+/// Weight of a new sample in the average time to the first output; it is higher because load changes within
+/// seconds.
 const FIRST_OUTPUT_WEIGHT: f64 = 0.15;
 /// Minimum number of tokens of a sample of the prefill rate; shorter ones are too inaccurate.
 const MIN_SAMPLE_TOKENS: f64 = 500.0;
 /// How long a target that refused a call because it is full receives no calls.
 const FULL_TARGET_PAUSE: Span = Span::from_millis(40);
-/// Maximum fraction of a service's targets that may be in quarantine. Beyond it, this node's own view is more likely to
-/// be wrong than the targets.
+/// Maximum fraction of a service's targets that may be in quarantine. Beyond it, this node's own view is more
+/// likely to be wrong than the targets.
 const MAX_QUARANTINED_FRACTION: f64 = 0.5;
 
 /// Settings of a [`Forwarder`].
@@ -163,7 +164,8 @@
         self.update_ownership(plan.made);
         self.catalog.clone_from(&plan.catalog);
         if Arc::ptr_eq(&self.table, &plan.targets) {
-            // Members change far more often than targets; a change of members should not cost a walk through a large list.
+            // Members change far more often than targets; a change of members should not cost a walk through
+            // a large list.
             return;
         }
         self.table = Arc::clone(&plan.targets);
@@ -182,7 +184,8 @@
             match self.by_id.get(id).and_then(|key| self.targets.get_mut(*key)) {
                 Some(record) if record.entry == *entry && record.entry.times == entry.times => {}
                 Some(record) if record.entry.incarnation == entry.incarnation => record.entry = entry.clone(),
-                // What was measured of the previous incarnation does not apply to this one; its sends end without a record.
+                // What was measured of the previous incarnation does not apply to this one; its sends end
+                // without a record.
                 _ => self.insert(entry),
             }
         }
@@ -227,8 +230,8 @@
         self.by_id.get(id).copied()
     }
 
-    /// The incarnation of a target that reported, in the answer to a request sent at `sent`, that it is leaving. `None` if
-    /// the list has it as leaving already or has a later incarnation.
+    /// The incarnation of a target that reported, in the answer to a request sent at `sent`, that it is
+    /// leaving. `None` if the list has it as leaving already or has a later incarnation.
     pub fn leaving_incarnation(&self, sent: Time, id: &str) -> Option<IncarnationId> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         let entry = &record.entry;
@@ -373,8 +376,8 @@
         }
     }
 
-    /// Records a failure and returns whether the target was put into quarantine. No target is quarantined beyond
-    /// [`MAX_QUARANTINED_FRACTION`].
+    /// Records a failure and returns whether the target was put into quarantine. No target is quarantined
+    /// beyond [`MAX_QUARANTINED_FRACTION`].
     fn failed(&mut self, now: Time, target: TargetKey, certain: bool) -> bool {
         let Some(record) = self.targets.get(target) else {
             return false;
--- a/crates/barleyspool_core/src/forward/list_transfer.rs
+++ b/crates/barleyspool_core/src/forward/list_transfer.rs
@@ -1,23 +1,24 @@
-//! Transfers of whole target lists between nodes: which node to request the list from, and how many transfers a node
-//! serves at once.
+//! Transfers of whole target lists between nodes: which node to request the list from, and how many transfers
+//! a node serves at once.
 
 use crate::{Span, Time};
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-/// Bandwidth from which a link counts as fast, in Mbit/s. It carries a list of some hundred KB in about 10 ms.
+/// Bandwidth from which a link counts as fast, in Mbit/s. It carries a list of some hundred KB in about 10
+/// ms.
 const FAST_MBPS: u32 = 100;
-/// Link bandwidth per concurrent transfer, in Mbit/s. A slow link serves transfers one after the other, so that the
-/// first receiver can pass the list on while the second one receives it.
+/// Link bandwidth per concurrent transfer, in Mbit/s. A slow link serves transfers one after the other, so
+/// that the first receiver can pass the list on while the second one receives it.
 const MBPS_PER_TRANSFER: u32 = 20;
 /// Maximum number of concurrent transfers on any link; each one takes some milliseconds of CPU time.
 const MAX_TRANSFERS: usize = 8;
 /// Time after which a transfer no longer counts: it has finished, or its receiver is gone.
 const TRANSFER_TIMEOUT: Span = Span::from_millis(1000);
 
-/// How long a node with a slow link leaves holders in other zones to nodes with fast links. Those receive the list
-/// within some tens of milliseconds and pass it on to many nodes at once, while receivers with slow links would occupy
-/// the first holder for ten times as long.
+/// How long a node with a slow link leaves holders in other zones to nodes with fast links. Those receive the
+/// list within some tens of milliseconds and pass it on to many nodes at once, while receivers with slow
+/// links would occupy the first holder for ten times as long.
 const OTHER_ZONES_DELAY: Span = Span::from_millis(300);
 
 /// A node that has no target list and requests one.
@@ -49,9 +50,9 @@
     pub link_mbps: u32,
 }
 
-/// Picks a random node among those that are best to request from: available ones first, then those in the same zone,
-/// then those with a fast link. Traffic between zones is charged for, and transfers over slow links dominate the
-/// start-up time of a fleet.
+/// Picks a random node among those that are best to request from: available ones first, then those in the
+/// same zone, then those with a fast link. Traffic between zones is charged for, and transfers over slow
+/// links dominate the start-up time of a fleet.
 pub fn choose_list_holder<A>(
     holders: impl Iterator<Item = ListHolder<A>>,
     random: &mut impl Rng,
@@ -69,9 +70,9 @@
 
 /// Limits the concurrent transfers of whole lists that a node serves.
 ///
-/// When a fleet starts, all nodes of a zone request the list from the first node that has it. Served all at once, every
-/// transfer would finish only with the last one. Served a few at a time, the receivers pass the list on, and the number
-/// of nodes that have it doubles with the duration of each transfer.
+/// When a fleet starts, all nodes of a zone request the list from the first node that has it. Served all at
+/// once, every transfer would finish only with the last one. Served a few at a time, the receivers pass the
+/// list on, and the number of nodes that have it doubles with the duration of each transfer.
 #[derive(Clone, Debug)]
 pub struct ListTransfers {
     /// Maximum number of concurrent transfers.
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Admits a transfer if the link has capacity for it. It counts until [`Self::finish`] is called with the returned
-    /// key, but for one second at most.
+    /// Admits a transfer if the link has capacity for it. It counts until [`Self::finish`] is called with the
+    /// returned key, but for one second at most.
     pub fn admit(&mut self, now: Time) -> Option<TransferKey> {
         self.active.retain(|(_, until)| *until > now);
         if self.active.len() >= self.limit {
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -1,10 +1,10 @@
 //! Decisions for forwarded calls: a route, a graph of stages, and one target that answers the call.
 //!
-//! [`crate::Router`] passes payloads from stage to stage and answers under the caller's key. Here the call itself is
-//! sent unchanged to the last target; the stages before it keep their results on the targets that computed them and
-//! pass on only handles. As everywhere in this crate, the types do no I/O and are driven with the time and events:
-//! [`Forwarder`] chooses targets and limits retries, [`StageProgress`] tracks the graph of stages, and [`PieceQueue`]
-//! batches pieces of many requests into calls to a stage pool.
+//! [`crate::Router`] passes payloads from stage to stage and answers under the caller's key. Here the call
+//! itself is sent unchanged to the last target; the stages before it keep their results on the targets that
+//! computed them and pass on only handles. As everywhere in this crate, the types do no I/O and are driven
+//! with the time and events: [`Forwarder`] chooses targets and limits retries, [`StageProgress`] tracks the
+//! graph of stages, and [`PieceQueue`] batches pieces of many requests into calls to a stage pool.
 
 mod call_head;
 mod catalog;
--- a/crates/barleyspool_core/src/forward/packed_list.rs
+++ b/crates/barleyspool_core/src/forward/packed_list.rs
@@ -1,7 +1,8 @@
 //! Compact encoding of a target list for transfers between nodes.
 //!
-//! Names of services and zones are stored once and addresses as numbers. A target takes about 35 bytes, compared with 75
-//! in an encoded [`TargetTable`] and 370 at the source. A list of 6,000 targets takes 90 ms on a link of 20 Mbit/s.
+//! Names of services and zones are stored once and addresses as numbers. A target takes about 35 bytes,
+//! compared with 75 in an encoded [`TargetTable`] and 370 at the source. A list of 6,000 targets takes 90 ms
+//! on a link of 20 Mbit/s.
 
 use super::{TargetEntry, TargetIncarnation, TargetTable};
 use crate::Span;
@@ -28,7 +29,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct PackedTarget {
     id: String,
-    /// The start of its run, in milliseconds after [`PackedList::run_base`]; `None` when the target does not report it.
+    /// The start of its run, in milliseconds after [`PackedList::run_base`]; `None` when the target does not
+    /// report it.
     run: Option<u64>,
     sequence: u64,
     service: usize,
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -29,7 +29,8 @@
     pub targets: Arc<TargetTable>,
     /// Zones of the listed targets, by address; see [`ForwardPlan::zones_by_address`].
     pub zones: Arc<HashMap<String, String>>,
-    /// When targets were seen to have restarted under the same id, by address; see [`ForwardPlan::is_result_lost`].
+    /// When targets were seen to have restarted under the same id, by address; see
+    /// [`ForwardPlan::is_result_lost`].
     pub restarts: Arc<HashMap<String, Time>>,
     /// Targets of each service, by service name; see [`super::service_targets`].
     pub services: Arc<HashMap<String, ServiceTargets>>,
@@ -37,8 +38,8 @@
     pub members: Arc<Vec<MemberView>>,
     /// This node's key.
     pub me: u64,
-    /// Whether `members` most likely contains all nodes. A node that has just started knows only a few others and would
-    /// claim pools that other nodes own.
+    /// Whether `members` most likely contains all nodes. A node that has just started knows only a few others
+    /// and would claim pools that other nodes own.
     pub converged: bool,
     /// How many of the members this node can reach.
     pub reach: Reachability,
@@ -54,8 +55,8 @@
         self.listed && self.catalog.is_some()
     }
 
-    /// Zones of the listed targets, by address. The map is built once per list, so that looking up the holder of a result
-    /// takes constant time.
+    /// Zones of the listed targets, by address. The map is built once per list, so that looking up the holder
+    /// of a result takes constant time.
     pub fn zones_by_address(targets: &TargetTable) -> HashMap<String, String> {
         let zone = |entry: &TargetEntry| (entry.address.clone(), entry.zone.clone());
         targets.values().map(zone).collect()
@@ -71,8 +72,9 @@
             .collect()
     }
 
-    /// Whether a result that was received at `since` was lost by a restart of the target that holds it. A result that the
-    /// new incarnation computed before this node learned of the restart also counts as lost and is computed again.
+    /// Whether a result that was received at `since` was lost by a restart of the target that holds it. A
+    /// result that the new incarnation computed before this node learned of the restart also counts as lost
+    /// and is computed again.
     pub fn is_result_lost(&self, handle: &str, since: Time) -> bool {
         let restarted = self.restarts.get(handle_address(handle));
         restarted.is_some_and(|restarted| since < *restarted)
--- a/crates/barleyspool_core/src/forward/source_role.rs
+++ b/crates/barleyspool_core/src/forward/source_role.rs
@@ -1,25 +1,26 @@
 //! Which nodes read the source (the platform), and which nodes they notify.
 //!
-//! Each node derives this from the members that it knows, without coordination. Where two nodes know different members,
-//! one node more or fewer reads for a while, and [`super::SourceWatch`] makes nodes that receive no notifications read
-//! the source themselves. The trade-offs are described in docs/DESIGN.md, "Configuration and targets".
+//! Each node derives this from the members that it knows, without coordination. Where two nodes know
+//! different members, one node more or fewer reads for a while, and [`super::SourceWatch`] makes nodes that
+//! receive no notifications read the source themselves. The trade-offs are described in docs/DESIGN.md,
+//! "Configuration and targets".
 
 use crate::rendezvous;
 use std::collections::BTreeMap;
 
-/// Number of nodes per zone that read the source. With a single reader, a reader that hangs or is cut off would only be
-/// noticed by its silence.
+/// Number of nodes per zone that read the source. With a single reader, a reader that hangs or is cut off
+/// would only be noticed by its silence.
 const READERS_PER_ZONE: usize = 2;
-/// Maximum number of readers per zone, while preferred readers cannot reach the source. In an outage of the source all
-/// of them fail, and the platform charges for each call.
+/// Maximum number of readers per zone, while preferred readers cannot reach the source. In an outage of the
+/// source all of them fail, and the platform charges for each call.
 const MAX_READERS_PER_ZONE: usize = 4;
-/// Link bandwidth from which a node is preferred as a reader, in Mbit/s. A whole list of 6,000 targets is 2.2 MB at the
-/// source, which takes 0.2 s on such a link and 0.9 s on one of 20 Mbit/s.
+/// Link bandwidth from which a node is preferred as a reader, in Mbit/s. A whole list of 6,000 targets is 2.2
+/// MB at the source, which takes 0.2 s on such a link and 0.9 s on one of 20 Mbit/s.
 const PREFERRED_READER_MBPS: u32 = 100;
-/// Number of readers, over all zones, that use a short watch timeout. A watch that reaches the source just as it stops
-/// responding never returns, which looks like a feed without changes, and nodes that start their watches together lose
-/// them together (docs/incidents, 7). There are two so that one of them may be cut off; more would cost calls without
-/// detecting the outage sooner.
+/// Number of readers, over all zones, that use a short watch timeout. A watch that reaches the source just as
+/// it stops responding never returns, which looks like a feed without changes, and nodes that start their
+/// watches together lose them together (docs/incidents, 7). There are two so that one of them may be cut off;
+/// more would cost calls without detecting the outage sooner.
 const SHORT_WATCHERS: usize = 2;
 /// Rendezvous hashing key that selects the readers among the members of a zone.
 const READER_KEY: u128 = 0x5c00_4ead;
@@ -63,8 +64,8 @@
     }
 }
 
-/// Addresses of the nodes that node `me` of `zone` notifies of what it reads: all nodes of its zone and the readers of
-/// the other zones.
+/// Addresses of the nodes that node `me` of `zone` notifies of what it reads: all nodes of its zone and the
+/// readers of the other zones.
 pub fn source_recipients(members: &[ReaderCandidate], zone: &str, me: u64) -> Vec<String> {
     let same_zone = members.iter().filter(|member| member.zone == zone);
     let other_zones = readers(members).into_iter().filter(|reader| reader.zone != zone);
--- a/crates/barleyspool_core/src/forward/source_watch.rs
+++ b/crates/barleyspool_core/src/forward/source_watch.rs
@@ -1,31 +1,31 @@
 //! Decides when a node reads the source (the platform) itself and when it requests updates from another node.
 //!
-//! The readers of a zone notify all its nodes of the revisions that they have read, at each change and periodically in
-//! between. A node that is behind requests the difference from one that is ahead. A node that receives no notification
-//! for a while reads the source itself, whatever the cause.
+//! The readers of a zone notify all its nodes of the revisions that they have read, at each change and
+//! periodically in between. A node that is behind requests the difference from one that is ahead. A node that
+//! receives no notification for a while reads the source itself, whatever the cause.
 
 use super::SourceRole;
 use crate::{Revision, SourceState, Span, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Interval between announcements of a reader without changes. With 103 nodes in a zone and about 70 bytes each,
-/// including headers, they take a calculated 12 KB/s, just below the 13 KB/s that a node may spend on control traffic
-/// (docs/CAPACITY.md).
+/// Interval between announcements of a reader without changes. With 103 nodes in a zone and about 70 bytes
+/// each, including headers, they take a calculated 12 KB/s, just below the 13 KB/s that a node may spend on
+/// control traffic (docs/CAPACITY.md).
 pub const ANNOUNCE_INTERVAL: Span = Span::from_millis(600);
-/// A node that has received no announcement for this long reads the source itself. Two announcements may be lost, and
-/// together with [`READER_TIMEOUT_JITTER`] and the time to read it stays below the three seconds within which a change
-/// must reach all nodes.
+/// A node that has received no announcement for this long reads the source itself. Two announcements may be
+/// lost, and together with [`READER_TIMEOUT_JITTER`] and the time to read it stays below the three seconds
+/// within which a change must reach all nodes.
 const READER_TIMEOUT: Span = Span::from_millis(1500);
-/// Maximum random addition to [`READER_TIMEOUT`], so that of the nodes that lose their readers together a few read first
-/// and notify the others.
+/// Maximum random addition to [`READER_TIMEOUT`], so that of the nodes that lose their readers together a few
+/// read first and notify the others.
 const READER_TIMEOUT_JITTER: Span = Span::from_millis(800);
-/// How long a node that watches the source waits for its own watch to deliver what another node already has: a slow
-/// source takes about 250 ms to respond.
+/// How long a node that watches the source waits for its own watch to deliver what another node already has:
+/// a slow source takes about 250 ms to respond.
 const OWN_WATCH_GRACE: Span = Span::from_millis(400);
-/// Total rate at which all nodes that are not readers retry a source that does not respond, whatever their number.
-/// Readers retry more often and notify them when it responds again. With exponential backoff on each node, 410 nodes that
-/// had just started made 584 calls in five seconds.
+/// Total rate at which all nodes that are not readers retry a source that does not respond, whatever their
+/// number. Readers retry more often and notify them when it responds again. With exponential backoff on each
+/// node, 410 nodes that had just started made 584 calls in five seconds.
 const NON_READER_RETRIES_PER_S: f64 = 10.0;
 
 /// The revisions of the source data that a node holds.
@@ -78,7 +78,8 @@
         watch
     }
 
-    /// Sets the role that follows from the members, and the number of nodes. Returns whether the role has changed.
+    /// Sets the role that follows from the members, and the number of nodes. Returns whether the role has
+    /// changed.
     pub fn set_role(&mut self, role: SourceRole, node_count: usize) -> bool {
         self.node_count = node_count;
         std::mem::replace(&mut self.role, role) != role
@@ -109,13 +110,15 @@
         self.fallback_at
     }
 
-    /// Records an announcement of a node to which the source responds, or a response of the source to this node.
+    /// Records an announcement of a node to which the source responds, or a response of the source to this
+    /// node.
     pub fn record_reader_answer(&mut self, now: Time) {
         let jitter = self.random.random_range(0..READER_TIMEOUT_JITTER.0);
         self.fallback_at = now + READER_TIMEOUT + Span(jitter);
     }
 
-    /// Maximum delay before the next retry of a source that does not respond, where a reader would wait `wait`.
+    /// Maximum delay before the next retry of a source that does not respond, where a reader would wait
+    /// `wait`.
     pub fn retry_delay(&self, wait: Span) -> Span {
         if self.role.reads {
             return wait;
@@ -125,8 +128,8 @@
         ))
     }
 
-    /// Whether a reader has to announce its state because the announcement interval is over. If so, the next interval
-    /// starts.
+    /// Whether a reader has to announce its state because the announcement interval is over. If so, the next
+    /// interval starts.
     pub fn announcement_due(&mut self, now: Time) -> bool {
         if !self.role.reads || now < self.announce_at {
             return false;
@@ -149,8 +152,8 @@
         self.newer = Some((since, before.merge(state)));
     }
 
-    /// Whether this node should request newer data from another node. A node that watches the source itself first gives
-    /// its own watch time to deliver it.
+    /// Whether this node should request newer data from another node. A node that watches the source itself
+    /// first gives its own watch time to deliver it.
     pub fn should_ask(&mut self, now: Time, held: HeldRevisions, failing: bool) -> bool {
         let Some((since, state)) = self.newer else {
             return false;
--- a/crates/barleyspool_core/tests/forward_admission.rs
+++ b/crates/barleyspool_core/tests/forward_admission.rs
@@ -19,8 +19,8 @@
     now
 }
 
-/// Guards against admitting calls that miss their deadline: while a pool lacked capacity, forecasts were half of the time
-/// that calls took.
+/// Guards against admitting calls that miss their deadline: while a pool lacked capacity, forecasts were half
+/// of the time that calls took.
 #[test]
 fn forecasts_are_corrected_by_the_actual_times_of_a_route() {
     let mut correction = ForecastCorrection::default();
@@ -43,8 +43,8 @@
     assert_eq!(correction.corrected(now, ROUTE, FORECAST), FORECAST);
 }
 
-/// Guards against a node that refuses all calls of a route for ever: without calls it receives no samples that could
-/// correct its forecast again (incident 13).
+/// Guards against a node that refuses all calls of a route for ever: without calls it receives no samples
+/// that could correct its forecast again (incident 13).
 #[test]
 fn a_correction_without_new_samples_decays() {
     let mut correction = ForecastCorrection::default();
--- a/crates/barleyspool_core/tests/forward_catalog.rs
+++ b/crates/barleyspool_core/tests/forward_catalog.rs
@@ -151,8 +151,8 @@
     assert!(store.table.is_empty());
 }
 
-/// Guards against losing live targets: the source removes the entries of targets that cannot renew them during an outage,
-/// and live targets write them again afterwards.
+/// Guards against losing live targets: the source removes the entries of targets that cannot renew them
+/// during an outage, and live targets write them again afterwards.
 #[test]
 fn entries_that_expire_during_a_source_outage_are_kept_for_a_grace_period() {
     let entry = |id: &str| TargetEntry {
@@ -185,8 +185,9 @@
     );
 }
 
-/// Guards against a stale configuration after a broken watch. If the source has dropped the history meanwhile, a new
-/// watch does not deliver the changes that the old one missed, and nodes kept an old version for seconds.
+/// Guards against a stale configuration after a broken watch. If the source has dropped the history
+/// meanwhile, a new watch does not deliver the changes that the old one missed, and nodes kept an old version
+/// for seconds.
 #[test]
 fn a_broken_watch_is_followed_by_a_whole_read() {
     let mut cursor = FeedCursor::default();
@@ -210,7 +211,8 @@
     assert_eq!(cursor.next_step(), FeedStep::Read);
 }
 
-/// Guards against equal ranks for all calls of organisations with the same priority, whatever the priority of the route.
+/// Guards against equal ranks for all calls of organisations with the same priority, whatever the priority of
+/// the route.
 #[test]
 fn calls_are_ranked_by_organisation_priority_and_then_by_route_priority() {
     let route = |rank: u8| Route {
--- a/crates/barleyspool_core/tests/whole_lists.rs
+++ b/crates/barleyspool_core/tests/whole_lists.rs
@@ -163,8 +163,8 @@
     assert!(!node.should_read(at(2000), view(false, false, false)));
 }
 
-/// Guards against nodes that wait for ever for unreachable holders of the list, and against overloading the source when
-/// they stop waiting.
+/// Guards against nodes that wait for ever for unreachable holders of the list, and against overloading the
+/// source when they stop waiting.
 #[test]
 fn nodes_without_a_reachable_holder_read_by_themselves_at_a_limited_rate() {
     let reads = (0..585).map(|index| InitialListRead::new(START, f64::from(index) / 585.0));
