--- a/crates/barleyspool_core/src/config/document.rs
+++ b/crates/barleyspool_core/src/config/document.rs
@@ -135,7 +135,7 @@
 
 /// A part at the revision at which it was read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PartAt {
+pub struct VersionedPart {
     /// The part's key.
     pub key: String,
     /// Its revision.
@@ -155,21 +155,21 @@
     /// The head.
     pub head: ConfigHead,
     /// The parts, in the head's order.
-    pub parts: Vec<PartAt>,
+    pub parts: Vec<VersionedPart>,
 }
 
 impl ConfigDocument {
     /// All organisations of all parts.
     pub fn organisations(&self) -> impl Iterator<Item = &Organisation> {
-        self.parts.iter().flat_map(|at| &at.part.organisations)
+        self.parts.iter().flat_map(|part| &part.part.organisations)
     }
 
     /// This document without the parts that a node at revision `have` has already.
-    pub fn since(&self, have: Revision) -> Self {
+    pub fn changes_since(&self, known: Revision) -> Self {
         let parts = self
             .parts
             .iter()
-            .filter(|at| at.revision > have)
+            .filter(|part| part.revision > known)
             .cloned()
             .collect();
         Self {
@@ -184,14 +184,14 @@
     /// `None` when a part that the head names is in neither, or is older than the head demands: such a
     /// document is not accepted, and the node asks again.
     pub fn complete_with(&self, older: Option<&Self>) -> Option<Self> {
-        let part = |wanted: &PartRef| {
-            let mine = self.parts.iter().find(|at| at.key == wanted.key);
-            let theirs = || older?.parts.iter().find(|at| at.key == wanted.key);
-            mine.or_else(theirs)
-                .filter(|at| at.revision >= wanted.revision)
+        let find = |required: &PartRef| {
+            let own = self.parts.iter().find(|part| part.key == required.key);
+            let previous = || older?.parts.iter().find(|part| part.key == required.key);
+            own.or_else(previous)
+                .filter(|part| part.revision >= required.revision)
                 .cloned()
         };
-        let parts = self.head.parts.iter().map(part).collect::<Option<Vec<_>>>()?;
+        let parts = self.head.parts.iter().map(find).collect::<Option<Vec<_>>>()?;
         Some(Self {
             revision: self.revision,
             head: self.head.clone(),
--- a/crates/barleyspool_core/src/config/mod.rs
+++ b/crates/barleyspool_core/src/config/mod.rs
@@ -7,9 +7,9 @@
 mod document;
 mod resolved;
 
-pub use check::{ConfigFault, MAX_DEADLINE_MS, MAX_NAME, MAX_STAGES};
+pub use check::{ConfigError, MAX_DEADLINE_MS, MAX_NAME_BYTES, MAX_STAGES};
 pub use document::{
-    Class, ConfigDocument, ConfigHead, ConfigPart, Organisation, PartAt, PartRef, Pipeline, Placement,
-    Service, ServiceKind, Stage,
+    Class, ConfigDocument, ConfigHead, ConfigPart, Organisation, PartRef, Pipeline, Placement, Service,
+    ServiceKind, Stage, VersionedPart,
 };
-pub use resolved::{Config, PipelinePlan, StagePlan};
+pub use resolved::{Config, ResolvedPipeline, ResolvedStage};
--- a/crates/barleyspool_core/src/config/resolved.rs
+++ b/crates/barleyspool_core/src/config/resolved.rs
@@ -2,7 +2,7 @@
 
 use super::check::check;
 use super::{
-    Class, ConfigDocument, ConfigFault, ConfigHead, Organisation, Pipeline, Placement, Service, Stage,
+    Class, ConfigDocument, ConfigError, ConfigHead, Organisation, Pipeline, Placement, Service, Stage,
 };
 use crate::{ClassIx, Guard, Guards, OrgIx, PipelineIx, Revision, ServiceIx, Span};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 
 /// A stage with its names resolved.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StagePlan {
+pub struct ResolvedStage {
     /// The service that runs it.
     pub service: ServiceIx,
     /// Whether it may run at most once for a request.
@@ -21,15 +21,16 @@
 
 /// A pipeline with its names resolved.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PipelinePlan {
+pub struct ResolvedPipeline {
     /// Its name.
     pub name: String,
     /// Its class.
     pub class: ClassIx,
     /// The furthest that a deadline may lie ahead.
-    pub longest: Span,
+    #[serde(rename = "longest")]
+    pub max_deadline: Span,
     /// Its stages in order.
-    pub stages: Vec<StagePlan>,
+    pub stages: Vec<ResolvedStage>,
 }
 
 /// A configuration that has been checked and resolved; what all decisions read.
@@ -42,7 +43,7 @@
     /// Services.
     pub services: Vec<Service>,
     /// Pipelines.
-    pub pipelines: Vec<PipelinePlan>,
+    pub pipelines: Vec<ResolvedPipeline>,
     /// Organisations.
     pub organisations: Vec<Organisation>,
     /// Wanted placement of models.
@@ -55,27 +56,30 @@
 impl Config {
     /// Checks `document` whole and resolves its names.
     ///
-    /// The verdict depends on nothing but the document, so all nodes judge alike. `before` only keeps the
+    /// The verdict depends on nothing but the document, so all nodes judge alike. `previous` only keeps the
     /// numbers of services: a service has the same [`ServiceIx`] for as long as the process lives, so that
     /// requests which run under an older revision can share queues with newer ones.
     ///
     /// # Errors
     /// Everything that is wrong, not just the first.
-    pub fn accept(document: &ConfigDocument, before: Option<&Self>) -> Result<Self, Vec<ConfigFault>> {
-        Self::check_and_resolve(document, before, Guards::default())
+    pub fn from_document(
+        document: &ConfigDocument,
+        previous: Option<&Self>,
+    ) -> Result<Self, Vec<ConfigError>> {
+        Self::check_and_resolve(document, previous, Guards::default())
     }
 
     pub(crate) fn check_and_resolve(
         document: &ConfigDocument,
-        before: Option<&Self>,
+        previous: Option<&Self>,
         guards: Guards,
-    ) -> Result<Self, Vec<ConfigFault>> {
-        let faults = check(document);
-        let good = faults.is_empty() || !guards.enforces(Guard::ConfigAllOrNothing);
-        if good {
-            Ok(Self::resolve(document, before))
+    ) -> Result<Self, Vec<ConfigError>> {
+        let errors = check(document);
+        let accepted = errors.is_empty() || !guards.enforces(Guard::ConfigAllOrNothing);
+        if accepted {
+            Ok(Self::resolve(document, previous))
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
@@ -95,25 +99,25 @@
     }
 
     /// Whether `org` may use `pipeline`.
-    pub fn attached(&self, org: OrgIx, pipeline: PipelineIx) -> bool {
+    pub fn may_use(&self, org: OrgIx, pipeline: PipelineIx) -> bool {
         let allowed = &self.organisations[org.0 as usize].pipelines;
         allowed.is_empty() || allowed.contains(&self.pipelines[pipeline.0 as usize].name)
     }
 
-    fn resolve(document: &ConfigDocument, before: Option<&Self>) -> Self {
+    fn resolve(document: &ConfigDocument, previous: Option<&Self>) -> Self {
         let head = &document.head;
-        let mut services = before.map(|config| config.services.clone()).unwrap_or_default();
+        let mut services = previous.map(|config| config.services.clone()).unwrap_or_default();
         for service in &head.services {
-            match services.iter_mut().find(|known| known.name == service.name) {
-                Some(known) => known.clone_from(service),
+            match services.iter_mut().find(|existing| existing.name == service.name) {
+                Some(existing) => existing.clone_from(service),
                 None => services.push(service.clone()),
             }
         }
-        let service_names = names(services.iter().map(|service| &service.name), |at| {
-            ServiceIx(at as u16)
+        let service_names = index_by_name(services.iter().map(|service| &service.name), |index| {
+            ServiceIx(index as u16)
         });
         let organisations: Vec<Organisation> = document.organisations().cloned().collect();
-        let pipelines: Vec<PipelinePlan> = head
+        let pipelines: Vec<ResolvedPipeline> = head
             .pipelines
             .iter()
             .map(|pipeline| resolve_pipeline(pipeline, head, &service_names))
@@ -122,11 +126,11 @@
             revision: document.revision,
             classes: head.classes.clone(),
             services,
-            pipeline_names: names(pipelines.iter().map(|pipeline| &pipeline.name), |at| {
-                PipelineIx(at as u16)
+            pipeline_names: index_by_name(pipelines.iter().map(|pipeline| &pipeline.name), |index| {
+                PipelineIx(index as u16)
             }),
             pipelines,
-            org_names: names(organisations.iter().map(|org| &org.name), |at| OrgIx(at as u32)),
+            org_names: index_by_name(organisations.iter().map(|org| &org.name), |i| OrgIx(i as u32)),
             organisations,
             placement: head.placement.clone(),
             service_names,
@@ -138,24 +142,27 @@
     pipeline: &Pipeline,
     head: &ConfigHead,
     services: &HashMap<String, ServiceIx>,
-) -> PipelinePlan {
+) -> ResolvedPipeline {
     let class = head.classes.iter().position(|class| class.name == pipeline.class);
-    let stage = |stage: &Stage| StagePlan {
+    let stage = |stage: &Stage| ResolvedStage {
         service: services.get(&stage.service).copied().unwrap_or_default(),
         unrepeatable: stage.unrepeatable,
         model: stage.model.clone(),
     };
-    PipelinePlan {
+    ResolvedPipeline {
         name: pipeline.name.clone(),
         class: ClassIx(class.unwrap_or_default() as u8),
-        longest: Span::from_millis(pipeline.deadline_ms),
+        max_deadline: Span::from_millis(pipeline.deadline_ms),
         stages: pipeline.stages.iter().map(stage).collect(),
     }
 }
 
-fn names<'a, K>(names: impl Iterator<Item = &'a String>, key: impl Fn(usize) -> K) -> HashMap<String, K> {
+fn index_by_name<'a, K>(
+    names: impl Iterator<Item = &'a String>,
+    key: impl Fn(usize) -> K,
+) -> HashMap<String, K> {
     names
         .enumerate()
-        .map(|(at, name)| (name.clone(), key(at)))
+        .map(|(index, name)| (name.clone(), key(index)))
         .collect()
 }
--- a/crates/barleyspool_core/src/control/config_store.rs
+++ b/crates/barleyspool_core/src/control/config_store.rs
@@ -1,16 +1,16 @@
 //! The configuration in force. Its revision only moves up, and a faulty one never replaces a good one.
 
 use super::ControlCounters;
-use crate::{Config, ConfigDocument, ConfigFault, Guard, Guards, Revision};
+use crate::{Config, ConfigDocument, ConfigError, Guard, Guards, Revision};
 use std::sync::Arc;
 
-/// The configuration in force, and the last one that was refused.
+/// The configuration in force, and the last one that was rejected.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     guards: Guards,
     document: Option<ConfigDocument>,
     config: Option<Arc<Config>>,
-    refused: Option<(Revision, Vec<ConfigFault>)>,
+    rejected: Option<(Revision, Vec<ConfigError>)>,
 }
 
 impl ConfigStore {
@@ -34,9 +34,9 @@
                 self.document = Some(document.clone());
                 true
             }
-            Err(faults) => {
-                counters.rejected += u64::from(document.revision > self.refused());
-                self.refused = Some((document.revision, faults));
+            Err(errors) => {
+                counters.rejected += u64::from(document.revision > self.rejected_revision());
+                self.rejected = Some((document.revision, errors));
                 false
             }
         }
@@ -47,16 +47,16 @@
         self.config.as_ref().map_or(Revision(0), |config| config.revision)
     }
 
-    /// The last revision that was refused; zero when none was.
-    pub fn refused(&self) -> Revision {
-        self.refused
+    /// The last revision that was rejected; zero when none was.
+    pub fn rejected_revision(&self) -> Revision {
+        self.rejected
             .as_ref()
             .map_or(Revision(0), |(revision, _)| *revision)
     }
 
     /// What was wrong with it.
-    pub fn faults(&self) -> &[ConfigFault] {
-        self.refused.as_ref().map_or(&[], |(_, faults)| faults)
+    pub fn errors(&self) -> &[ConfigError] {
+        self.rejected.as_ref().map_or(&[], |(_, errors)| errors)
     }
 
     /// The configuration in force.
--- a/crates/barleyspool_core/src/control/counters.rs
+++ b/crates/barleyspool_core/src/control/counters.rs
@@ -10,19 +10,19 @@
     /// Configurations older than the one in force.
     pub stale: u64,
     /// Fleet lists older than the present one.
-    pub stale_lists: u64,
+    pub stale_fleet_lists: u64,
     /// Fleet lists refused as faulty.
-    pub faulty_lists: u64,
+    pub invalid_fleet_lists: u64,
     /// Failed reads of the platform.
     pub failed_reads: u64,
     /// Starts without a majority of the peers.
-    pub lonely_starts: u64,
+    pub starts_without_peers: u64,
     /// Replies of peers with other lease rules.
-    pub foreign_rules: u64,
+    pub mismatched_rules: u64,
     /// Reads made because nobody else had read for too long.
-    pub own_reads: u64,
+    pub fallback_reads: u64,
     /// Questions to peers.
-    pub asked: u64,
+    pub gossip_sent: u64,
     /// Replies of peers.
-    pub replied: u64,
+    pub replies_received: u64,
 }
--- a/crates/barleyspool_core/src/control/message.rs
+++ b/crates/barleyspool_core/src/control/message.rs
@@ -13,7 +13,7 @@
         document: Box<ConfigDocument>,
     },
     /// The configuration service answered that there is nothing newer.
-    ConfigSame,
+    ConfigUnchanged,
     /// The configuration service did not answer, or not with a configuration.
     ConfigFailed,
     /// The platform's fleet list.
@@ -24,27 +24,27 @@
     /// The fleet list could not be read.
     FleetFailed,
     /// A peer replied.
-    Replied {
+    PeerReplied {
         /// When it was asked.
-        asked: Time,
+        asked_at: Time,
         /// What it said.
         reply: Box<PeerReply>,
     },
     /// A peer sent what this node did not have.
-    Fetched {
+    SnapshotReceived {
         /// What it sent.
         snapshot: Box<Snapshot>,
     },
     /// A target said that it is leaving.
     ReportedLeaving(LeavingTarget),
     /// A target wants nothing from this node for a while.
-    AskedRest(TargetRest),
+    CooldownRequested(TargetRest),
     /// A caller has seen a newer configuration.
-    Behind,
+    NewerRevisionSeen,
     /// A planned stop was asked for.
     Stop,
     /// How much the traffic threads still have to do.
-    Live(usize),
+    LiveRequests(usize),
     /// Time passed.
     Tick,
 }
@@ -53,14 +53,14 @@
 #[derive(Clone, Debug)]
 pub enum ControlAction {
     /// Ask a peer: say this, and report its reply.
-    Ask {
+    SendGossip {
         /// Its control address.
         address: String,
         /// What to say.
         gossip: Gossip,
     },
     /// Fetch what a peer has and this node has not.
-    Fetch {
+    FetchSnapshot {
         /// The peer's bulk address.
         address: String,
         /// The configuration this node has.
@@ -71,7 +71,7 @@
     /// Whether to keep one watch on the configuration service and one on the fleet list.
     Watch(bool),
     /// Read the configuration service and the fleet list once.
-    Read,
+    ReadPlatform,
     /// Hand this plan to the traffic threads.
     Publish(Box<Plan>),
     /// Everything is done: leave.
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -56,7 +56,7 @@
 const CONFIGURATION_CHART: &str = include_str!("../../../../charts/configuration.json");
 
 /// When a starting node that no peer has told anything reads the platform itself, at random in between.
-const FIRST_READ: (Span, Span) = (Span::from_millis(100), Span::from_millis(1500));
+const FIRST_READ_DELAY: (Span, Span) = (Span::from_millis(100), Span::from_millis(1500));
 
 /// The control state of one entry node.
 #[derive(Debug)]
@@ -71,15 +71,15 @@
     peers: PeerTable,
     leaving: BTreeSet<LeavingTarget>,
     /// Until when runs of targets want nothing from this node.
-    rests: BTreeMap<(TargetId, Incarnation), Time>,
-    started: Time,
+    cooldowns: BTreeMap<(TargetId, Incarnation), Time>,
+    started_at: Time,
     read_at: Time,
-    next_beat: Time,
-    next_read: Time,
-    first_read: Time,
+    next_heartbeat_at: Time,
+    next_read_at: Time,
+    first_read_at: Time,
     stop_at: Option<Time>,
-    live: usize,
-    watching: Option<bool>,
+    live_requests: usize,
+    watches_platform: Option<bool>,
     random: SmallRng,
     counters: ControlCounters,
     actions: Vec<ControlAction>,
@@ -93,25 +93,26 @@
     pub fn new(settings: ControlSettings, now: Time) -> Result<Self, ChartError> {
         let chart: Chart<NodePhase, NodeEvent> = Chart::load("configuration", CONFIGURATION_CHART)?;
         let mut random = SmallRng::seed_from_u64(settings.seed);
-        let first_read = now + Span(random.random_range(FIRST_READ.0.0..=FIRST_READ.1.0));
+        let first_read_at = now + Span(random.random_range(FIRST_READ_DELAY.0.0..=FIRST_READ_DELAY.1.0));
         Ok(Self {
             phase: chart.initial(),
             chart,
             store: ConfigStore::new(settings.guards),
             fleet: Arc::default(),
             targets: Arc::default(),
-            lease: Lease::new(settings.rules, settings.node, settings.run).with_guards(settings.guards),
+            lease: Lease::new(settings.rules, settings.node, settings.incarnation)
+                .with_guards(settings.guards),
             peers: PeerTable::new()?,
             leaving: BTreeSet::new(),
-            rests: BTreeMap::new(),
-            started: now,
+            cooldowns: BTreeMap::new(),
+            started_at: now,
             read_at: Time(0),
-            next_beat: now,
-            next_read: first_read,
-            first_read,
+            next_heartbeat_at: now,
+            next_read_at: first_read_at,
+            first_read_at,
             stop_at: None,
-            live: 0,
-            watching: None,
+            live_requests: 0,
+            watches_platform: None,
             random,
             counters: ControlCounters::default(),
             actions: Vec::new(),
@@ -124,37 +125,37 @@
         match event {
             ControlEvent::ConfigRead { document } => {
                 self.read_at = now;
-                self.take_document(now, &document);
+                self.apply_document(now, &document);
             }
-            ControlEvent::ConfigSame => self.read_at = now,
-            ControlEvent::FleetRead { fleet } => self.take_fleet(now, *fleet),
+            ControlEvent::ConfigUnchanged => self.read_at = now,
+            ControlEvent::FleetRead { fleet } => self.apply_fleet(now, *fleet),
             ControlEvent::ConfigFailed | ControlEvent::FleetFailed => self.counters.failed_reads += 1,
-            ControlEvent::Replied { asked, reply } => self.replied(now, asked, &reply),
-            ControlEvent::Fetched { snapshot } => self.fetched(now, *snapshot),
-            ControlEvent::ReportedLeaving(target) => self.reported_leaving(now, target),
-            ControlEvent::AskedRest(rest) => self.asked_rest(now, rest),
-            ControlEvent::Behind => self.behind(now),
-            ControlEvent::Stop => self.stop(now),
-            ControlEvent::Live(live) => self.live = live,
+            ControlEvent::PeerReplied { asked_at, reply } => self.handle_reply(now, asked_at, &reply),
+            ControlEvent::SnapshotReceived { snapshot } => self.handle_snapshot(now, *snapshot),
+            ControlEvent::ReportedLeaving(target) => self.handle_leaving(now, target),
+            ControlEvent::CooldownRequested(cooldown) => self.handle_cooldown(now, cooldown),
+            ControlEvent::NewerRevisionSeen => self.handle_newer_revision(now),
+            ControlEvent::Stop => self.begin_stop(now),
+            ControlEvent::LiveRequests(count) => self.live_requests = count,
             ControlEvent::Tick => {}
         }
-        self.catch_up(now);
-        self.beat(now);
-        self.leave_when_done(now);
+        self.check_caught_up(now);
+        self.heartbeat(now);
+        self.exit_when_drained(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Answers a peer's question.
-    pub fn answer(&mut self, now: Time, gossip: &Gossip) -> PeerReply {
-        self.take_gossip(now, gossip);
+    pub fn answer_gossip(&mut self, now: Time, gossip: &Gossip) -> PeerReply {
+        self.apply_gossip(now, gossip);
         let vote = if gossip.rules == self.settings.rules {
             self.lease.vote_for(gossip.from, gossip.run)
         } else {
-            self.counters.foreign_rules += 1;
+            self.counters.mismatched_rules += 1;
             LeaseVote::default()
         };
         PeerReply {
-            gossip: self.gossip(now),
+            gossip: self.own_gossip(now),
             vote,
         }
     }
@@ -166,7 +167,7 @@
             .document()
             .filter(|document| document.revision > config);
         Snapshot {
-            document: document.map(|document| document.since(config)),
+            document: document.map(|document| document.changes_since(config)),
             fleet: (self.fleet.revision > fleet).then(|| Fleet::clone(&self.fleet)),
         }
     }
--- a/crates/barleyspool_core/src/control/peers.rs
+++ b/crates/barleyspool_core/src/control/peers.rs
@@ -8,11 +8,14 @@
     /// A peer as this node hears it.
     PeerPhase {
         /// Nothing was heard yet.
-        Unheard = "unheard",
+        #[serde(rename = "Unheard")]
+        Unknown = "unheard",
         /// It was heard lately.
-        Heard = "heard",
+        #[serde(rename = "Heard")]
+        Responsive = "heard",
         /// It was heard once, but not lately.
-        Silent = "silent",
+        #[serde(rename = "Silent")]
+        Unresponsive = "silent",
         /// It said that it is stopping.
         Leaving = "leaving",
     }
@@ -22,20 +25,24 @@
     /// What can happen to a peer.
     PeerEvent {
         /// Something was heard from it.
-        Replied = "replied",
+        #[serde(rename = "Replied")]
+        MessageReceived = "replied",
         /// Nothing was heard for several beats.
-        Silence = "silence",
+        #[serde(rename = "Silence")]
+        TimedOut = "silence",
         /// It said that it is stopping.
-        SaidLeaving = "said_leaving",
+        #[serde(rename = "SaidLeaving")]
+        LeavingAnnounced = "said_leaving",
         /// A newer run of it was heard.
-        Replaced = "replaced",
+        #[serde(rename = "Replaced")]
+        Restarted = "replaced",
     }
 }
 
 const PEER_CHART: &str = include_str!("../../../../charts/peer.json");
 
 /// Beats without a word after which a peer counts as silent.
-const SILENT_BEATS: u64 = 4;
+const MAX_MISSED_HEARTBEATS: u64 = 4;
 
 /// One peer.
 #[derive(Clone, Debug)]
@@ -45,10 +52,10 @@
     /// Whether it reports.
     pub phase: PeerPhase,
     /// When it last reported.
-    pub last_report: Time,
+    pub last_message_at: Time,
     /// What it last said.
     pub gossip: Gossip,
-    run: Incarnation,
+    incarnation: Incarnation,
 }
 
 /// The other entry nodes.
@@ -71,54 +78,54 @@
     }
 
     /// Takes the entry nodes of a newer list; what was heard of those that stay is kept.
-    pub fn relist(&mut self, fleet: &Fleet, me: NodeId) {
+    pub fn apply_fleet(&mut self, fleet: &Fleet, own_id: NodeId) {
         self.peers.retain(|id, _| fleet.entry(*id).is_some());
-        for listed in fleet.entries.iter().filter(|entry| entry.id != me) {
+        for listed in fleet.entries.iter().filter(|entry| entry.id != own_id) {
             let phase = self.chart.initial();
             let peer = self.peers.entry(listed.id).or_insert_with(|| PeerEntry {
                 listed: listed.clone(),
                 phase,
-                last_report: Time(0),
+                last_message_at: Time(0),
                 gossip: Gossip::default(),
-                run: Incarnation(0),
+                incarnation: Incarnation(0),
             });
             peer.listed.clone_from(listed);
         }
     }
 
     /// Takes what a peer said of itself.
-    pub fn take_gossip(&mut self, now: Time, gossip: &Gossip) {
+    pub fn apply_gossip(&mut self, now: Time, gossip: &Gossip) {
         let Some(peer) = self.peers.get_mut(&gossip.from) else {
             return;
         };
-        if gossip.run < peer.run {
+        if gossip.run < peer.incarnation {
             return;
         }
-        if gossip.run > peer.run {
-            peer.run = gossip.run;
-            self.chart.step(&mut peer.phase, PeerEvent::Replaced);
+        if gossip.run > peer.incarnation {
+            peer.incarnation = gossip.run;
+            self.chart.step(&mut peer.phase, PeerEvent::Restarted);
         }
         let event = if gossip.stopping {
-            PeerEvent::SaidLeaving
+            PeerEvent::LeavingAnnounced
         } else {
-            PeerEvent::Replied
+            PeerEvent::MessageReceived
         };
         self.chart.step(&mut peer.phase, event);
-        peer.last_report = now;
+        peer.last_message_at = now;
         peer.gossip.clone_from(gossip);
     }
 
     /// Notices who has not been heard for several beats.
-    pub fn silence(&mut self, now: Time, beat: Span) {
+    pub fn mark_unresponsive(&mut self, now: Time, heartbeat_interval: Span) {
         for peer in self.peers.values_mut() {
-            if now.since(peer.last_report).0 > beat.0 * SILENT_BEATS {
-                self.chart.step(&mut peer.phase, PeerEvent::Silence);
+            if now.since(peer.last_message_at).0 > heartbeat_interval.0 * MAX_MISSED_HEARTBEATS {
+                self.chart.step(&mut peer.phase, PeerEvent::TimedOut);
             }
         }
     }
 
     /// The control address of a peer.
-    pub fn control(&self, id: NodeId) -> Option<String> {
+    pub fn control_address(&self, id: NodeId) -> Option<String> {
         self.peers.get(&id).map(|peer| peer.listed.control.clone())
     }
 
@@ -132,14 +139,14 @@
     }
 
     /// Whether a peer was heard once, but not lately.
-    pub fn silent(&self, id: NodeId) -> bool {
+    pub fn is_unresponsive(&self, id: NodeId) -> bool {
         self.peers
             .get(&id)
-            .is_some_and(|peer| peer.phase == PeerPhase::Silent)
+            .is_some_and(|peer| peer.phase == PeerPhase::Unresponsive)
     }
 
     /// Whether a peer said that it is stopping.
-    pub fn leaving(&self, id: NodeId) -> bool {
+    pub fn is_leaving(&self, id: NodeId) -> bool {
         self.peers
             .get(&id)
             .is_some_and(|peer| peer.phase == PeerPhase::Leaving)
--- a/crates/barleyspool_core/src/control/planning.rs
+++ b/crates/barleyspool_core/src/control/planning.rs
@@ -5,19 +5,19 @@
 use std::sync::Arc;
 
 impl Control {
-    pub(super) fn stop(&mut self, now: Time) {
+    pub(super) fn begin_stop(&mut self, now: Time) {
         if self.chart.step(&mut self.phase, NodeEvent::Stop) {
             self.stop_at = Some(now);
-            self.next_beat = now;
+            self.next_heartbeat_at = now;
             self.publish(now);
         }
     }
 
     /// Leaves when nothing is in flight and no caller can still hold this node's address.
-    pub(super) fn leave_when_done(&mut self, now: Time) {
+    pub(super) fn exit_when_drained(&mut self, now: Time) {
         let Some(stop_at) = self.stop_at else { return };
-        let done = self.live == 0 && now.since(stop_at) >= self.settings.keep;
-        if done || !self.settings.guards.enforces(Guard::DrainBeforeStop) {
+        let is_drained = self.live_requests == 0 && now.since(stop_at) >= self.settings.address_ttl;
+        if is_drained || !self.settings.guards.enforces(Guard::DrainBeforeStop) {
             self.actions.push(ControlAction::Exit);
         }
     }
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn plan_peers(&self) -> Vec<PlanPeer> {
-        let near = self
+        let in_region = self
             .fleet
             .entries
             .iter()
@@ -59,10 +59,10 @@
             let stopping = if me {
                 self.stop_at.is_some()
             } else {
-                self.peers.leaving(entry.id)
+                self.peers.is_leaving(entry.id)
             };
             let state = if stopping { ListState::Leaving } else { entry.state };
-            let reachable = me || !self.peers.silent(entry.id);
+            let reachable = me || !self.peers.is_unresponsive(entry.id);
             PlanPeer {
                 id: entry.id,
                 address: entry.address.clone(),
@@ -71,6 +71,6 @@
                 reachable,
             }
         };
-        near.map(peer).collect()
+        in_region.map(peer).collect()
     }
 }
--- a/crates/barleyspool_core/src/control/settings.rs
+++ b/crates/barleyspool_core/src/control/settings.rs
@@ -8,7 +8,7 @@
     /// This node.
     pub node: NodeId,
     /// This run of it.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Its zone.
     pub zone: String,
     /// Its region.
@@ -24,19 +24,19 @@
     /// How many targets the node uses.
     pub subset: SubsetSize,
     /// The time between two questions to a peer.
-    pub beat: Span,
+    pub heartbeat_interval: Span,
     /// How long a starting node waits for a majority of its peers before it serves without them.
-    pub start_wait: Span,
+    pub startup_timeout: Span,
     /// A node reads the configuration service itself when nobody has for this long.
-    pub read_age: Span,
+    pub max_read_age: Span,
     /// How many peers outside its cell a node asks per beat.
     pub fanout: usize,
     /// How long callers keep an answer to `Ask`.
-    pub keep: Span,
+    pub address_ttl: Span,
     /// Seed of the random choices.
     pub seed: u64,
     /// Where peers fetch: IP number and port.
-    pub bulk: String,
+    pub bulk_address: String,
     /// The guards in force; all of them but in proofs.
     pub guards: Guards,
 }
@@ -45,7 +45,7 @@
     fn default() -> Self {
         Self {
             node: NodeId(0),
-            run: Incarnation(0),
+            incarnation: Incarnation(0),
             zone: String::new(),
             region: String::new(),
             cell: CellId(0),
@@ -53,13 +53,13 @@
             seeds: Vec::new(),
             rules: LeaseRules::default(),
             subset: SubsetSize::default(),
-            beat: Span::from_millis(500),
-            start_wait: Span::from_secs(3),
-            read_age: Span::from_secs(7),
+            heartbeat_interval: Span::from_millis(500),
+            startup_timeout: Span::from_secs(3),
+            max_read_age: Span::from_secs(7),
             fanout: 2,
-            keep: Span::from_secs(5),
+            address_ttl: Span::from_secs(5),
             seed: 1,
-            bulk: String::new(),
+            bulk_address: String::new(),
             guards: Guards::default(),
         }
     }
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl Control {
-    pub(super) fn take_document(&mut self, now: Time, document: &ConfigDocument) {
+    pub(super) fn apply_document(&mut self, now: Time, document: &ConfigDocument) {
         if self.store.offer(document, &mut self.counters) {
             self.chart.step(&mut self.phase, NodeEvent::Accepted);
             self.rebuild_targets();
@@ -18,13 +18,13 @@
         }
     }
 
-    pub(super) fn take_fleet(&mut self, now: Time, fleet: Fleet) {
+    pub(super) fn apply_fleet(&mut self, now: Time, fleet: Fleet) {
         if fleet.revision <= self.fleet.revision {
-            self.counters.stale_lists += u64::from(fleet.revision < self.fleet.revision);
+            self.counters.stale_fleet_lists += u64::from(fleet.revision < self.fleet.revision);
             return;
         }
         if fleet.fault().is_some() {
-            self.counters.faulty_lists += 1;
+            self.counters.invalid_fleet_lists += 1;
             return;
         }
         self.fleet = Arc::new(fleet);
@@ -39,35 +39,38 @@
                 .find(|target| target.id == leaving.target);
             listed.is_some_and(|target| target.incarnation <= leaving.incarnation)
         });
-        self.peers.relist(&self.fleet, self.settings.node);
+        self.peers.apply_fleet(&self.fleet, self.settings.node);
         self.rebuild_targets();
         self.publish(now);
     }
 
-    pub(super) fn fetched(&mut self, now: Time, snapshot: Snapshot) {
+    pub(super) fn handle_snapshot(&mut self, now: Time, snapshot: Snapshot) {
         if let Some(fleet) = snapshot.fleet {
-            self.take_fleet(now, fleet);
+            self.apply_fleet(now, fleet);
         }
-        let whole = snapshot
+        let document = snapshot
             .document
             .and_then(|document| document.complete_with(self.store.document()));
-        if let Some(document) = whole {
-            self.take_document(now, &document);
+        if let Some(document) = document {
+            self.apply_document(now, &document);
         }
     }
 
-    pub(super) fn reported_leaving(&mut self, now: Time, target: LeavingTarget) {
+    pub(super) fn handle_leaving(&mut self, now: Time, target: LeavingTarget) {
         if self.leaving.insert(target) {
             self.rebuild_targets();
             self.publish(now);
         }
     }
 
-    pub(super) fn asked_rest(&mut self, now: Time, rest: TargetRest) {
-        self.rests.retain(|_, until| *until > now);
-        let until = self.rests.entry((rest.target, rest.incarnation)).or_default();
-        if *until < rest.until {
-            *until = rest.until;
+    pub(super) fn handle_cooldown(&mut self, now: Time, cooldown: TargetRest) {
+        self.cooldowns.retain(|_, until| *until > now);
+        let until = self
+            .cooldowns
+            .entry((cooldown.target, cooldown.incarnation))
+            .or_default();
+        if *until < cooldown.until {
+            *until = cooldown.until;
             self.rebuild_targets();
             self.publish(now);
         }
@@ -75,26 +78,26 @@
 
     pub(super) fn rebuild_targets(&mut self) {
         let Some(config) = self.store.config() else { return };
-        let me = self.as_listed();
+        let me = self.own_entry();
         let leaving = |target: &crate::TargetNode| {
-            let run = LeavingTarget {
+            let incarnation = LeavingTarget {
                 target: target.id,
                 incarnation: target.incarnation,
             };
-            target.state == ListState::Leaving || self.leaving.contains(&run)
+            target.state == ListState::Leaving || self.leaving.contains(&incarnation)
         };
-        let rest_until = |target: &crate::TargetNode| {
-            let run = (target.id, target.incarnation);
-            self.rests.get(&run).copied().unwrap_or_default()
+        let cooldown_until = |target: &crate::TargetNode| {
+            let incarnation = (target.id, target.incarnation);
+            self.cooldowns.get(&incarnation).copied().unwrap_or_default()
         };
         let chosen = subset(&self.fleet, &me, self.settings.subset);
-        let mut users: BTreeMap<(&str, &str), usize> = BTreeMap::new();
+        let mut sharer_counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
         let mut targets = Vec::with_capacity(chosen.len());
         for target in chosen {
             let Some(service) = config.service(&target.service) else {
                 continue;
             };
-            let count = users
+            let count = sharer_counts
                 .entry((&target.service, &target.zone))
                 .or_insert_with(|| sharers(&self.fleet, target, self.settings.subset));
             targets.push(PlanTarget {
@@ -107,14 +110,14 @@
                 slots: target.slots,
                 share: f64::from(target.slots) / *count as f64,
                 leaving: leaving(target),
-                rest_until: rest_until(target),
+                rest_until: cooldown_until(target),
             });
         }
         self.targets = Arc::new(targets);
     }
 
     /// This node as the list has it, or as its settings say while it is not listed.
-    pub(super) fn as_listed(&self) -> crate::EntryNode {
+    pub(super) fn own_entry(&self) -> crate::EntryNode {
         self.fleet
             .entry(self.settings.node)
             .cloned()
@@ -128,37 +131,37 @@
             })
     }
 
-    /// Leaves the catching-up state when a majority of the cell was heard and nobody knows a newer
+    /// Leaves the catching-up state when a majority of the cell replied and nobody knows a newer
     /// configuration, or when the wait for that is over.
-    pub(super) fn catch_up(&mut self, now: Time) {
+    pub(super) fn check_caught_up(&mut self, now: Time) {
         if self.phase != NodePhase::CatchingUp {
             return;
         }
         let wait = if self.settings.guards.enforces(Guard::PeersBeforeServing) {
-            self.settings.start_wait
+            self.settings.startup_timeout
         } else {
             Span::ZERO
         };
-        let wait_over = now.since(self.started) >= wait;
-        let heard = self.lease.joined() && self.peers.newest_config() <= self.store.revision();
-        if heard || wait_over {
-            self.counters.lonely_starts += u64::from(!heard);
+        let wait_over = now.since(self.started_at) >= wait;
+        let is_caught_up = self.lease.joined() && self.peers.newest_config() <= self.store.revision();
+        if is_caught_up || wait_over {
+            self.counters.starts_without_peers += u64::from(!is_caught_up);
             self.chart.step(&mut self.phase, NodeEvent::CaughtUp);
             self.publish(now);
         }
     }
 
     /// A caller knows a newer configuration: ask everywhere at once.
-    pub(super) fn behind(&mut self, now: Time) {
-        self.next_beat = now;
-        if now >= self.next_read {
-            self.read(now);
+    pub(super) fn handle_newer_revision(&mut self, now: Time) {
+        self.next_heartbeat_at = now;
+        if now >= self.next_read_at {
+            self.read_platform(now);
         }
     }
 
-    pub(super) fn read(&mut self, now: Time) {
-        let jitter = self.random.random_range(0..=self.settings.read_age.0);
-        self.next_read = now + self.settings.read_age + Span(jitter);
-        self.actions.push(ControlAction::Read);
+    pub(super) fn read_platform(&mut self, now: Time) {
+        let jitter = self.random.random_range(0..=self.settings.max_read_age.0);
+        self.next_read_at = now + self.settings.max_read_age + Span(jitter);
+        self.actions.push(ControlAction::ReadPlatform);
     }
 }
--- a/crates/barleyspool_core/src/lib.rs
+++ b/crates/barleyspool_core/src/lib.rs
@@ -5,7 +5,7 @@
 //! stepped with the time and an event, and answer with actions. Tests and replays step them the same way.
 //!
 //! Start with [`Router::step`] for what happens to a request, [`Lease`] for why an unrepeatable request runs
-//! at most once, and [`Config::accept`] for what a configuration is.
+//! at most once, and [`Config::from_document`] for what a configuration is.
 
 mod backlog;
 pub mod chart;
--- a/crates/barleyspool_core/src/request.rs
+++ b/crates/barleyspool_core/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::chart::symbol;
 use crate::{
-    AttemptId, CallerId, Echo, OrgKey, Payload, Place, RequestKey, Revision, ServiceIx, Span, StagePlan,
+    AttemptId, CallerId, Echo, OrgKey, Payload, Place, RequestKey, ResolvedStage, Revision, ServiceIx, Span,
     TargetId, Time,
 };
 
@@ -106,7 +106,7 @@
     /// The rank of its class.
     pub rank: u8,
     /// Its steps, from the configuration it was admitted with.
-    pub stages: Vec<StagePlan>,
+    pub stages: Vec<ResolvedStage>,
     /// Its deadline.
     pub deadline: Time,
     /// Whether every step may run at most once.
@@ -150,12 +150,12 @@
 
 impl Request {
     /// The present step.
-    pub fn stage(&self) -> &StagePlan {
+    pub fn stage(&self) -> &ResolvedStage {
         &self.stages[usize::from(self.step)]
     }
 
     /// The steps from the present one on.
-    pub fn rest(&self) -> &[StagePlan] {
+    pub fn rest(&self) -> &[ResolvedStage] {
         &self.stages[usize::from(self.step)..]
     }
 
--- a/crates/barleyspool_core/src/router/admission.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -4,7 +4,7 @@
 use crate::{
     Call, CallerId, Config, Counter, Earlier, Guard, KeyState, LeaseRefusal, ListState, Listener, NodeId,
     OrgIx, OrgKey, Outcome, Peer, PipelineIx, PlanPeer, Reason, Refusal, Request, RequestId, RequestKey,
-    Revision, ServiceIx, Serving, Span, StagePlan, TargetId, TargetState, Time, TrafficAction, Verdict,
+    ResolvedStage, Revision, ServiceIx, Serving, Span, TargetId, TargetState, Time, TrafficAction, Verdict,
     rendezvous,
 };
 use rand::Rng;
@@ -117,7 +117,7 @@
         let pipeline = config
             .pipeline(&call.pipeline)
             .ok_or(Rejection::new(Reason::UnknownPipeline))?;
-        if !config.attached(org, pipeline) {
+        if !config.may_use(org, pipeline) {
             return Err(Rejection::new(Reason::PipelineNotAttached));
         }
         let stages = &config.pipelines[usize::from(pipeline.0)].stages;
@@ -175,7 +175,7 @@
         if call.deadline <= now {
             return Err(Rejection::new(Reason::DeadlinePast));
         }
-        if call.deadline.since(now) > pipeline.longest {
+        if call.deadline.since(now) > pipeline.max_deadline {
             return Err(Rejection::new(Reason::DeadlineBeyondHorizon));
         }
         if resolved.at_most_once {
@@ -269,11 +269,11 @@
     ///
     /// A full queue still accepts an organisation's fair share, so that one that floods the queue does
     /// not lock out the others. The queue is never longer than twice its limit.
-    fn queue_full(&self, rank: u8, limit: u32, org: OrgKey, weight: u32, stages: &[StagePlan]) -> bool {
+    fn queue_full(&self, rank: u8, limit: u32, org: OrgKey, weight: u32, stages: &[ResolvedStage]) -> bool {
         if self.waiting_by_rank.get(&rank).copied().unwrap_or_default() < limit {
             return false;
         }
-        let over_share = |stage: &StagePlan| {
+        let over_share = |stage: &ResolvedStage| {
             let backlog = &self.services[usize::from(stage.service.0)].backlog;
             backlog.owned(rank, org) >= f64::from(limit) * backlog.share(rank, org, weight)
         };
@@ -296,7 +296,7 @@
     ///
     /// The queue of a later stage drains while the request is at an earlier one, so a stage adds only
     /// the part of its wait that is left when the request arrives there.
-    fn expected_time(&self, now: Time, rank: u8, org: OrgKey, weight: u32, stages: &[StagePlan]) -> Span {
+    fn expected_time(&self, now: Time, rank: u8, org: OrgKey, weight: u32, stages: &[ResolvedStage]) -> Span {
         let mut expected = 0.0_f64;
         for stage in stages {
             let state = &self.services[usize::from(stage.service.0)];
--- a/crates/barleyspool_core/src/router/completion.rs
+++ b/crates/barleyspool_core/src/router/completion.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use crate::{
     CallerId, Counter, Earlier, Guard, Outcome, Peer, Reason, Refusal, Request, RequestEvent, RequestId,
-    RetryReason, Span, StagePlan, Time, TrafficAction, Verdict,
+    ResolvedStage, RetryReason, Span, Time, TrafficAction, Verdict,
 };
 use std::sync::Arc;
 
@@ -183,7 +183,7 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        let took = |stage: &StagePlan| self.services[usize::from(stage.service.0)].took;
+        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].took;
         now.since(since).0 as f64 > 2.0 * took(request.stage())
     }
 
--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::{
-    Attempt, Counter, Echo, LoadBalancing, Place, Reason, RequestEvent, RequestId, ServiceIx, Span,
-    StagePlan, StepOrder, TargetId, TargetState, Time, TrafficAction, Waiting, rendezvous,
+    Attempt, Counter, Echo, LoadBalancing, Place, Reason, RequestEvent, RequestId, ResolvedStage, ServiceIx,
+    Span, StepOrder, TargetId, TargetState, Time, TrafficAction, Waiting, rendezvous,
 };
 use rand::Rng;
 use slotmap::Key;
@@ -197,7 +197,7 @@
     }
 
     /// The target that a request of this stage would most likely be sent to, for operators.
-    pub(super) fn likely_target(&self, now: Time, stage: &StagePlan) -> Option<TargetId> {
+    pub(super) fn likely_target(&self, now: Time, stage: &ResolvedStage) -> Option<TargetId> {
         let state = &self.services[usize::from(stage.service.0)];
         let usable = state
             .targets
@@ -274,7 +274,7 @@
         if !self.settings.policy.attempt_timeouts || !request.repeatable() {
             return request.deadline;
         }
-        let took = |stage: &StagePlan| self.services[usize::from(stage.service.0)].took;
+        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].took;
         let timeout_at = from
             + Span(took(request.stage()) as u64)
                 .scale(ATTEMPT_TIMEOUT_FACTOR)
--- a/crates/barleyspool_core/tests/control.rs
+++ b/crates/barleyspool_core/tests/control.rs
@@ -11,11 +11,11 @@
 fn settings(id: u32, guards: Guards) -> ControlSettings {
     ControlSettings {
         node: NodeId(id),
-        run: Incarnation(1),
+        incarnation: Incarnation(1),
         zone: format!("z{}", id % 3),
         region: "r".into(),
         address: format!("10.0.0.{id}:1"),
-        bulk: format!("10.0.0.{id}:3"),
+        bulk_address: format!("10.0.0.{id}:3"),
         guards,
         seed: u64::from(id),
         ..ControlSettings::default()
@@ -50,10 +50,10 @@
     fn step(&mut self, now: Time, event: ControlEvent) {
         for action in self.control.step(now, event) {
             match action {
-                ControlAction::Ask { .. } => self.asks += 1,
-                ControlAction::Fetch { config, fleet, .. } => self.fetches.push((config, fleet)),
+                ControlAction::SendGossip { .. } => self.asks += 1,
+                ControlAction::FetchSnapshot { config, fleet, .. } => self.fetches.push((config, fleet)),
                 ControlAction::Watch(watching) => self.watching = watching,
-                ControlAction::Read => self.reads += 1,
+                ControlAction::ReadPlatform => self.reads += 1,
                 ControlAction::Publish(plan) => self.plan = Some(*plan),
                 ControlAction::Exit => self.exited = true,
             }
@@ -95,11 +95,11 @@
 /// `a` asks `b`, and fetches from it if it wants to.
 fn ask(now: Time, a: &mut Node, b: &mut Node) {
     let question = question(now, a);
-    let reply = b.control.answer(now, &question);
+    let reply = b.control.answer_gossip(now, &question);
     a.step(
         now,
-        ControlEvent::Replied {
-            asked: now,
+        ControlEvent::PeerReplied {
+            asked_at: now,
             reply: Box::new(reply),
         },
     );
@@ -107,7 +107,7 @@
         let snapshot = b.control.snapshot(config, fleet);
         a.step(
             now,
-            ControlEvent::Fetched {
+            ControlEvent::SnapshotReceived {
                 snapshot: Box::new(snapshot),
             },
         );
@@ -117,7 +117,7 @@
 /// What a node says of itself when it asks.
 fn question(now: Time, node: &mut Node) -> Gossip {
     node.control
-        .answer(
+        .answer_gossip(
             now,
             &Gossip {
                 from: NodeId(999),
@@ -184,7 +184,7 @@
     );
     assert_eq!(outcome(Guards::default()), (Revision(5), Revision(7)));
 
-    let faults = Config::accept(&bad, None).unwrap_err();
+    let faults = Config::from_document(&bad, None).unwrap_err();
     let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(texts.len(), 2, "both faults are reported: {texts:?}");
     assert!(
@@ -249,7 +249,7 @@
     assert!(!node.serving());
     node.step(START + ms(3000), ControlEvent::Tick);
     assert!(node.serving());
-    assert_eq!(node.control.counters().lonely_starts, 1);
+    assert_eq!(node.control.counters().starts_without_peers, 1);
 }
 
 /// A change reaches a node that does not read the service, with only the part that changed.
@@ -264,7 +264,7 @@
     let part = ConfigPart {
         organisations: vec![organisation("new", 3)],
     };
-    change.parts.push(PartAt {
+    change.parts.push(VersionedPart {
         key: "organisations/1".into(),
         revision: Revision(6),
         part: Arc::new(part),
@@ -285,12 +285,12 @@
     let mut change = document(6);
     change.head.parts[0].revision = Revision(6);
     let snapshot = Snapshot {
-        document: Some(change.since(Revision(5))),
+        document: Some(change.changes_since(Revision(5))),
         fleet: None,
     };
     node.step(
         START,
-        ControlEvent::Fetched {
+        ControlEvent::SnapshotReceived {
             snapshot: Box::new(snapshot),
         },
     );
@@ -358,7 +358,7 @@
         node.step(START + Span::from_secs(second), ControlEvent::Tick);
     }
     // One read per read age at the most, the first within it.
-    let most = 60_000 / ControlSettings::default().read_age.as_millis() as usize + 1;
+    let most = 60_000 / ControlSettings::default().max_read_age.as_millis() as usize + 1;
     assert!(
         (1..=most).contains(&node.reads),
         "{} reads in a minute",
@@ -373,7 +373,7 @@
     list.targets.clear();
     node.list(START, list);
     assert_eq!(node.control.fleet().revision, Revision(1));
-    assert_eq!(node.control.counters().faulty_lists, 1);
+    assert_eq!(node.control.counters().invalid_fleet_lists, 1);
 }
 
 // ----------------------------------------------------------------------------
@@ -448,7 +448,7 @@
 fn a_stopping_node_stays_until_nothing_runs_and_no_caller_holds_its_address() {
     let left_at = |guards| {
         let mut node = ready(1, guards);
-        node.step(START, ControlEvent::Live(3));
+        node.step(START, ControlEvent::LiveRequests(3));
         node.step(START, ControlEvent::Stop);
         let mut at = START;
         while !node.exited {
@@ -456,7 +456,7 @@
             let live = usize::from(at < START + ms(7000));
             // A second signal, and a cut from all peers, change nothing.
             node.step(at, ControlEvent::Stop);
-            node.step(at, ControlEvent::Live(live));
+            node.step(at, ControlEvent::LiveRequests(live));
         }
         at.since(START)
     };
@@ -499,6 +499,9 @@
         rules,
         ..Gossip::default()
     };
-    assert_eq!(node.control.answer(START, &gossip).vote, LeaseVote::default());
-    assert!(node.control.counters().foreign_rules > 0);
+    assert_eq!(
+        node.control.answer_gossip(START, &gossip).vote,
+        LeaseVote::default()
+    );
+    assert!(node.control.counters().mismatched_rules > 0);
 }
--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -350,7 +350,7 @@
                 let mut next = document(2);
                 next.head.pipelines.retain(|pipeline| pipeline.name == "single");
                 let plan = Plan::clone(self.bench.router.plan());
-                let config = Config::accept(&next, plan.config.as_deref()).unwrap();
+                let config = Config::from_document(&next, plan.config.as_deref()).unwrap();
                 self.bench.take_plan(Plan {
                     config: Some(Arc::new(config)),
                     ..plan
--- a/crates/barleyspool_core/tests/router.rs
+++ b/crates/barleyspool_core/tests/router.rs
@@ -297,7 +297,7 @@
     next.head.pipelines[0].stages.truncate(1);
     next.head.services.reverse();
     let before = Plan::clone(bench.router.plan());
-    let config = Config::accept(&next, before.config.as_deref()).unwrap();
+    let config = Config::from_document(&next, before.config.as_deref()).unwrap();
     bench.take_plan(Plan {
         config: Some(Arc::new(config)),
         ..before
--- a/crates/barleyspool_core/tests/support/mod.rs
+++ b/crates/barleyspool_core/tests/support/mod.rs
@@ -86,7 +86,7 @@
             }],
             placement: Vec::new(),
         },
-        parts: vec![PartAt {
+        parts: vec![VersionedPart {
             key: "organisations/0".into(),
             revision: Revision(1),
             part: Arc::new(part),
@@ -150,7 +150,7 @@
 
 /// A plan under which node 1 is alone, settled and confirmed, with `count` targets per service.
 pub fn plan(now: Time, count: u32, slots: u32) -> Plan {
-    let config = Arc::new(Config::accept(&document(1), None).unwrap());
+    let config = Arc::new(Config::from_document(&document(1), None).unwrap());
     let fleet = Arc::new(with_targets(fleet(1, &[(1, &[1])]), count, slots));
     let target = |node: &TargetNode| PlanTarget {
         id: node.id,
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -105,13 +105,13 @@
             tokio::select! {
                 Some(message) = inbox.recv() => self.take(message),
                 Some(notice) = notices.recv() => self.step(match notice {
-                    LaneNotice::Rest(rest) => ControlEvent::AskedRest(rest),
+                    LaneNotice::Rest(rest) => ControlEvent::CooldownRequested(rest),
                     LaneNotice::Leaving(target) => ControlEvent::ReportedLeaving(target),
-                    LaneNotice::Behind => ControlEvent::Behind,
+                    LaneNotice::Behind => ControlEvent::NewerRevisionSeen,
                 }),
                 _ = tick.tick() => {
                     let live = self.live();
-                    self.step(ControlEvent::Live(live));
+                    self.step(ControlEvent::LiveRequests(live));
                 }
                 _ = ending.changed() => return,
             }
@@ -130,7 +130,7 @@
         match message {
             ControlMessage::Event(event) => self.step(event),
             ControlMessage::Answer { gossip, reply } => {
-                let _ = reply.send(self.control.answer(now, &gossip));
+                let _ = reply.send(self.control.answer_gossip(now, &gossip));
             }
             ControlMessage::Snapshot { config, fleet, reply } => {
                 let _ = reply.send(self.control.snapshot(config, fleet));
@@ -158,8 +158,8 @@
 
     fn execute(&mut self, action: ControlAction) {
         match action {
-            ControlAction::Ask { address, gossip } => self.ask(address, gossip),
-            ControlAction::Fetch {
+            ControlAction::SendGossip { address, gossip } => self.ask(address, gossip),
+            ControlAction::FetchSnapshot {
                 address,
                 config,
                 fleet,
@@ -171,7 +171,7 @@
                 ];
             }
             ControlAction::Watch(false) => self.watches.clear(),
-            ControlAction::Read => self.read(),
+            ControlAction::ReadPlatform => self.read(),
             ControlAction::Publish(plan) => {
                 self.shared.plan.store(Arc::from(plan));
                 self.shared.plan_changed.send_modify(|count| *count += 1);
@@ -185,7 +185,7 @@
 
     fn log_changes(&mut self) {
         let (phase, revision) = (self.control.phase(), self.control.revision());
-        let refused = self.control.store().refused();
+        let refused = self.control.store().rejected_revision();
         if phase != self.phase {
             spdlog::info!("node changed", kv: { phase = phase.name(), revision = revision.0 });
         }
@@ -196,7 +196,7 @@
             let faults: Vec<String> = self
                 .control
                 .store()
-                .faults()
+                .errors()
                 .iter()
                 .map(ToString::to_string)
                 .collect();
@@ -224,8 +224,8 @@
             match peer::ask(&client, gossip, ASK_TIMEOUT).await {
                 Ok(reply) => {
                     clients.lock().await.insert(address, client);
-                    let event = ControlEvent::Replied {
-                        asked,
+                    let event = ControlEvent::PeerReplied {
+                        asked_at: asked,
                         reply: Box::new(reply),
                     };
                     let _ = inbox.send(ControlMessage::Event(event));
@@ -245,7 +245,7 @@
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
             if let Ok(snapshot) = bulk_server::fetch(&address, config, fleet).await {
-                let event = ControlEvent::Fetched {
+                let event = ControlEvent::SnapshotReceived {
                     snapshot: Box::new(snapshot),
                 };
                 let _ = inbox.send(ControlMessage::Event(event));
@@ -268,7 +268,7 @@
                     Ok(Some(document)) => ControlEvent::ConfigRead {
                         document: Box::new(document),
                     },
-                    Ok(None) => ControlEvent::ConfigSame,
+                    Ok(None) => ControlEvent::ConfigUnchanged,
                     Err(_) => ControlEvent::ConfigFailed,
                 };
                 let _ = inbox.send(ControlMessage::Event(event));
@@ -315,7 +315,7 @@
                 Ok(Some(document)) => ControlEvent::ConfigRead {
                     document: Box::new(document),
                 },
-                Ok(None) => ControlEvent::ConfigSame,
+                Ok(None) => ControlEvent::ConfigUnchanged,
                 Err(_) => ControlEvent::ConfigFailed,
             };
             let _ = inbox.send(ControlMessage::Event(event));
@@ -375,7 +375,7 @@
             zone: peer.listed.zone.clone(),
             state: peer.phase.name().to_owned(),
             epoch: peer.gossip.epoch.0,
-            word_age_ms: now.since(peer.last_report).as_millis(),
+            word_age_ms: now.since(peer.last_message_at).as_millis(),
         };
         rpc::PeersReply {
             peers: self.control.peers().iter().map(state).collect(),
--- a/crates/barleyspool_entry/src/metrics.rs
+++ b/crates/barleyspool_entry/src/metrics.rs
@@ -40,14 +40,14 @@
     ("configuration_accepted", |c| c.accepted),
     ("configuration_rejected", |c| c.rejected),
     ("configuration_stale", |c| c.stale),
-    ("fleet_stale", |c| c.stale_lists),
-    ("fleet_faulty", |c| c.faulty_lists),
+    ("fleet_stale", |c| c.stale_fleet_lists),
+    ("fleet_faulty", |c| c.invalid_fleet_lists),
     ("platform_read_failed", |c| c.failed_reads),
-    ("platform_own_read", |c| c.own_reads),
-    ("start_without_peers", |c| c.lonely_starts),
-    ("peer_foreign_rules", |c| c.foreign_rules),
-    ("peer_asked", |c| c.asked),
-    ("peer_replied", |c| c.replied),
+    ("platform_own_read", |c| c.fallback_reads),
+    ("start_without_peers", |c| c.starts_without_peers),
+    ("peer_foreign_rules", |c| c.mismatched_rules),
+    ("peer_asked", |c| c.gossip_sent),
+    ("peer_replied", |c| c.replies_received),
 ];
 
 /// The metrics of one daemon.
--- a/crates/barleyspool_entry/src/platform_client.rs
+++ b/crates/barleyspool_entry/src/platform_client.rs
@@ -1,6 +1,6 @@
 //! Reading the platform: the configuration service and the fleet list.
 
-use barleyspool_core::{ConfigDocument, Fleet, PartAt, PartRef, Revision};
+use barleyspool_core::{ConfigDocument, Fleet, PartRef, Revision, VersionedPart};
 use barleyspool_wire::http::{self, HttpError};
 use barleyspool_wire::platform::{CONFIG_PATH, FLEET_PATH, HEAD_KEY, HeadValue, MAX_VALUE, PartValue};
 use std::sync::Arc;
@@ -62,7 +62,7 @@
         Ok(Some(document))
     }
 
-    async fn part(&self, wanted: &PartRef) -> Result<PartAt, HttpError> {
+    async fn part(&self, wanted: &PartRef) -> Result<VersionedPart, HttpError> {
         let mut known = self.document.iter().flat_map(|document| &document.parts);
         if let Some(at) = known.find(|at| at.key == wanted.key && at.revision >= wanted.revision) {
             return Ok(at.clone());
@@ -70,7 +70,7 @@
         let path = format!("{CONFIG_PATH}{}", wanted.key);
         let value = http::get_json::<PartValue>(&self.configuration, &path, MAX_VALUE, READ_TIMEOUT).await?;
         match value {
-            Some(value) if value.revision >= wanted.revision => Ok(PartAt {
+            Some(value) if value.revision >= wanted.revision => Ok(VersionedPart {
                 key: wanted.key.clone(),
                 revision: value.revision,
                 part: Arc::new(value.value),
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -130,7 +130,7 @@
     pub fn control_settings(&self, run: Incarnation) -> ControlSettings {
         ControlSettings {
             node: self.node,
-            run,
+            incarnation: run,
             zone: self.zone.clone(),
             region: self.region.clone(),
             cell: self.cell,
@@ -138,13 +138,13 @@
             seeds: self.seeds.clone(),
             rules: self.rules,
             subset: self.subset,
-            beat: self.beat,
-            start_wait: self.start_wait,
-            read_age: self.read_age,
+            heartbeat_interval: self.beat,
+            startup_timeout: self.start_wait,
+            max_read_age: self.read_age,
             fanout: self.fanout,
-            keep: self.keep,
+            address_ttl: self.keep,
             seed: run.0 ^ u64::from(self.node.0),
-            bulk: self.bulk.to_string(),
+            bulk_address: self.bulk.to_string(),
             ..ControlSettings::default()
         }
     }
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -82,7 +82,7 @@
     };
     let parts = [(crate::deployment::PART_KEY.to_owned(), part)];
     let document: ConfigDocument = platform::document(revision, &deployment.head(revision), &parts);
-    let config = Config::accept(&document, None).map_err(|faults| {
+    let config = Config::from_document(&document, None).map_err(|faults| {
         faults
             .iter()
             .map(ToString::to_string)
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -5,9 +5,9 @@
 use barleyspool_core::{
     AttemptEnd, Call, CallerId, Cell, CellId, Class, Config, ConfigDocument, ConfigHead, ConfigPart, Control,
     ControlEvent, ControlSettings, EntryNode, Epoch, Era, Fleet, Gossip, Incarnation, LeavingTarget,
-    ListState, NodeId, Organisation, PartAt, PartRef, Payload, PeerReply, Pipeline, Plan, Revision, Router,
+    ListState, NodeId, Organisation, PartRef, Payload, PeerReply, Pipeline, Plan, Revision, Router,
     RouterSettings, Service, ServiceKind, Span, Stage, TargetId, TargetNode, Time, TrafficAction,
-    TrafficEvent,
+    TrafficEvent, VersionedPart,
 };
 use std::error::Error;
 use std::hint::black_box;
@@ -51,7 +51,7 @@
         weight: 1,
         pipelines: vec!["pipeline-1".to_owned(), "pipeline-2".to_owned()],
     };
-    let part = |nth: usize| PartAt {
+    let part = |nth: usize| VersionedPart {
         key: format!("organisations/{nth}"),
         revision: Revision(1),
         part: Arc::new(ConfigPart {
@@ -128,7 +128,7 @@
 fn control(seed: u64) -> Result<Control, Box<dyn Error>> {
     let settings = ControlSettings {
         node: NodeId(1),
-        run: Incarnation(1),
+        incarnation: Incarnation(1),
         zone: "zone-0".to_owned(),
         region: "region-0".to_owned(),
         seed,
@@ -196,11 +196,11 @@
         let document = document(size);
         check.push((
             size as f64,
-            best_us(3, || drop(black_box(Config::accept(&document, None)))) / 1000.0,
+            best_us(3, || drop(black_box(Config::from_document(&document, None)))) / 1000.0,
         ));
         let before = resident(std::process::id());
         let kept: Vec<_> = (0..4)
-            .map(|_| (Config::accept(&document, None), document_copy(&document)))
+            .map(|_| (Config::from_document(&document, None), document_copy(&document)))
             .collect();
         let used = resident(std::process::id()).saturating_sub(before) as f64 / kept.len() as f64;
         memory.push((size as f64, used / 1e6));
@@ -214,7 +214,7 @@
         changed.parts[0].revision = Revision(2);
         change.push((
             size as f64,
-            rmp_serde::to_vec_named(&changed.since(Revision(1)))?.len() as f64 / 1000.0,
+            rmp_serde::to_vec_named(&changed.changes_since(Revision(1)))?.len() as f64 / 1000.0,
         ));
     }
     Ok(vec![
@@ -251,7 +251,7 @@
 
 /// A copy that shares nothing, as a node that parsed it would have.
 fn document_copy(document: &ConfigDocument) -> ConfigDocument {
-    let copy = |at: &PartAt| PartAt {
+    let copy = |at: &VersionedPart| VersionedPart {
         part: Arc::new(ConfigPart::clone(&at.part)),
         ..at.clone()
     };
@@ -289,7 +289,7 @@
             let actions = node.step(now, ControlEvent::Tick);
             questions = actions
                 .iter()
-                .filter(|action| matches!(action, barleyspool_core::ControlAction::Ask { .. }))
+                .filter(|action| matches!(action, barleyspool_core::ControlAction::SendGossip { .. }))
                 .count() as f64;
             drop(black_box(actions));
         });
@@ -307,7 +307,10 @@
             ],
             ..Gossip::default()
         };
-        ask.push((size, best_us(20, || drop(black_box(node.answer(now, &gossip))))));
+        ask.push((
+            size,
+            best_us(20, || drop(black_box(node.answer_gossip(now, &gossip)))),
+        ));
         let reply = PeerReply {
             gossip: gossip.clone(),
             ..PeerReply::default()
--- a/crates/barleyspool_wire/src/platform.rs
+++ b/crates/barleyspool_wire/src/platform.rs
@@ -1,6 +1,6 @@
 //! The JSON of the platform: the configuration service and the fleet list. Both can only be read.
 
-use barleyspool_core::{ConfigDocument, ConfigHead, ConfigPart, PartAt, Revision};
+use barleyspool_core::{ConfigDocument, ConfigHead, ConfigPart, Revision, VersionedPart};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 
 /// The whole configuration, from its head and the values of its parts.
 pub fn document(revision: Revision, head: &ConfigHead, values: &[(String, PartValue)]) -> ConfigDocument {
-    let at = |(key, value): &(String, PartValue)| PartAt {
+    let at = |(key, value): &(String, PartValue)| VersionedPart {
         key: key.clone(),
         revision: value.revision,
         part: Arc::new(value.value.clone()),
