--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -1,6 +1,7 @@
-//! Fleets of nodes before targets that take so many calls a second, without a network: each node knows the nodes of its own part.
+//! A simulated fleet of nodes, without a network, in front of rate-limited targets. The fleet may be
+//! split into partitions; a node knows only the members of its own partition.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use barleyspool_core::{
     Catalog, CatalogDocument, ChooseResult, ColdSpec, ForwardPlan, ForwardService, ForwardSettings,
@@ -10,55 +11,56 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Targets before which each fleet stands.
+/// The number of targets of each fleet.
 pub const ENGINES: usize = 24;
 const SHARD_SIZE: usize = 12;
 
-/// What bounds the targets of a fleet.
+/// The rate limits of the targets of a fleet.
 #[derive(Copy, Clone, Debug)]
 pub enum Rates {
-    /// Nothing.
+    /// No rate limit.
     None,
-    /// They are cold, bear so many calls a second, and for so long.
+    /// Cold targets: the calls a second that each sustains, and how long they stay cold.
     Cold(f64, Span),
-    /// They named a limit of so many calls a second.
+    /// Targets that reported a limit of this many calls a second.
     Limit(f64),
 }
 
 pub fn members(count: usize) -> Vec<MemberView> {
-    let view = |place: usize| MemberView {
-        key: rendezvous::text_key(&format!("n{place}")) as u64,
-        peer_address: format!("n{place}"),
+    let view = |index: usize| MemberView {
+        key: rendezvous::text_key(&format!("n{index}")) as u64,
+        peer_address: format!("n{index}"),
         zone: "z".to_owned(),
     };
     (0..count).map(view).collect()
 }
 
-/// A list of which every target is as empty as the others, so that those with a rate would be chosen as well as any.
+/// A target list in which all targets are equally idle, so that load balancing does not avoid the
+/// rate-limited ones.
 fn table(rates: &Rates) -> TargetTable {
-    let entry = |place: usize| {
+    let entry = |index: usize| {
         let mut entry = TargetEntry {
-            id: format!("i-{place}"),
+            id: format!("i-{index}"),
             service: "s".to_owned(),
-            address: format!("10.0.0.{place}:80"),
+            address: format!("10.0.0.{index}:80"),
             zone: "z".to_owned(),
             slots: 64,
             ..TargetEntry::default()
         };
-        if let Rates::Cold(_, lasts) = rates {
-            entry.times.warm_at = Time(0) + *lasts;
+        if let Rates::Cold(_, duration) = rates {
+            entry.times.warm_at = Time(0) + *duration;
         }
         entry
     };
     (0..ENGINES)
-        .map(|place| (format!("i-{place}"), entry(place)))
+        .map(|index| (format!("i-{index}"), entry(index)))
         .collect()
 }
 
 fn catalog(rates: &Rates) -> Option<Arc<Catalog>> {
     let cold = match rates {
-        Rates::Cold(per_s, start) => Some(ColdSpec {
-            duration: *start,
+        Rates::Cold(per_s, duration) => Some(ColdSpec {
+            duration: *duration,
             per_s: *per_s,
         }),
         _ => None,
@@ -87,13 +89,13 @@
     }
 }
 
-/// The plan of the node among three that owns the targets.
+/// The plan of the node that owns the targets, in a fleet of three.
 pub fn owner_plan(rates: &Rates, converged: bool) -> ForwardPlan {
     let members = members(3);
     let owner = rendezvous::pick(shard_key("s", 0), members.iter().map(|member| member.key));
     ForwardPlan {
         converged,
-        me: owner.expect("there are members"),
+        me: owner.expect("the fleet has members"),
         ..plan(rates, &members)
     }
 }
@@ -104,111 +106,114 @@
         seed,
         ..ForwardSettings::default()
     };
-    let mut forwarder = Forwarder::new(settings).expect("the chart is right");
+    let mut forwarder = Forwarder::new(settings).expect("the state chart is valid");
     forwarder.apply_plan(plan);
     forwarder
 }
 
-/// A fleet of nodes, of which each knows the members of its own part.
+/// A fleet of nodes, each of which knows the members of its own partition.
 pub struct Fleet {
-    pub parts: Vec<Vec<MemberView>>,
+    /// The members of each partition.
+    pub partitions: Vec<Vec<MemberView>>,
     plans: BTreeMap<u64, ForwardPlan>,
     pub nodes: BTreeMap<u64, Forwarder>,
-    /// When each target was sent something.
+    /// When calls were sent to each target, by target id.
     pub sent: BTreeMap<String, Vec<Time>>,
+    /// How many calls were refused.
     pub refused: usize,
-    /// Nodes that do not answer.
-    pub mute: Vec<u64>,
-    /// How long calls may wait.
+    /// Keys of the nodes that do not answer other nodes.
+    pub unresponsive: Vec<u64>,
+    /// How long a call may wait before it is sent.
     pub max_wait: Span,
 }
 
 impl Fleet {
-    pub fn new(count: usize, parts: usize, rates: &Rates) -> Self {
+    pub fn new(count: usize, partitions: usize, rates: &Rates) -> Self {
         let all = members(count);
-        let size = count.div_ceil(parts);
-        let parts: Vec<Vec<MemberView>> = all.chunks(size).map(<[MemberView]>::to_vec).collect();
+        let size = count.div_ceil(partitions);
+        let partitions: Vec<Vec<MemberView>> = all.chunks(size).map(<[MemberView]>::to_vec).collect();
         let mut fleet = Self {
-            parts: Vec::new(),
+            partitions: Vec::new(),
             plans: BTreeMap::new(),
             nodes: BTreeMap::new(),
             sent: BTreeMap::new(),
             refused: 0,
-            mute: Vec::new(),
+            unresponsive: Vec::new(),
             max_wait: Span::ZERO,
         };
-        for part in &parts {
-            for member in part {
+        for partition in &partitions {
+            for member in partition {
                 let plan = ForwardPlan {
                     me: member.key,
-                    ..plan(rates, part)
+                    ..plan(rates, partition)
                 };
                 let mut forwarder = node(&plan, member.key);
                 if let Rates::Limit(per_s) = rates {
-                    for place in 0..ENGINES {
-                        let word = LimitReport::PerSecond(*per_s);
-                        forwarder.apply_limit_report(Time(0), Time(0), &format!("i-{place}"), word);
+                    for index in 0..ENGINES {
+                        let limit = LimitReport::PerSecond(*per_s);
+                        forwarder.apply_limit_report(Time(0), Time(0), &format!("i-{index}"), limit);
                     }
                 }
                 fleet.nodes.insert(member.key, forwarder);
                 fleet.plans.insert(member.key, plan);
             }
         }
-        fleet.parts = parts;
+        fleet.partitions = partitions;
         fleet
     }
 
-    /// From now on the nodes of each part know how many of all they hear.
-    pub fn know_reach(&mut self, now: Time, known: usize) {
-        for part in self.parts.clone() {
+    /// Tells the nodes of each partition that they reach that partition out of `known` nodes.
+    pub fn set_reachability(&mut self, now: Time, known: usize) {
+        for partition in self.partitions.clone() {
             let reach = Reachability {
-                reached: part.len() as u32,
+                reached: partition.len() as u32,
                 known: known as u32,
                 steady: true,
             };
-            self.change(now, &part, |plan| plan.reach = reach);
+            self.update_plans(now, &partition, |plan| plan.reach = reach);
         }
     }
 
-    /// From now on the nodes are in these parts.
-    pub fn split(&mut self, now: Time, parts: Vec<Vec<MemberView>>) {
-        for part in &parts {
-            self.change(now, part, |plan| plan.members = Arc::new(part.clone()));
+    /// Splits the fleet into these partitions; each node learns the members of its own at once.
+    pub fn set_partitions(&mut self, now: Time, partitions: Vec<Vec<MemberView>>) {
+        for partition in &partitions {
+            self.update_plans(now, partition, |plan| plan.members = Arc::new(partition.clone()));
         }
-        self.parts = parts;
+        self.partitions = partitions;
     }
 
-    /// Changes the plans of some nodes.
-    pub fn change(&mut self, now: Time, nodes: &[MemberView], change: impl Fn(&mut ForwardPlan)) {
+    /// Changes the plans of some nodes and applies them.
+    pub fn update_plans(&mut self, now: Time, nodes: &[MemberView], change: impl Fn(&mut ForwardPlan)) {
         for member in nodes {
-            let plan = self.plans.get_mut(&member.key).expect("it is a node");
+            let plan = self.plans.get_mut(&member.key).expect("the node exists");
             plan.made = now;
             change(plan);
-            let forwarder = self.nodes.get_mut(&member.key).expect("it is a node");
+            let forwarder = self.nodes.get_mut(&member.key).expect("the node exists");
             forwarder.apply_plan(plan);
         }
     }
 
-    /// The node that one asks about a shard: the owner as it sees it, of those that answer it.
-    fn asked(&self, part: &[MemberView], shard: u128) -> u64 {
-        let answer = |member: &&MemberView| !self.mute.contains(&member.key);
-        let keys = part.iter().filter(answer).map(|member| member.key);
-        rendezvous::pick(shard, keys).expect("somebody answers")
+    /// The node that a member of `partition` asks about a shard: the owner among the members that answer.
+    fn reachable_owner(&self, partition: &[MemberView], shard: u128) -> u64 {
+        let answers = |member: &&MemberView| !self.unresponsive.contains(&member.key);
+        let keys = partition.iter().filter(answers).map(|member| member.key);
+        rendezvous::pick(shard, keys).expect("a member answers")
     }
 
-    /// One call at an engine, of the node of that number: the owner of its shard chooses, as the node sees it.
+    /// Sends call `number` to an engine. The number decides the calling node and the shard; the owner of
+    /// the shard, as that node sees it, chooses the engine.
     pub fn engine_call(&mut self, now: Time, number: u64) {
-        let part = self.parts[number as usize % self.parts.len()].clone();
-        let asker = part[(number / 2) as usize % part.len()].key;
+        let partition = self.partitions[number as usize % self.partitions.len()].clone();
+        let requester = partition[(number / 2) as usize % partition.len()].key;
         let shards = ENGINES / SHARD_SIZE;
         let shard = Shard {
             number: (number / 7) as u32 % shards as u32,
             of: shards as u32,
         };
-        let owner = self.asked(&part, shard_key("s", shard.number));
-        let need = TargetQuery {
+        let owner = self.reachable_owner(&partition, shard_key("s", shard.number));
+        let query = TargetQuery {
             engine_memory: Some(600_000),
-            // One prompt in four shares its beginning with all the others of these.
+            // One prompt in four has the same prefix.
             prefix: if number.is_multiple_of(4) {
                 77
             } else {
@@ -218,46 +223,48 @@
             prompt_tokens: 1500,
             max_wait: self.max_wait,
             placing: Some(shard),
-            ..need()
+            ..query()
         };
-        let forwarder = self.nodes.get_mut(&owner).expect("it is a node");
-        let ChooseResult::Send(chosen) = forwarder.place(now, &need, asker) else {
+        let forwarder = self.nodes.get_mut(&owner).expect("the node exists");
+        let ChooseResult::Send(chosen) = forwarder.place(now, &query, requester) else {
             self.refused += 1;
             return;
         };
-        let send = forwarder.begin(now, &need, chosen.target);
-        // The books of the choice forget it at once, so that the target looks idle again.
+        let send = forwarder.begin(now, &query, chosen.target);
+        // Dropped from the load accounting at once, so that the target looks idle again.
         forwarder.abandon(send);
         self.sent.entry(chosen.id).or_default().push(now + chosen.wait);
     }
 
-    /// One call at a plain target, of the node of that number.
+    /// Sends call `number` to a plain target. The number decides the calling node.
     pub fn plain_call(&mut self, now: Time, number: u64) {
-        let part = self.parts[number as usize % self.parts.len()].clone();
-        let asker = part[(number / 2) as usize % part.len()].key;
-        self.plain_call_of(now, &part, asker);
+        let partition = self.partitions[number as usize % self.partitions.len()].clone();
+        let requester = partition[(number / 2) as usize % partition.len()].key;
+        self.plain_call_of(now, &partition, requester);
     }
 
-    /// One call at a plain target, of a node of a part.
-    pub fn plain_call_of(&mut self, now: Time, part: &[MemberView], asker: u64) {
-        let need = TargetQuery {
+    /// Sends a call from node `requester` of a partition to a plain target, which the node chooses itself.
+    pub fn plain_call_of(&mut self, now: Time, partition: &[MemberView], requester: u64) {
+        let query = TargetQuery {
             max_wait: self.max_wait,
-            ..need()
+            ..query()
         };
-        // Each refusal takes one target out of the choice.
+        // Each refusal excludes one target from the next choice.
         for _ in 0..=ENGINES {
-            let forwarder = self.nodes.get_mut(&asker).expect("it is a node");
-            let ChooseResult::Send(chosen) = forwarder.choose(now, &need) else {
+            let forwarder = self.nodes.get_mut(&requester).expect("the node exists");
+            let ChooseResult::Send(chosen) = forwarder.choose(now, &query) else {
                 break;
             };
             let wait = if chosen.rate_limited {
-                let shard = forwarder.shard_of_target(&chosen.id).expect("it is listed");
-                let owner = self.asked(part, shard);
-                let owner = self.nodes.get_mut(&owner).expect("it is a node");
-                match owner.grant(now, &chosen.id, asker, need.max_wait) {
+                let shard = forwarder
+                    .shard_of_target(&chosen.id)
+                    .expect("the target is listed");
+                let owner = self.reachable_owner(partition, shard);
+                let owner = self.nodes.get_mut(&owner).expect("the node exists");
+                match owner.grant(now, &chosen.id, requester, query.max_wait) {
                     Grant::After(wait) => wait,
                     Grant::NoCapacity(wait) => {
-                        let forwarder = self.nodes.get_mut(&asker).expect("it is a node");
+                        let forwarder = self.nodes.get_mut(&requester).expect("the node exists");
                         forwarder.note_no_capacity(now, chosen.target, now + wait);
                         continue;
                     }
@@ -271,28 +278,28 @@
         self.refused += 1;
     }
 
-    /// The most that one target got within any `span`.
-    pub fn most_within(&self, span: Span) -> usize {
-        let windows = self.sent.values().map(|times| {
-            let within = |at: &Time| {
-                let window = times
+    /// The largest number of calls sent to one target within any `span`.
+    pub fn max_sent_within(&self, span: Span) -> usize {
+        let windows = self.sent.values().map(|sent_at| {
+            let window_count = |at: &Time| {
+                let window = sent_at
                     .iter()
                     .filter(|time| **time >= *at && time.since(*at) < span);
                 window.count()
             };
-            times.iter().map(within).max().unwrap_or(0)
+            sent_at.iter().map(window_count).max().unwrap_or(0)
         });
         windows.max().unwrap_or(0)
     }
 
-    /// What all targets got from `from` to `to`.
-    pub fn got(&self, from: Time, to: Time) -> usize {
-        let times = self.sent.values().flatten();
-        times.filter(|at| **at >= from && **at < to).count()
+    /// The number of calls sent to all targets from `from` up to `to`, exclusive.
+    pub fn sent_between(&self, from: Time, to: Time) -> usize {
+        let sent_at = self.sent.values().flatten();
+        sent_at.filter(|at| **at >= from && **at < to).count()
     }
 }
 
-pub fn need() -> TargetQuery {
+pub fn query() -> TargetQuery {
     TargetQuery {
         service: "s".to_owned(),
         ..TargetQuery::default()
