--- a/crates/barleyspool_core/src/config/check.rs
+++ b/crates/barleyspool_core/src/config/check.rs
@@ -1,37 +1,37 @@
-//! What is wrong with a configuration.
+//! Validation of a configuration document.
 
 use super::{ConfigDocument, Pipeline};
 use std::collections::BTreeSet;
 
-/// The longest name of anything in a configuration, in bytes.
+/// Maximum length of a name in a configuration, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most stages a pipeline may have.
+/// Maximum number of stages of a pipeline.
 pub const MAX_STAGES: usize = 8;
-/// The longest deadline a pipeline may allow, in milliseconds.
+/// Maximum deadline that a pipeline may allow, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// One thing that is wrong with a configuration.
+/// An error in a configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum ConfigError {
     /// {path}: "{value}" is not allowed: {allowed}
     InvalidValue {
-        /// Where it stands.
+        /// The path in the document.
         path: String,
-        /// What stands there.
+        /// The value.
         value: String,
-        /// What may stand there.
+        /// The values that are allowed.
         allowed: &'static str,
     },
-    /// {path}: "{name}" stands twice
+    /// {path}: "{name}" is defined more than once
     Duplicate {
-        /// Where it stands.
+        /// The path in the document.
         path: String,
         /// The name.
         name: String,
     },
     /// {path}: "{name}" is not defined
     Undefined {
-        /// Where it stands.
+        /// The path in the document.
         path: String,
         /// The name.
         name: String,
@@ -40,13 +40,14 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Collects errors while a document is walked.
+/// Collects the errors of a document.
 #[derive(Default)]
 struct Checker {
     errors: Vec<ConfigError>,
 }
 
 impl Checker {
+    /// Reports `value` unless it lies within `min..=max`.
     fn check_range(&mut self, path: &str, value: u64, min: u64, max: u64, allowed: &'static str) {
         if !(min..=max).contains(&value) {
             let (path, value) = (path.to_owned(), value.to_string());
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Reports names that are repeated, empty or too long, and returns the valid ones.
     fn check_unique<'a>(&mut self, path: &str, names: impl Iterator<Item = &'a String>) -> BTreeSet<&'a str> {
         let mut names_seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
@@ -76,6 +78,7 @@
         names_seen
     }
 
+    /// Reports `name` unless it is one of `known`.
     fn check_defined(&mut self, path: String, name: &str, known: &BTreeSet<&str>) {
         if !known.contains(name) {
             self.errors.push(ConfigError::Undefined {
@@ -86,7 +89,7 @@
     }
 }
 
-/// Everything that is wrong with `document`.
+/// Returns all errors of `document`; empty when it is valid.
 pub(super) fn check(document: &ConfigDocument) -> Vec<ConfigError> {
     let head = &document.head;
     let mut checker = Checker::default();
--- a/crates/barleyspool_core/src/config/document.rs
+++ b/crates/barleyspool_core/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The documents of the configuration service, as they are written.
+//! The documents of the configuration service, in their stored form.
 
 use crate::Revision;
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigHead {
-    /// Classes of priority, the most important first.
+    /// Priority classes, the highest priority first.
     pub classes: Vec<Class>,
-    /// Stage pools, engines and plain services.
+    /// Services: stage pools, engines and plain services.
     pub services: Vec<Service>,
     /// Pipelines; a plain service is a pipeline of one stage.
     pub pipelines: Vec<Pipeline>,
-    /// The parts that hold the organisations, with the least revision each must have.
+    /// References to the parts that hold the organisations.
     pub parts: Vec<PartRef>,
-    /// Which engine should hold which model.
+    /// The models that each engine should have loaded.
     #[serde(default)]
     pub placement: Vec<Placement>,
 }
 
-/// One part of the organisations.
+/// A part of the configuration: some of the organisations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigPart {
@@ -29,39 +29,39 @@
     pub organisations: Vec<Organisation>,
 }
 
-/// Names a part and the least revision at which it belongs to its head.
+/// Reference from the head to a part, with the minimum revision of the part that is consistent with the head.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartRef {
     /// The part's key in the configuration service.
     pub key: String,
-    /// The least revision of the part.
+    /// The minimum revision of the part.
     pub revision: Revision,
 }
 
-/// A class of priority.
+/// A priority class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// The most requests of this class that may wait on one node.
+    /// Maximum number of requests of this class that may queue on one node.
     pub queue: u32,
-    /// Whether work of this class may be put off when others need the targets.
+    /// Whether work of this class may be deferred when other classes need the targets.
     #[serde(default)]
     pub deferrable: bool,
 }
 
-/// What kind of target serves a service.
+/// The kind of target that serves a service.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
     /// A pool of encoders, retrievers or rerankers.
     #[default]
     Pool,
-    /// A model engine, which streams its answer.
+    /// A model engine, which streams its output.
     Engine,
-    /// A plain service beside the engines.
+    /// A plain service, neither a pool nor an engine.
     Plain,
 }
 
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name, as the fleet list uses it.
+    /// Its name, which the fleet list refers to.
     pub name: String,
-    /// What serves it.
+    /// The kind of its targets.
     pub kind: ServiceKind,
-    /// What a call takes, in milliseconds, until something has been measured.
+    /// The expected time of a call in milliseconds, used until there are samples.
     pub expected_ms: u64,
-    /// What a second of it costs, in accelerator-seconds.
+    /// The cost of one second of a call, in accelerator-seconds.
     pub cost: f64,
 }
 
@@ -88,7 +88,7 @@
     /// Whether this stage may run at most once for a request.
     #[serde(default)]
     pub unrepeatable: bool,
-    /// The model it needs, if the service is made of engines.
+    /// The model that it needs, if engines serve it; empty for none.
     #[serde(default)]
     pub model: String,
 }
@@ -101,7 +101,7 @@
     pub name: String,
     /// Its class.
     pub class: String,
-    /// The furthest that a deadline may lie ahead, in milliseconds.
+    /// The maximum time from the arrival of a request to its deadline, in milliseconds.
     pub deadline_ms: u64,
     /// Its stages in order.
     pub stages: Vec<Stage>,
@@ -113,41 +113,41 @@
 pub struct Organisation {
     /// Its name.
     pub name: String,
-    /// Its share among organisations of the same class.
+    /// Its weight in the fair sharing of targets between organisations of the same class.
     pub weight: u32,
-    /// The pipelines it may use; none named means all.
+    /// The pipelines that it may use; empty for all.
     #[serde(default)]
     pub pipelines: Vec<String>,
 }
 
-/// What an engine should hold.
+/// The models that an engine should have loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
-    /// The target, as the fleet list numbers it.
+    /// The target's id in the fleet list.
     pub target: crate::TargetId,
-    /// The models it should hold, with versions, such as "summary@3".
+    /// The models to load, with versions, such as "summary@3".
     pub models: Vec<String>,
-    /// How much it matters that this is done soon; higher is sooner.
+    /// The urgency of the change; higher values come first.
     #[serde(default)]
     pub urgency: u32,
 }
 
-/// A part at the revision at which it was read.
+/// A part with its key and the revision at which it was read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionedPart {
     /// The part's key.
     pub key: String,
     /// Its revision.
     pub revision: Revision,
-    /// What it holds; shared, since most parts stay as they are when one changes.
+    /// The part itself; shared, since most parts stay unchanged between revisions.
     pub part: Arc<ConfigPart>,
 }
 
-/// A whole configuration at one revision: the head and all its parts.
+/// A configuration at one revision: the head and all its parts.
 ///
-/// Between nodes the same type carries a change: the head with only those parts that the asking node
-/// does not have. [`ConfigDocument::complete_with`] makes it whole again.
+/// Between nodes the same type carries a change: the head with only the parts that the requesting node lacks.
+/// [`ConfigDocument::complete_with`] completes such a document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDocument {
     /// The head's revision.
@@ -159,12 +159,12 @@
 }
 
 impl ConfigDocument {
-    /// All organisations of all parts.
+    /// The organisations of all parts.
     pub fn organisations(&self) -> impl Iterator<Item = &Organisation> {
         self.parts.iter().flat_map(|part| &part.part.organisations)
     }
 
-    /// This document without the parts that a node at revision `have` has already.
+    /// A copy of this document without the parts that a node at revision `known` has already.
     pub fn changes_since(&self, known: Revision) -> Self {
         let parts = self
             .parts
@@ -179,10 +179,10 @@
         }
     }
 
-    /// Fills in, from `older`, the parts that this document was sent without.
+    /// Completes this document with the parts of `older` that it was sent without.
     ///
-    /// `None` when a part that the head names is in neither, or is older than the head demands: such a
-    /// document is not accepted, and the node asks again.
+    /// Returns `None` when a part that the head refers to is in neither document, or is older than the head
+    /// requires. Such a document is not accepted, and the node fetches it again.
     pub fn complete_with(&self, older: Option<&Self>) -> Option<Self> {
         let find = |required: &PartRef| {
             let own = self.parts.iter().find(|part| part.key == required.key);
--- a/crates/barleyspool_core/src/config/resolved.rs
+++ b/crates/barleyspool_core/src/config/resolved.rs
@@ -1,4 +1,4 @@
-//! A configuration that has been checked, with its names resolved.
+//! A configuration that passed the check, with its names resolved to indices.
 
 use super::check::check;
 use super::{
@@ -8,45 +8,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A stage with its names resolved.
+/// A stage of a pipeline, with its service resolved.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResolvedStage {
     /// The service that runs it.
     pub service: ServiceIx,
-    /// Whether it may run at most once for a request.
+    /// Whether this stage may run at most once for a request.
     pub unrepeatable: bool,
-    /// The model it needs; empty for none.
+    /// The model that it needs; empty for none.
     pub model: String,
 }
 
-/// A pipeline with its names resolved.
+/// A pipeline with its class and services resolved.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResolvedPipeline {
     /// Its name.
     pub name: String,
     /// Its class.
     pub class: ClassIx,
-    /// The furthest that a deadline may lie ahead.
+    /// The maximum time from the arrival of a request to its deadline.
     #[serde(rename = "longest")]
     pub max_deadline: Span,
     /// Its stages in order.
     pub stages: Vec<ResolvedStage>,
 }
 
-/// A configuration that has been checked and resolved; what all decisions read.
+/// A checked and resolved configuration, which the router and the control state work from.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     /// Its revision.
     pub revision: Revision,
-    /// Classes, the most important first.
+    /// Priority classes, the highest priority first.
     pub classes: Vec<Class>,
-    /// Services.
+    /// Services, indexed by [`ServiceIx`]; includes those that a newer revision no longer defines.
     pub services: Vec<Service>,
-    /// Pipelines.
+    /// Pipelines, indexed by [`PipelineIx`].
     pub pipelines: Vec<ResolvedPipeline>,
-    /// Organisations.
+    /// Organisations, indexed by [`OrgIx`].
     pub organisations: Vec<Organisation>,
-    /// Wanted placement of models.
+    /// The models that each engine should have loaded.
     pub placement: Vec<Placement>,
     pipeline_names: HashMap<String, PipelineIx>,
     org_names: HashMap<String, OrgIx>,
@@ -54,14 +54,14 @@
 }
 
 impl Config {
-    /// Checks `document` whole and resolves its names.
+    /// Checks all of `document` and resolves its names.
     ///
-    /// The verdict depends on nothing but the document, so all nodes judge alike. `previous` only keeps the
-    /// numbers of services: a service has the same [`ServiceIx`] for as long as the process lives, so that
-    /// requests which run under an older revision can share queues with newer ones.
+    /// Whether it is accepted depends only on the document, so all nodes decide alike. `previous` only
+    /// preserves the indices of services: a service keeps its [`ServiceIx`] for the lifetime of the process, so that
+    /// requests that run under an older revision can share queues with newer ones.
     ///
     /// # Errors
-    /// Everything that is wrong, not just the first.
+    /// All errors of the document, not only the first.
     pub fn from_document(
         document: &ConfigDocument,
         previous: Option<&Self>,
@@ -69,6 +69,7 @@
         Self::check_and_resolve(document, previous, Guards::default())
     }
 
+    /// [`Config::from_document`] with `guards` in force.
     pub(crate) fn check_and_resolve(
         document: &ConfigDocument,
         previous: Option<&Self>,
@@ -83,17 +84,17 @@
         }
     }
 
-    /// The pipeline of that name.
+    /// The index of the pipeline with this name.
     pub fn pipeline(&self, name: &str) -> Option<PipelineIx> {
         self.pipeline_names.get(name).copied()
     }
 
-    /// The organisation of that name.
+    /// The index of the organisation with this name.
     pub fn organisation(&self, name: &str) -> Option<OrgIx> {
         self.org_names.get(name).copied()
     }
 
-    /// The service of that name.
+    /// The index of the service with this name.
     pub fn service(&self, name: &str) -> Option<ServiceIx> {
         self.service_names.get(name).copied()
     }
--- a/crates/barleyspool_core/src/control/config_store.rs
+++ b/crates/barleyspool_core/src/control/config_store.rs
@@ -1,10 +1,10 @@
-//! The configuration in force. Its revision only moves up, and a faulty one never replaces a good one.
+//! The configuration in force. Its revision only increases, and an invalid document never replaces it.
 
 use super::ControlCounters;
 use crate::{Config, ConfigDocument, ConfigError, Guard, Guards, Revision};
 use std::sync::Arc;
 
-/// The configuration in force, and the last one that was rejected.
+/// The configuration in force, and the errors of the last document that was rejected.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     guards: Guards,
@@ -14,14 +14,14 @@
 }
 
 impl ConfigStore {
-    /// A store with nothing in force.
+    /// Creates a store without a configuration.
     pub fn new(guards: Guards) -> Self {
         Self {
             guards,
             ..Self::default()
         }
     }
-    /// Offers a whole document; true when it is now in force.
+    /// Checks a complete document and puts it in force if it is newer and valid; returns whether it did.
     pub fn offer(&mut self, document: &ConfigDocument, counters: &mut ControlCounters) -> bool {
         if document.revision <= self.revision() && self.guards.enforces(Guard::RevisionMonotonic) {
             counters.stale += u64::from(document.revision < self.revision());
@@ -47,14 +47,14 @@
         self.config.as_ref().map_or(Revision(0), |config| config.revision)
     }
 
-    /// The last revision that was rejected; zero when none was.
+    /// The revision that was rejected last; zero when none was.
     pub fn rejected_revision(&self) -> Revision {
         self.rejected
             .as_ref()
             .map_or(Revision(0), |(revision, _)| *revision)
     }
 
-    /// What was wrong with it.
+    /// The errors of the last document that was rejected; empty when none was.
     pub fn errors(&self) -> &[ConfigError] {
         self.rejected.as_ref().map_or(&[], |(_, errors)| errors)
     }
@@ -64,7 +64,7 @@
         self.config.as_ref()
     }
 
-    /// The document in force, for peers that are behind.
+    /// The document in force, from which peers at an older revision are updated.
     pub fn document(&self) -> Option<&ConfigDocument> {
         self.document.as_ref()
     }
--- a/crates/barleyspool_core/src/control/counters.rs
+++ b/crates/barleyspool_core/src/control/counters.rs
@@ -1,28 +1,28 @@
-//! What went on in the control state, counted.
+//! Counters of the control state.
 
-/// What went on in the control state, counted.
+/// Counters of the control state, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlCounters {
     /// Configurations accepted.
     pub accepted: u64,
-    /// Configurations refused as faulty.
+    /// Configurations rejected as invalid; a revision counts once.
     pub rejected: u64,
-    /// Configurations older than the one in force.
+    /// Configurations received that are older than the one in force.
     pub stale: u64,
-    /// Fleet lists older than the present one.
+    /// Fleet lists received that are older than the current one.
     pub stale_fleet_lists: u64,
-    /// Fleet lists refused as faulty.
+    /// Fleet lists rejected as invalid.
     pub invalid_fleet_lists: u64,
-    /// Failed reads of the platform.
+    /// Failed reads of the configuration or the fleet list.
     pub failed_reads: u64,
-    /// Starts without a majority of the peers.
+    /// Starts that timed out waiting for a majority of the cell.
     pub starts_without_peers: u64,
-    /// Replies of peers with other lease rules.
+    /// Gossip messages and replies of peers whose lease rules differ.
     pub mismatched_rules: u64,
-    /// Reads made because nobody else had read for too long.
+    /// Reads by a node that keeps no watch, since no read of its peers was recent enough.
     pub fallback_reads: u64,
-    /// Questions to peers.
+    /// Gossip messages sent to peers.
     pub gossip_sent: u64,
-    /// Replies of peers.
+    /// Replies received from peers.
     pub replies_received: u64,
 }
--- a/crates/barleyspool_core/src/control/gossip.rs
+++ b/crates/barleyspool_core/src/control/gossip.rs
@@ -1,15 +1,17 @@
-//! What a node and its peers tell each other, and who reads the platform.
+//! Gossip with peers, and the choice of the nodes that read the platform.
 
 use super::{Control, ControlAction, NodePhase};
 use crate::{Gossip, Guard, LeavingTarget, PeerReply, Span, Time, rendezvous};
 use rand::seq::IteratorRandom;
 
-/// How many nodes of a zone read the configuration service; their number does not grow with the fleet.
+/// Nodes of a zone that watch the configuration service and the fleet list. The number is constant, so that the
+/// load on the platform does not grow with the fleet.
 const READERS_PER_ZONE: usize = 2;
-/// The most leaving targets that one message names.
+/// Maximum number of leaving targets in one message.
 const MAX_LEAVING: usize = 64;
 
 impl Control {
+    /// The gossip message that describes this node at `now`.
     pub(super) fn own_gossip(&self, now: Time) -> Gossip {
         Gossip {
             from: self.settings.node,
@@ -25,6 +27,7 @@
         }
     }
 
+    /// The leaving targets to gossip, at most [`MAX_LEAVING`].
     pub(super) fn leaving_targets(&self) -> Vec<LeavingTarget> {
         if !self.settings.guards.enforces(Guard::LeavingGossip) {
             return Vec::new();
@@ -32,7 +35,7 @@
         self.leaving.iter().rev().take(MAX_LEAVING).copied().collect()
     }
 
-    /// Takes what a peer says of itself, whether it asked or replied.
+    /// Merges the gossip of a peer, from a request or a reply.
     pub(super) fn apply_gossip(&mut self, now: Time, gossip: &Gossip) {
         self.peers.apply_gossip(now, gossip);
         let read_at = now - Span::from_millis(gossip.read_age.into());
@@ -49,6 +52,7 @@
         }
     }
 
+    /// Merges a peer's reply, applies its lease vote, and fetches what the peer has newer.
     pub(super) fn handle_reply(&mut self, now: Time, asked_at: Time, reply: &PeerReply) {
         self.counters.replies_received += 1;
         self.apply_gossip(now, &reply.gossip);
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Asks peers, renews the plan and sees to the reading of the platform, once per beat.
+    /// Once per heartbeat interval: gossips with peers, updates the platform watches and publishes a plan.
     pub(super) fn heartbeat(&mut self, now: Time) {
         if now < self.next_heartbeat_at {
             return;
@@ -99,7 +103,8 @@
         self.publish(now);
     }
 
-    /// Control addresses to ask now: the cell, a few others, and the seeds while there is no list.
+    /// Control addresses to gossip with now: the cell and `fanout` random nodes of the region, or the seeds
+    /// while there is no fleet list.
     pub(super) fn gossip_addresses(&mut self) -> Vec<String> {
         let voters = self.lease.voters();
         let mut addresses: Vec<String> = voters
@@ -118,7 +123,7 @@
         addresses
     }
 
-    /// Whether this node is one of the few of its zone that watch the platform.
+    /// Whether this node is one of the [`READERS_PER_ZONE`] of its zone that watch the platform.
     pub(super) fn is_platform_reader(&self, now: Time) -> bool {
         let in_zone = |entry: &&crate::EntryNode| {
             entry.zone == self.settings.zone && entry.region == self.settings.region
@@ -132,8 +137,8 @@
         let ranked = rendezvous::rank(rendezvous::text_key("readers"), nodes);
         let me = u64::from(self.settings.node.0);
         if ranked.is_empty() {
-            // Before the first list a node reads for itself only if no peer tells it soon: when a whole
-            // zone starts again, the first to read tells the others.
+            // Before the first fleet list a node waits for one from a peer: when a whole zone restarts, the
+            // first node that reads the platform passes its list on to the others.
             return now >= self.first_read_at;
         }
         ranked.iter().take(READERS_PER_ZONE).any(|node| *node == me)
--- a/crates/barleyspool_core/src/control/message.rs
+++ b/crates/barleyspool_core/src/control/message.rs
@@ -1,79 +1,79 @@
-//! What goes into and comes out of the control state.
+//! Events and actions of the control state.
 
 use crate::{
     ConfigDocument, Fleet, Gossip, LeavingTarget, PeerReply, Plan, Revision, Snapshot, TargetRest, Time,
 };
 
-/// What the shell tells the control state.
+/// An event that the control thread reports to the control state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlEvent {
-    /// The configuration service answered.
+    /// The configuration service returned a configuration.
     ConfigRead {
-        /// The whole configuration.
+        /// The configuration with all its parts.
         document: Box<ConfigDocument>,
     },
-    /// The configuration service answered that there is nothing newer.
+    /// The configuration service has no newer configuration.
     ConfigUnchanged,
-    /// The configuration service did not answer, or not with a configuration.
+    /// The read of the configuration failed, or returned no valid document.
     ConfigFailed,
-    /// The platform's fleet list.
+    /// The platform returned a fleet list.
     FleetRead {
         /// The list.
         fleet: Box<Fleet>,
     },
-    /// The fleet list could not be read.
+    /// The read of the fleet list failed.
     FleetFailed,
-    /// A peer replied.
+    /// A peer replied to a gossip message.
     PeerReplied {
-        /// When it was asked.
+        /// When the gossip message was sent.
         asked_at: Time,
-        /// What it said.
+        /// The reply.
         reply: Box<PeerReply>,
     },
-    /// A peer sent what this node did not have.
+    /// A peer returned the changes that this node lacks.
     SnapshotReceived {
-        /// What it sent.
+        /// The changes.
         snapshot: Box<Snapshot>,
     },
-    /// A target said that it is leaving.
+    /// A target reported that it is leaving.
     ReportedLeaving(LeavingTarget),
-    /// A target wants nothing from this node for a while.
+    /// A target requested a cooldown from this node.
     CooldownRequested(TargetRest),
-    /// A caller has seen a newer configuration.
+    /// A caller sent a revision that is newer than the one in force.
     NewerRevisionSeen,
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
-    /// How much the traffic threads still have to do.
+    /// Requests that the traffic threads have not finished.
     LiveRequests(usize),
-    /// Time passed.
+    /// Only time has passed.
     Tick,
 }
 
-/// What the control state wants done.
+/// An action that the control thread executes for the control state.
 #[derive(Clone, Debug)]
 pub enum ControlAction {
-    /// Ask a peer: say this, and report its reply.
+    /// Send a gossip message to a peer and report its reply as [`ControlEvent::PeerReplied`].
     SendGossip {
-        /// Its control address.
+        /// The peer's control address.
         address: String,
-        /// What to say.
+        /// The message.
         gossip: Gossip,
     },
-    /// Fetch what a peer has and this node has not.
+    /// Fetch from a peer the changes that this node lacks.
     FetchSnapshot {
         /// The peer's bulk address.
         address: String,
-        /// The configuration this node has.
+        /// The configuration revision of this node.
         config: Revision,
-        /// The fleet list this node has.
+        /// The fleet list revision of this node.
         fleet: Revision,
     },
-    /// Whether to keep one watch on the configuration service and one on the fleet list.
+    /// Start or stop the watches on the configuration service and on the fleet list.
     Watch(bool),
-    /// Read the configuration service and the fleet list once.
+    /// Read the configuration and the fleet list once.
     ReadPlatform,
-    /// Hand this plan to the traffic threads.
+    /// Publish a plan to the traffic threads.
     Publish(Box<Plan>),
-    /// Everything is done: leave.
+    /// The planned stop is complete: exit the process.
     Exit,
 }
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -1,6 +1,7 @@
-//! The control state of an entry node: what is in force, who is there, and under which lease it serves.
+//! The control state of an entry node: the configuration in force, the fleet list, the peers and the lease.
 //!
-//! Like the router it is stepped with the time and what happened. What it knows leaves it as a [`Plan`].
+//! It is a state machine without I/O: [`Control::step`] takes the current time and an event, and returns the
+//! actions to execute. The traffic threads receive its state as a [`Plan`].
 
 mod config_store;
 mod counters;
@@ -28,13 +29,13 @@
 use std::sync::Arc;
 
 symbol! {
-    /// Whether a node serves.
+    /// Readiness of a node.
     NodePhase {
-        /// It has no configuration.
+        /// The node has no configuration.
         Empty = "empty",
-        /// It has one, and asks its peers whether they know better.
+        /// The node has a configuration and asks its peers whether they have a newer one.
         CatchingUp = "catching_up",
-        /// It serves.
+        /// The node admits requests.
         Serving = "serving",
         /// A planned stop is under way.
         Stopping = "stopping",
@@ -42,20 +43,21 @@
 }
 
 symbol! {
-    /// What can happen to a node's readiness.
+    /// Events that change a node's readiness.
     NodeEvent {
         /// A configuration was accepted.
         Accepted = "accepted",
-        /// A majority of peers was heard, or the wait for them is over.
+        /// A majority of the cell has replied, or the startup timeout has expired.
         CaughtUp = "caught_up",
-        /// A planned stop was asked for.
+        /// A planned stop was requested.
         Stop = "stop",
     }
 }
 
 const CONFIGURATION_CHART: &str = include_str!("../../../../charts/configuration.json");
 
-/// When a starting node that no peer has told anything reads the platform itself, at random in between.
+/// Range of the random delay after which a starting node that has received no fleet list from a peer reads the
+/// platform itself.
 const FIRST_READ_DELAY: (Span, Span) = (Span::from_millis(100), Span::from_millis(1500));
 
 /// The control state of one entry node.
@@ -70,15 +72,19 @@
     lease: Lease,
     peers: PeerTable,
     leaving: BTreeSet<LeavingTarget>,
-    /// Until when runs of targets want nothing from this node.
+    /// End of the cooldown that an incarnation of a target requested from this node.
     cooldowns: BTreeMap<(TargetId, Incarnation), Time>,
     started_at: Time,
+    /// The latest read of the configuration service that this node knows of, by any node.
     read_at: Time,
     next_heartbeat_at: Time,
+    /// The earliest time of the next read by a node that keeps no watch.
     next_read_at: Time,
     first_read_at: Time,
     stop_at: Option<Time>,
+    /// Requests that the traffic threads have not finished.
     live_requests: usize,
+    /// The last value of [`ControlAction::Watch`]; `None` before the first.
     watches_platform: Option<bool>,
     random: SmallRng,
     counters: ControlCounters,
@@ -86,10 +92,10 @@
 }
 
 impl Control {
-    /// The control state of a node that starts at `now` and knows nothing but its settings.
+    /// Creates the control state of a node that starts at `now`, with no configuration and no fleet list.
     ///
     /// # Errors
-    /// When a chart file does not fit the code.
+    /// When a state chart file does not match the states and events of the code.
     pub fn new(settings: ControlSettings, now: Time) -> Result<Self, ChartError> {
         let chart: Chart<NodePhase, NodeEvent> = Chart::load("configuration", CONFIGURATION_CHART)?;
         let mut random = SmallRng::seed_from_u64(settings.seed);
@@ -120,7 +126,7 @@
         })
     }
 
-    /// Tells the control state what happened at `now`, and takes what it wants done.
+    /// Handles an event at `now` and returns the actions to execute, in order.
     pub fn step(&mut self, now: Time, event: ControlEvent) -> Vec<ControlAction> {
         match event {
             ControlEvent::ConfigRead { document } => {
@@ -145,7 +151,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Answers a peer's question.
+    /// Merges a peer's gossip and returns the reply: this node's gossip and its lease vote for the peer.
     pub fn answer_gossip(&mut self, now: Time, gossip: &Gossip) -> PeerReply {
         self.apply_gossip(now, gossip);
         let vote = if gossip.rules == self.settings.rules {
@@ -160,7 +166,7 @@
         }
     }
 
-    /// What a peer that has `config` and `fleet` does not have yet.
+    /// The changes that a peer at configuration revision `config` and fleet revision `fleet` lacks.
     pub fn snapshot(&self, config: Revision, fleet: Revision) -> Snapshot {
         let document = self
             .store
@@ -173,47 +179,47 @@
     }
 
     // ------------------------------------------------------------------------
-    // What others may look at
+    // Accessors
 
-    /// Whether the node serves.
+    /// The readiness of the node.
     pub fn phase(&self) -> NodePhase {
         self.phase
     }
 
-    /// The revision in force; zero before the first.
+    /// The configuration revision in force; zero before the first.
     pub fn revision(&self) -> Revision {
         self.store.revision()
     }
 
-    /// The configuration in force and what was refused.
+    /// The configuration in force and the last one that was rejected.
     pub fn store(&self) -> &ConfigStore {
         &self.store
     }
 
-    /// The fleet list.
+    /// The latest fleet list.
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
 
-    /// The node's epoch.
+    /// The epoch of the node's lease.
     pub fn epoch(&self) -> Epoch {
         self.lease.epoch()
     }
 
-    /// The peers.
+    /// The other entry nodes.
     pub fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// Whether this node could take `key` as unrepeatable, for operators.
+    /// Checks whether this node could accept an unrepeatable request with `key` at `now`; for operators.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why the lease does not permit it.
     pub fn check_key(&self, now: Time, key: RequestKey) -> Result<(), crate::LeaseRefusal> {
         self.lease.view().check(now, key)
     }
 
-    /// What has been counted.
+    /// Counters of the control state.
     pub fn counters(&self) -> &ControlCounters {
         &self.counters
     }
--- a/crates/barleyspool_core/src/control/peers.rs
+++ b/crates/barleyspool_core/src/control/peers.rs
@@ -1,39 +1,39 @@
-//! The other entry nodes, as this one hears them.
+//! The other entry nodes, from the point of view of this node.
 
 use crate::chart::{Chart, ChartError, symbol};
 use crate::{EntryNode, Fleet, Gossip, Incarnation, NodeId, Revision, Span, Time};
 use std::collections::BTreeMap;
 
 symbol! {
-    /// A peer as this node hears it.
+    /// Reachability of a peer from this node.
     PeerPhase {
-        /// Nothing was heard yet.
+        /// No message has been received from the peer.
         #[serde(rename = "Unheard")]
         Unknown = "unheard",
-        /// It was heard lately.
+        /// A message was received recently.
         #[serde(rename = "Heard")]
         Responsive = "heard",
-        /// It was heard once, but not lately.
+        /// Messages were received, but none recently.
         #[serde(rename = "Silent")]
         Unresponsive = "silent",
-        /// It said that it is stopping.
+        /// The peer announced its planned stop.
         Leaving = "leaving",
     }
 }
 
 symbol! {
-    /// What can happen to a peer.
+    /// Events that change the phase of a peer.
     PeerEvent {
-        /// Something was heard from it.
+        /// A message was received.
         #[serde(rename = "Replied")]
         MessageReceived = "replied",
-        /// Nothing was heard for several beats.
+        /// No message was received for [`MAX_MISSED_HEARTBEATS`] heartbeat intervals.
         #[serde(rename = "Silence")]
         TimedOut = "silence",
-        /// It said that it is stopping.
+        /// The peer announced its planned stop.
         #[serde(rename = "SaidLeaving")]
         LeavingAnnounced = "said_leaving",
-        /// A newer run of it was heard.
+        /// A message of a newer incarnation was received.
         #[serde(rename = "Replaced")]
         Restarted = "replaced",
     }
@@ -41,19 +41,19 @@
 
 const PEER_CHART: &str = include_str!("../../../../charts/peer.json");
 
-/// Beats without a word after which a peer counts as silent.
+/// Heartbeat intervals without a message after which a peer counts as unresponsive.
 const MAX_MISSED_HEARTBEATS: u64 = 4;
 
-/// One peer.
+/// A peer.
 #[derive(Clone, Debug)]
 pub struct PeerEntry {
-    /// As the list has it.
+    /// Its entry in the fleet list.
     pub listed: EntryNode,
-    /// Whether it reports.
+    /// Its phase.
     pub phase: PeerPhase,
-    /// When it last reported.
+    /// When its last message was received; zero before the first.
     pub last_message_at: Time,
-    /// What it last said.
+    /// Its last gossip message.
     pub gossip: Gossip,
     incarnation: Incarnation,
 }
@@ -66,10 +66,10 @@
 }
 
 impl PeerTable {
-    /// An empty table.
+    /// Creates an empty table.
     ///
     /// # Errors
-    /// When the chart file does not fit the code.
+    /// When the state chart file does not match the states and events of the code.
     pub fn new() -> Result<Self, ChartError> {
         Ok(Self {
             chart: Chart::load("peer", PEER_CHART)?,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Takes the entry nodes of a newer list; what was heard of those that stay is kept.
+    /// Applies the entry nodes of a newer fleet list; the state of nodes that stay listed is kept.
     pub fn apply_fleet(&mut self, fleet: &Fleet, own_id: NodeId) {
         self.peers.retain(|id, _| fleet.entry(*id).is_some());
         for listed in fleet.entries.iter().filter(|entry| entry.id != own_id) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes what a peer said of itself.
+    /// Merges a gossip message of a peer; messages of unlisted nodes and of older incarnations are ignored.
     pub fn apply_gossip(&mut self, now: Time, gossip: &Gossip) {
         let Some(peer) = self.peers.get_mut(&gossip.from) else {
             return;
@@ -115,7 +115,7 @@
         peer.gossip.clone_from(gossip);
     }
 
-    /// Notices who has not been heard for several beats.
+    /// Marks the peers that have sent nothing for [`MAX_MISSED_HEARTBEATS`] heartbeat intervals.
     pub fn mark_unresponsive(&mut self, now: Time, heartbeat_interval: Span) {
         for peer in self.peers.values_mut() {
             if now.since(peer.last_message_at).0 > heartbeat_interval.0 * MAX_MISSED_HEARTBEATS {
@@ -129,7 +129,7 @@
         self.peers.get(&id).map(|peer| peer.listed.control.clone())
     }
 
-    /// The highest configuration revision that any peer has said to have.
+    /// The highest configuration revision that any peer has reported.
     pub fn newest_config(&self) -> Revision {
         self.peers
             .values()
@@ -138,14 +138,14 @@
             .unwrap_or_default()
     }
 
-    /// Whether a peer was heard once, but not lately.
+    /// Whether a peer has sent messages before, but none recently.
     pub fn is_unresponsive(&self, id: NodeId) -> bool {
         self.peers
             .get(&id)
             .is_some_and(|peer| peer.phase == PeerPhase::Unresponsive)
     }
 
-    /// Whether a peer said that it is stopping.
+    /// Whether a peer has announced its planned stop.
     pub fn is_leaving(&self, id: NodeId) -> bool {
         self.peers
             .get(&id)
--- a/crates/barleyspool_core/src/control/planning.rs
+++ b/crates/barleyspool_core/src/control/planning.rs
@@ -1,10 +1,11 @@
-//! The plan for the traffic threads, and the planned stop.
+//! The plan that the traffic threads work from, and the planned stop.
 
 use super::{Control, ControlAction, NodeEvent, NodePhase};
 use crate::{Guard, ListState, Plan, PlanPeer, Serving, Time};
 use std::sync::Arc;
 
 impl Control {
+    /// Begins a planned stop and announces it at once; later requests change nothing.
     pub(super) fn begin_stop(&mut self, now: Time) {
         if self.chart.step(&mut self.phase, NodeEvent::Stop) {
             self.stop_at = Some(now);
@@ -13,7 +14,7 @@
         }
     }
 
-    /// Leaves when nothing is in flight and no caller can still hold this node's address.
+    /// Exits when no request is live and no caller can still have this node's address cached.
     pub(super) fn exit_when_drained(&mut self, now: Time) {
         let Some(stop_at) = self.stop_at else { return };
         let is_drained = self.live_requests == 0 && now.since(stop_at) >= self.settings.address_ttl;
@@ -22,12 +23,13 @@
         }
     }
 
+    /// Publishes the current plan, which also refreshes it.
     pub(super) fn publish(&mut self, now: Time) {
         let plan = self.plan(now);
         self.actions.push(ControlAction::Publish(Box::new(plan)));
     }
 
-    /// What the traffic threads should act on now.
+    /// The plan at `now`.
     pub fn plan(&self, now: Time) -> Plan {
         let serving = match self.phase {
             NodePhase::Empty | NodePhase::CatchingUp => Serving::CatchingUp,
@@ -48,6 +50,7 @@
         }
     }
 
+    /// The entry nodes of this node's region, this node included, that callers can be redirected to.
     pub(super) fn plan_peers(&self) -> Vec<PlanPeer> {
         let in_region = self
             .fleet
--- a/crates/barleyspool_core/src/control/settings.rs
+++ b/crates/barleyspool_core/src/control/settings.rs
@@ -1,43 +1,44 @@
-//! What a control state is set up with.
+//! Settings of the control state.
 
 use crate::{CellId, Guards, Incarnation, LeaseRules, NodeId, Span, SubsetSize};
 
-/// What a control state is set up with.
+/// Settings of the control state of one entry node.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// This node.
+    /// The id of this node.
     pub node: NodeId,
-    /// This run of it.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// The availability zone of the node.
     pub zone: String,
-    /// Its region.
+    /// The region of the node.
     pub region: String,
-    /// Its cell.
+    /// The cell of the node: the group of nodes that vote for each other's leases.
     pub cell: CellId,
-    /// Where callers connect: IP number and port.
+    /// The address for callers: IP address and port.
     pub address: String,
-    /// Control addresses of peers to ask before the first fleet list.
+    /// Control addresses of peers to gossip with before the first fleet list.
     pub seeds: Vec<String>,
-    /// The spans on which the lease rests.
+    /// The durations of the lease protocol.
     pub rules: LeaseRules,
-    /// How many targets the node uses.
+    /// The number of targets that the node uses.
     pub subset: SubsetSize,
-    /// The time between two questions to a peer.
+    /// The interval between two gossip messages to a peer.
     pub heartbeat_interval: Span,
-    /// How long a starting node waits for a majority of its peers before it serves without them.
+    /// How long a starting node waits for a majority of its cell before it serves without one.
     pub startup_timeout: Span,
-    /// A node reads the configuration service itself when nobody has for this long.
+    /// The age of the last known read of the configuration service after which a node without watches reads it
+    /// itself.
     pub max_read_age: Span,
-    /// How many peers outside its cell a node asks per beat.
+    /// The number of peers outside its cell that a node gossips with per heartbeat interval.
     pub fanout: usize,
-    /// How long callers keep an answer to `Ask`.
+    /// How long callers cache the addresses in a reply to `Ask`.
     pub address_ttl: Span,
-    /// Seed of the random choices.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Where peers fetch: IP number and port.
+    /// The address from which peers fetch snapshots: IP address and port.
     pub bulk_address: String,
-    /// The guards in force; all of them but in proofs.
+    /// The guards in force: all of them, except in tests that show what one guard prevents.
     pub guards: Guards,
 }
 
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -1,4 +1,4 @@
-//! Taking configurations and fleet lists, and what follows from them.
+//! Updates of the configuration, the fleet list and the state of targets.
 
 use super::{Control, ControlAction, NodeEvent, NodePhase};
 use crate::{
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 
 impl Control {
+    /// Offers a document to the store and, when it is accepted, publishes the new plan.
     pub(super) fn apply_document(&mut self, now: Time, document: &ConfigDocument) {
         if self.store.offer(document, &mut self.counters) {
             self.chart.step(&mut self.phase, NodeEvent::Accepted);
@@ -18,6 +19,7 @@
         }
     }
 
+    /// Applies a newer, valid fleet list to the lease, the peers and the targets.
     pub(super) fn apply_fleet(&mut self, now: Time, fleet: Fleet) {
         if fleet.revision <= self.fleet.revision {
             self.counters.stale_fleet_lists += u64::from(fleet.revision < self.fleet.revision);
@@ -44,6 +46,7 @@
         self.publish(now);
     }
 
+    /// Applies the changes that a peer returned.
     pub(super) fn handle_snapshot(&mut self, now: Time, snapshot: Snapshot) {
         if let Some(fleet) = snapshot.fleet {
             self.apply_fleet(now, fleet);
@@ -56,6 +59,7 @@
         }
     }
 
+    /// Marks a target as leaving until the fleet list drops it or has a newer incarnation of it.
     pub(super) fn handle_leaving(&mut self, now: Time, target: LeavingTarget) {
         if self.leaving.insert(target) {
             self.rebuild_targets();
@@ -63,6 +67,7 @@
         }
     }
 
+    /// Extends the cooldown of a target; a request that ends earlier than the current one changes nothing.
     pub(super) fn handle_cooldown(&mut self, now: Time, cooldown: TargetRest) {
         self.cooldowns.retain(|_, until| *until > now);
         let until = self
@@ -76,6 +81,7 @@
         }
     }
 
+    /// Rebuilds the list of targets that this node uses, with its share of each target's slots.
     pub(super) fn rebuild_targets(&mut self) {
         let Some(config) = self.store.config() else { return };
         let me = self.own_entry();
@@ -116,7 +122,7 @@
         self.targets = Arc::new(targets);
     }
 
-    /// This node as the list has it, or as its settings say while it is not listed.
+    /// This node's entry in the fleet list, or one built from its settings while it is not listed.
     pub(super) fn own_entry(&self) -> crate::EntryNode {
         self.fleet
             .entry(self.settings.node)
@@ -131,8 +137,8 @@
             })
     }
 
-    /// Leaves the catching-up state when a majority of the cell replied and nobody knows a newer
-    /// configuration, or when the wait for that is over.
+    /// Starts to serve when a majority of the cell has replied and no peer has reported a newer
+    /// configuration, or when the startup timeout has expired.
     pub(super) fn check_caught_up(&mut self, now: Time) {
         if self.phase != NodePhase::CatchingUp {
             return;
@@ -151,7 +157,7 @@
         }
     }
 
-    /// A caller knows a newer configuration: ask everywhere at once.
+    /// Gossips at once, and reads the platform unless a read was recent, after a caller sent a newer revision.
     pub(super) fn handle_newer_revision(&mut self, now: Time) {
         self.next_heartbeat_at = now;
         if now >= self.next_read_at {
@@ -159,6 +165,8 @@
         }
     }
 
+    /// Reads the platform once; the next read follows after one to two times `max_read_age`, at random so that
+    /// nodes do not read in step.
     pub(super) fn read_platform(&mut self, now: Time) {
         let jitter = self.random.random_range(0..=self.settings.max_read_age.0);
         self.next_read_at = now + self.settings.max_read_age + Span(jitter);
