--- a/crates/barleyspool_core/tests/forward_choice.rs
+++ b/crates/barleyspool_core/tests/forward_choice.rs
@@ -1,4 +1,4 @@
-//! Which target answers a forwarded call.
+//! The choice of a target for a forwarded call.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -13,16 +13,16 @@
 }
 
 fn table(count: usize) -> TargetTable {
-    let entry = |place: usize| TargetEntry {
-        id: format!("i-{place}"),
+    let entry = |index: usize| TargetEntry {
+        id: format!("i-{index}"),
         service: "s".to_owned(),
-        address: format!("10.0.0.{place}:80"),
-        zone: ["a", "b"][place % 2].to_owned(),
+        address: format!("10.0.0.{index}:80"),
+        zone: ["a", "b"][index % 2].to_owned(),
         slots: 6,
         ..TargetEntry::default()
     };
     (0..count)
-        .map(|place| (format!("i-{place}"), entry(place)))
+        .map(|index| (format!("i-{index}"), entry(index)))
         .collect()
 }
 
@@ -39,30 +39,30 @@
         seed,
         ..ForwardSettings::default()
     };
-    let mut forwarder = Forwarder::new(settings).expect("the chart is right");
+    let mut forwarder = Forwarder::new(settings).expect("the state chart is valid");
     forwarder.apply_plan(&plan(table(targets)));
     forwarder
 }
 
-fn need() -> TargetQuery {
+fn query() -> TargetQuery {
     TargetQuery {
         service: "s".to_owned(),
         ..TargetQuery::default()
     }
 }
 
-fn engine_need(prefix: u64) -> TargetQuery {
+fn engine_query(prefix: u64) -> TargetQuery {
     TargetQuery {
         engine_memory: Some(600_000),
         prefix,
         prefix_tokens: 13_000,
         prompt_tokens: 17_000,
-        ..need()
+        ..query()
     }
 }
 
-fn choose(forwarder: &mut Forwarder, now: Time, need: &TargetQuery) -> TargetChoice {
-    match forwarder.choose(now, need) {
+fn choose(forwarder: &mut Forwarder, now: Time, query: &TargetQuery) -> TargetChoice {
+    match forwarder.choose(now, query) {
         ChooseResult::Send(chosen) => chosen,
         ChooseResult::NoCapacity(_) | ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => {
             panic!("a target is free")
@@ -74,59 +74,62 @@
 fn nodes_that_know_the_same_targets_send_a_prefix_to_the_same_engine() {
     let mut one = forwarder(1, 9);
     let mut other = forwarder(2, 9);
-    let mut used = std::collections::BTreeSet::new();
+    let mut engines = std::collections::BTreeSet::new();
     for prefix in 1..200 {
-        let need = engine_need(prefix);
-        let home = choose(&mut one, at(0), &need).id;
-        assert_eq!(home, choose(&mut other, at(0), &need).id);
-        used.insert(home);
+        let query = engine_query(prefix);
+        let home = choose(&mut one, at(0), &query).id;
+        assert_eq!(home, choose(&mut other, at(0), &query).id);
+        engines.insert(home);
     }
-    assert_eq!(used.len(), 9, "prefixes are spread over all engines");
+    assert_eq!(engines.len(), 9, "prefixes are spread over all engines");
 }
 
 #[test]
-fn a_prefix_goes_elsewhere_when_its_engine_is_busy_reading() {
+fn a_prefix_goes_to_another_engine_when_its_home_is_busy_with_prefills() {
     let mut forwarder = forwarder(1, 6);
-    let need = engine_need(7);
-    let home = choose(&mut forwarder, at(0), &need);
+    let query = engine_query(7);
+    let home = choose(&mut forwarder, at(0), &query);
     let mut elsewhere = false;
     for _ in 0..8 {
-        let chosen = choose(&mut forwarder, at(0), &need);
+        let chosen = choose(&mut forwarder, at(0), &query);
         elsewhere |= chosen.id != home.id;
-        forwarder.begin(at(0), &need, chosen.target);
+        forwarder.begin(at(0), &query, chosen.target);
     }
-    assert!(elsewhere, "eight long prompts at one engine");
+    assert!(elsewhere, "all eight long prompts went to one engine");
 }
 
 #[test]
 fn a_target_that_failed_is_left_out_and_tried_again_later() {
     let mut forwarder = forwarder(1, 4);
-    let bad = choose(&mut forwarder, at(0), &need());
-    let send = forwarder.begin(at(0), &need(), bad.target);
+    let failed = choose(&mut forwarder, at(0), &query());
+    let send = forwarder.begin(at(0), &query(), failed.target);
     assert!(
         forwarder.end(at(1), send, SendEnd::Unreachable),
-        "it goes into quarantine"
+        "the target is quarantined"
     );
     for ms in 1..100 {
-        assert_ne!(choose(&mut forwarder, at(ms), &need()).id, bad.id);
+        assert_ne!(choose(&mut forwarder, at(ms), &query()).id, failed.id);
     }
-    let again = (500..3000).any(|ms| choose(&mut forwarder, at(ms), &need()).id == bad.id);
-    assert!(again, "one call tries it");
+    let retried = (500..3000).any(|ms| choose(&mut forwarder, at(ms), &query()).id == failed.id);
+    assert!(retried, "the target is tried again");
 }
 
 #[test]
-fn when_most_targets_look_bad_the_view_is_suspect_and_they_stay() {
+fn targets_stay_in_use_when_most_of_them_seem_to_fail() {
     let mut forwarder = forwarder(1, 4);
     for ms in 0..40 {
-        let chosen = choose(&mut forwarder, at(ms), &need());
-        let send = forwarder.begin(at(ms), &need(), chosen.target);
+        let chosen = choose(&mut forwarder, at(ms), &query());
+        let send = forwarder.begin(at(ms), &query(), chosen.target);
         forwarder.end(at(ms), send, SendEnd::Unreachable);
     }
-    assert!(matches!(forwarder.choose(at(41), &need()), ChooseResult::Send(_)));
+    assert!(matches!(
+        forwarder.choose(at(41), &query()),
+        ChooseResult::Send(_)
+    ));
 }
 
 #[test]
-fn a_leaving_or_unlisted_target_gets_nothing() {
+fn a_leaving_or_unlisted_target_gets_no_calls() {
     let mut forwarder = forwarder(1, 2);
     let mut listed = table(2);
     listed.remove("i-0");
@@ -134,16 +137,16 @@
         entry.leaving = true;
     }
     forwarder.apply_plan(&plan(listed));
-    assert!(matches!(forwarder.choose(at(0), &need()), ChooseResult::Busy(_)));
+    assert!(matches!(forwarder.choose(at(0), &query()), ChooseResult::Busy(_)));
 }
 
 #[test]
-fn a_target_that_failed_this_call_is_not_chosen_for_it_again_while_there_are_others() {
+fn a_target_that_failed_a_call_is_avoided_for_it_while_there_are_others() {
     let mut forwarder = forwarder(1, 3);
-    let first = choose(&mut forwarder, at(0), &need());
+    let first = choose(&mut forwarder, at(0), &query());
     let avoiding = TargetQuery {
         avoid: vec![first.target],
-        ..need()
+        ..query()
     };
     for _ in 0..50 {
         assert_ne!(choose(&mut forwarder, at(0), &avoiding).id, first.id);
@@ -153,30 +156,30 @@
 #[test]
 fn calls_stay_in_their_zone_until_its_targets_are_loaded() {
     let mut forwarder = forwarder(1, 4);
-    let first = choose(&mut forwarder, at(0), &need());
+    let first = choose(&mut forwarder, at(0), &query());
     assert!(
         ["i-0", "i-2"].contains(&first.id.as_str()),
         "zone a: {}",
         first.id
     );
-    let mut left = false;
+    let mut left_zone = false;
     for _ in 0..40 {
-        let chosen = choose(&mut forwarder, at(0), &need());
-        left |= !["i-0", "i-2"].contains(&chosen.id.as_str());
-        forwarder.begin(at(0), &need(), chosen.target);
+        let chosen = choose(&mut forwarder, at(0), &query());
+        left_zone |= !["i-0", "i-2"].contains(&chosen.id.as_str());
+        forwarder.begin(at(0), &query(), chosen.target);
     }
-    assert!(left, "forty calls at two targets");
+    assert!(left_zone, "all 40 calls went to the two targets of the zone");
 }
 
 #[test]
-fn a_slow_target_gets_less() {
+fn a_slow_target_gets_fewer_calls() {
     let mut forwarder = forwarder(1, 4);
     let mut counts = std::collections::BTreeMap::new();
     for ms in (0..20_000).step_by(20) {
-        let chosen = choose(&mut forwarder, at(ms), &need());
-        let took = if chosen.id == "i-0" { 600 } else { 60 };
-        let send = forwarder.begin(at(ms), &need(), chosen.target);
-        forwarder.end(at(ms + took), send, SendEnd::Answered { success: true });
+        let chosen = choose(&mut forwarder, at(ms), &query());
+        let latency_ms = if chosen.id == "i-0" { 600 } else { 60 };
+        let send = forwarder.begin(at(ms), &query(), chosen.target);
+        forwarder.end(at(ms + latency_ms), send, SendEnd::Answered { success: true });
         *counts.entry(chosen.id).or_insert(0) += 1;
     }
     let slow = counts.get("i-0").copied().unwrap_or(0);
@@ -186,13 +189,14 @@
 fn placing(prefix: u64) -> TargetQuery {
     TargetQuery {
         placing: Some(Shard { number: 0, of: 1 }),
-        ..engine_need(prefix)
+        ..engine_query(prefix)
     }
 }
 
-/// Nodes that each saw a part of the calls sent long prompts to engines that others kept busy.
+/// Guards against long prompts sent to engines that other nodes keep busy, which came about when each
+/// node chose by its own calls only.
 #[test]
-fn whoever_places_for_all_spreads_new_prefixes_by_load_and_keeps_old_ones_where_they_are() {
+fn an_owner_spreads_new_prefixes_by_load_and_keeps_known_ones_at_their_engine() {
     let mut owner = forwarder(1, 6);
     let mut first = std::collections::BTreeMap::new();
     let mut load = std::collections::BTreeMap::new();
@@ -204,7 +208,7 @@
     }
     assert!(
         load.values().all(|count| *count == 2),
-        "twelve cold prompts at six engines: {load:?}"
+        "twelve new prompts, six engines: {load:?}"
     );
     let mut owner = forwarder(1, 6);
     for (prefix, chosen) in &first {
@@ -218,20 +222,20 @@
 }
 
 #[test]
-fn a_new_owner_finds_idle_prefixes_at_the_home_that_all_nodes_know() {
+fn a_new_owner_places_prefixes_at_the_same_home_as_all_nodes() {
     let mut old = forwarder(1, 6);
     let mut new = forwarder(9, 6);
     for prefix in 1..50 {
-        let idle = choose(&mut old, at(0), &engine_need(prefix)).id;
-        assert_eq!(choose(&mut new, at(0), &placing(prefix)).id, idle);
+        let home = choose(&mut old, at(0), &engine_query(prefix)).id;
+        assert_eq!(choose(&mut new, at(0), &placing(prefix)).id, home);
     }
 }
 
 #[test]
-fn shards_share_all_targets_out() {
+fn each_target_belongs_to_exactly_one_shard() {
     let of = 3;
-    for place in 0..60 {
-        let id = format!("i-{place}");
+    for index in 0..60 {
+        let id = format!("i-{index}");
         let holders = (0..of)
             .filter(|number| Shard { number: *number, of }.holds(rendezvous::text_key(&id)))
             .count();
@@ -239,36 +243,38 @@
     }
 }
 
-/// Reading a long prompt again costs ten times what taking it from an engine that holds it does.
+/// Prefilling a long prompt again costs ten times as much as copying its prefix from an engine that has
+/// it.
 #[test]
-fn an_engine_that_does_not_hold_a_prefix_is_told_which_one_does() {
+fn an_engine_without_the_prefix_gets_the_address_of_one_that_holds_it() {
     let mut forwarder = forwarder(1, 6);
-    let need = TargetQuery {
+    let query = TargetQuery {
         copies: true,
-        ..engine_need(7)
+        ..engine_query(7)
     };
-    let first = choose(&mut forwarder, at(0), &need);
-    assert_eq!(first.source, None, "the home is the one to read it");
-    forwarder.begin(at(0), &need, first.target);
-    // An engine that is busy reading is passed over in the end, and the next one holds nothing of the prompt.
+    let first = choose(&mut forwarder, at(0), &query);
+    assert_eq!(first.source, None, "the home engine prefills the prompt itself");
+    forwarder.begin(at(0), &query, first.target);
+    // An engine that is busy with prefills is passed over at some point, and the next one does not hold
+    // the prefix.
     let mut held = vec![first.address.clone()];
-    let mut told = 0;
+    let mut copied = 0;
     for _ in 0..8 {
-        let chosen = choose(&mut forwarder, at(1), &need);
-        forwarder.begin(at(1), &need, chosen.target);
+        let chosen = choose(&mut forwarder, at(1), &query);
+        forwarder.begin(at(1), &query, chosen.target);
         let holds = held.contains(&chosen.address);
         assert_eq!(chosen.source.is_none(), holds, "{chosen:?}");
         if let Some(source) = chosen.source {
-            assert!(held.contains(&source), "{source} was never sent it");
-            told += 1;
+            assert!(held.contains(&source), "{source} does not hold the prefix");
+            copied += 1;
         }
         held.push(chosen.address);
     }
-    assert!(told > 0, "all eight went to one engine");
-    let alone = TargetQuery {
+    assert!(copied > 0, "all eight calls went to one engine");
+    let without_copies = TargetQuery {
         copies: false,
         avoid: vec![first.target],
-        ..need
+        ..query
     };
-    assert_eq!(choose(&mut forwarder, at(3), &alone).source, None);
+    assert_eq!(choose(&mut forwarder, at(3), &without_copies).source, None);
 }
--- a/crates/barleyspool_core/tests/unmeasured_targets.rs
+++ b/crates/barleyspool_core/tests/unmeasured_targets.rs
@@ -1,4 +1,5 @@
-//! Targets of which nothing is known yet, or not any more, beside one that has just answered fast: whether they get calls at low load.
+//! Targets without recent latency samples, next to one that has just answered fast: they must get calls
+//! at low load.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -9,10 +10,11 @@
 use std::sync::Arc;
 
 /// The time between two calls of a node at low load.
-const GAP: Span = Span::from_millis(10);
-/// The answer to the first call at a target, which makes the connection, and the usual one.
-const FIRST_ANSWER: Span = Span::from_millis(12);
-const ANSWER: Span = Span::from_millis(2);
+const CALL_INTERVAL: Span = Span::from_millis(10);
+/// The latency of the first call to a target, which opens the connection.
+const FIRST_LATENCY: Span = Span::from_millis(12);
+/// The latency of later calls.
+const LATENCY: Span = Span::from_millis(2);
 
 fn entry(id: &str, zone: &str) -> TargetEntry {
     TargetEntry {
@@ -25,12 +27,12 @@
     }
 }
 
-/// A node in zone "a" that calls one target after the other.
+/// A node in zone `a` that makes one call after the other.
 struct Node {
     forwarder: Forwarder,
     table: TargetTable,
     now: Time,
-    /// The targets that were called, in order.
+    /// The targets of all calls so far, in order.
     called: Vec<String>,
 }
 
@@ -42,14 +44,14 @@
             ..ForwardSettings::default()
         };
         Self {
-            forwarder: Forwarder::new(settings).expect("the chart is right"),
+            forwarder: Forwarder::new(settings).expect("the state chart is valid"),
             table: TargetTable::new(),
             now: Time::from_millis(1000),
             called: Vec::new(),
         }
     }
 
-    fn list(&mut self, entry: TargetEntry) {
+    fn list_target(&mut self, entry: TargetEntry) {
         self.table.insert(entry.id.clone(), entry);
         self.forwarder.apply_plan(&ForwardPlan {
             targets: Arc::new(self.table.clone()),
@@ -57,28 +59,28 @@
         });
     }
 
-    /// Makes calls, one after the other, for as long as `lasts`; returns how many went to `id`.
-    fn call(&mut self, lasts: Span, id: &str) -> usize {
-        let need = TargetQuery {
+    /// Makes calls for `duration`, one every [`CALL_INTERVAL`]; returns how many went to `id`.
+    fn call(&mut self, duration: Span, id: &str) -> usize {
+        let query = TargetQuery {
             service: "s".to_owned(),
             ..TargetQuery::default()
         };
         let before = self.called.len();
-        let end = self.now + lasts;
+        let end = self.now + duration;
         while self.now < end {
-            let ChooseResult::Send(chosen) = self.forwarder.choose(self.now, &need) else {
+            let ChooseResult::Send(chosen) = self.forwarder.choose(self.now, &query) else {
                 panic!("a target is free");
             };
-            let answer = if self.called.contains(&chosen.id) {
-                ANSWER
+            let latency = if self.called.contains(&chosen.id) {
+                LATENCY
             } else {
-                FIRST_ANSWER
+                FIRST_LATENCY
             };
-            let send = self.forwarder.begin(self.now, &need, chosen.target);
+            let send = self.forwarder.begin(self.now, &query, chosen.target);
             let answered = SendEnd::Answered { success: true };
-            self.forwarder.end(self.now + answer, send, answered);
+            self.forwarder.end(self.now + latency, send, answered);
             self.called.push(chosen.id);
-            self.now = self.now + GAP;
+            self.now = self.now + CALL_INTERVAL;
         }
         self.called[before..]
             .iter()
@@ -87,32 +89,42 @@
     }
 }
 
-/// Guards against a target that is passed over when it is listed, since those that are known have just answered faster than usual.
+/// Guards against a newly listed target that gets no calls since the known targets have just answered
+/// faster than usual.
 #[test]
-fn a_new_target_is_called_within_a_second_beside_a_fast_one() {
+fn a_new_target_is_called_within_a_second_next_to_a_fast_one() {
     for seed in 1..20 {
         let mut node = Node::new(seed);
-        node.list(entry("i-1", "a"));
+        node.list_target(entry("i-1", "a"));
         node.call(Span::from_millis(100), "i-1");
-        node.list(entry("i-2", "a"));
+        node.list_target(entry("i-2", "a"));
         assert!(node.call(Span::from_secs(1), "i-2") > 0, "seed {seed}");
     }
 }
 
-/// Guards against calls that go on to another zone after a near target's rest, since the far one has just answered faster than usual.
+/// Guards against calls that keep going to another zone after the cooldown of the target in its own zone,
+/// since the remote target has just answered faster than usual.
 #[test]
-fn a_near_target_that_rested_is_preferred_at_once_to_a_far_one() {
-    const REST: Span = Span::from_millis(2400);
+fn after_its_cooldown_a_target_in_the_zone_is_preferred_at_once_to_a_remote_one() {
+    const COOLDOWN: Span = Span::from_millis(2400);
     for calls in [5, 10, 20, 40] {
         let mut node = Node::new(calls);
-        node.list(entry("i-near", "a"));
-        node.forwarder.apply_cooldown(node.now, node.now, "i-near", REST);
-        node.list(entry("i-far", "b"));
-        node.now = node.now + REST;
-        node.now = Time(node.now.0 - GAP.0 * calls);
-        node.call(Span(GAP.0 * calls), "i-far");
-        assert_eq!(node.call(GAP, "i-near"), 1, "the first after {calls} calls");
-        let near = node.call(Span::from_secs(1), "i-near");
-        assert!(near > 50, "{near} of 100 calls after {calls} to the far one");
+        node.list_target(entry("i-near", "a"));
+        node.forwarder
+            .apply_cooldown(node.now, node.now, "i-near", COOLDOWN);
+        node.list_target(entry("i-far", "b"));
+        node.now = node.now + COOLDOWN;
+        node.now = Time(node.now.0 - CALL_INTERVAL.0 * calls);
+        node.call(Span(CALL_INTERVAL.0 * calls), "i-far");
+        assert_eq!(
+            node.call(CALL_INTERVAL, "i-near"),
+            1,
+            "the first after {calls} calls"
+        );
+        let local_calls = node.call(Span::from_secs(1), "i-near");
+        assert!(
+            local_calls > 50,
+            "{local_calls} of 100 calls, after {calls} to the other zone"
+        );
     }
 }
