--- a/crates/barleyspool_core/tests/target_lives.rs
+++ b/crates/barleyspool_core/tests/target_lifecycle.rs
@@ -1,4 +1,5 @@
-//! What a node believes of a target's life: which run of it is meant, whether it may get work, what went with an earlier run.
+//! The lifecycle of targets as a node sees it: which incarnation an entry is of, whether the target may
+//! get work, and which state is dropped with an earlier incarnation.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -18,10 +19,10 @@
     Time::from_millis(ms)
 }
 
-fn entry(id: &str, run: u64, sequence: u64) -> TargetEntry {
+fn entry(id: &str, incarnation: u64, sequence: u64) -> TargetEntry {
     TargetEntry {
         id: id.to_owned(),
-        incarnation: TargetIncarnation(run),
+        incarnation: TargetIncarnation(incarnation),
         sequence,
         service: "s".to_owned(),
         address: format!("10.0.0.{id}:80"),
@@ -49,9 +50,9 @@
     store
 }
 
-fn put(store: &mut TargetStore, now: Time, word: TargetEntry) -> bool {
+fn put(store: &mut TargetStore, now: Time, update: TargetEntry) -> bool {
     let revision = Revision(store.at.0 + 1);
-    store.apply(now, revision, vec![TargetChange::Put(word)])
+    store.apply(now, revision, vec![TargetChange::Put(update)])
 }
 
 fn plan(store: &TargetStore) -> ForwardPlan {
@@ -65,33 +66,44 @@
 }
 
 // ----------------------------------------------------------------------------
-// Words
+// Updates of entries
 
 #[test]
-fn a_later_run_replaces_the_earlier_one_although_it_counts_from_the_start_again() {
+fn a_later_incarnation_replaces_an_earlier_one_although_its_sequence_starts_again() {
     let mut store = store(&[leaving(entry("1", 1000, 50))]);
     assert!(put(&mut store, at(10), entry("1", 2000, 1)));
-    assert!(store.table["1"].accepts_work(), "the new run does not leave");
+    assert!(
+        store.table["1"].accepts_work(),
+        "the new incarnation is not leaving"
+    );
     assert_eq!(store.table["1"].times.restarted_at, at(10));
 }
 
-/// Guards against an entry that calls a target ready after one of its answers has said that it leaves.
+/// Guards against an entry that says that a target is ready after the target has reported in an answer
+/// that it leaves.
 #[test]
-fn a_run_that_said_in_an_answer_that_it_leaves_stays_so_whatever_its_entry_says() {
-    for run in [0, 1000] {
-        let mut store = store(&[entry("1", run, 5), entry("2", run, 5)]);
+fn an_incarnation_that_reported_leaving_stays_leaving_whatever_its_entry_says() {
+    for incarnation in [0, 1000] {
+        let mut store = store(&[entry("1", incarnation, 5), entry("2", incarnation, 5)]);
         let changed_at = store.changed_at;
-        assert!(store.note_leaving(at(10), entry("1", run, 0).incarnation_id()));
-        assert!(!store.note_leaving(at(11), entry("1", run, 0).incarnation_id()));
-        assert_eq!(store.changed_at, changed_at, "the source has told nothing new");
+        assert!(store.note_leaving(at(10), entry("1", incarnation, 0).incarnation_id()));
+        assert!(!store.note_leaving(at(11), entry("1", incarnation, 0).incarnation_id()));
+        assert_eq!(
+            store.changed_at, changed_at,
+            "the list of the source has not changed"
+        );
         assert_eq!(store.services["s"].working, 1);
         let ready = |sequence| TargetEntry {
             slots: 7,
-            ..entry("1", run, sequence)
+            ..entry("1", incarnation, sequence)
         };
         put(&mut store, at(20), ready(6));
         assert!(!store.table["1"].accepts_work());
-        store.replace(at(30), Revision(90), table(&[ready(7), entry("2", run, 6)]));
+        store.replace(
+            at(30),
+            Revision(90),
+            table(&[ready(7), entry("2", incarnation, 6)]),
+        );
         assert!(!store.table["1"].accepts_work());
         store.apply(at(40), Revision(91), vec![TargetChange::Gone("1".to_owned())]);
         put(&mut store, at(50), ready(8));
@@ -100,27 +112,27 @@
     }
 }
 
-/// Guards against a target that is never used again because the run before it left.
+/// Guards against a target that is never used again because its previous incarnation left.
 #[test]
-fn the_run_after_one_that_said_it_leaves_gets_work() {
+fn the_incarnation_after_one_that_reported_leaving_gets_work() {
     let mut store = store(&[entry("1", 1000, 5)]);
     store.note_leaving(at(10), entry("1", 1000, 0).incarnation_id());
     put(&mut store, at(20), entry("1", 2000, 1));
     assert!(store.table["1"].accepts_work());
-    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
+    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the state chart is valid");
     forwarder.apply_plan(&plan(&store));
-    let run = entry("1", 2000, 0).incarnation_id();
+    let incarnation = entry("1", 2000, 0).incarnation_id();
     assert_eq!(
         forwarder.leaving_incarnation(at(19), "1"),
         None,
-        "an answer of the run before"
+        "an answer of the previous incarnation"
     );
-    assert_eq!(forwarder.leaving_incarnation(at(21), "1"), Some(run));
+    assert_eq!(forwarder.leaving_incarnation(at(21), "1"), Some(incarnation));
 }
 
-/// Guards against answers that are read before the entry of their target is listed.
+/// Guards against losing a report of leaving that arrives before the entry of its target.
 #[test]
-fn a_run_that_is_listed_after_it_was_read_to_leave_gets_nothing() {
+fn an_incarnation_listed_after_it_reported_leaving_gets_no_work() {
     let mut store = store(&[entry("2", 0, 1)]);
     assert!(!store.note_leaving(at(10), entry("1", 0, 0).incarnation_id()));
     put(&mut store, at(20), entry("1", 0, 1));
@@ -128,41 +140,49 @@
 }
 
 #[test]
-fn a_word_of_an_earlier_run_or_an_earlier_word_of_the_same_run_changes_nothing() {
+fn an_entry_of_an_earlier_incarnation_or_with_an_earlier_sequence_changes_nothing() {
     let mut store = store(&[entry("1", 2000, 1)]);
     assert!(put(&mut store, at(10), leaving(entry("1", 2000, 5))));
-    for late in [entry("1", 1000, 90), entry("1", 2000, 4)] {
-        assert!(!put(&mut store, at(20), late));
+    for stale in [entry("1", 1000, 90), entry("1", 2000, 4)] {
+        assert!(!put(&mut store, at(20), stale));
         assert!(store.table["1"].leaving);
     }
-    let whole = table(&[entry("1", 1000, 90)]);
+    let full_list = table(&[entry("1", 1000, 90)]);
     assert!(
-        !store.replace(at(30), Revision(100), whole),
-        "also in a whole list"
+        !store.replace(at(30), Revision(100), full_list),
+        "also in a full list"
     );
     assert_eq!(store.table["1"].incarnation, TargetIncarnation(2000));
 }
 
 #[test]
-fn a_late_word_does_not_bring_back_a_target_that_is_gone() {
+fn a_stale_entry_does_not_bring_back_a_removed_target() {
     let mut store = store(&[entry("1", 2000, 7)]);
     store.apply(at(10), Revision(2), vec![TargetChange::Gone("1".to_owned())]);
     assert!(!put(&mut store, at(500), entry("1", 1000, 90)));
     assert!(!put(&mut store, at(500), entry("1", 2000, 6)));
     assert!(store.table.is_empty());
-    assert!(put(&mut store, at(600), entry("1", 2000, 8)), "it writes again");
-    assert_eq!(store.table["1"].times.appeared_at, Time(0), "and is no new one");
+    assert!(
+        put(&mut store, at(600), entry("1", 2000, 8)),
+        "the target writes a newer entry"
+    );
+    assert_eq!(
+        store.table["1"].times.appeared_at,
+        Time(0),
+        "the target does not count as new"
+    );
     store.apply(at(700), Revision(90), vec![TargetChange::Gone("1".to_owned())]);
     assert!(
         put(&mut store, at(800), entry("1", 3000, 1)),
-        "nor is a later run older"
+        "a later incarnation is newer"
     );
     assert_eq!(store.table["1"].times.restarted_at, at(800));
 }
 
-/// Deployments whose targets do not tell when they started give each start another id, and the order of the source counts.
+/// If the entries of a deployment state no incarnation, each start of a target has a new id, and the
+/// order of the source decides.
 #[test]
-fn without_a_run_the_source_says_which_word_is_newer() {
+fn without_an_incarnation_the_order_of_the_source_decides_which_entry_is_newer() {
     let mut store = store(&[entry("1", 0, 9)]);
     assert!(put(&mut store, at(10), leaving(entry("1", 0, 3))));
     assert!(store.table["1"].leaving);
@@ -170,56 +190,60 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_target_also_where_a_good_one_stood_before() {
+fn a_target_with_an_unreadable_entry_gets_no_work_even_if_it_was_readable_before() {
     let mut store = store(&[entry("1", 1000, 1), entry("2", 1000, 1)]);
     assert!(put(&mut store, at(10), TargetEntry::unreadable("1")));
     assert!(!store.table["1"].accepts_work() && !store.table["1"].accepts_release());
-    assert!(store.table["2"].accepts_work(), "the others hold");
+    assert!(
+        store.table["2"].accepts_work(),
+        "the other entries are unaffected"
+    );
     assert_eq!(store.services["s"].working, 1);
     assert!(
         !put(&mut store, at(20), TargetEntry::unreadable("1")),
-        "that is nothing new"
+        "the entry was unreadable before"
     );
     assert!(
         !put(&mut store, at(25), entry("1", 500, 9)),
-        "an old word is no good one"
+        "an older entry does not replace it"
     );
     assert!(put(&mut store, at(30), entry("1", 1000, 2)));
     assert!(store.table["1"].accepts_work());
-    let mut without = entry("1", 0, 3);
-    without.leaving = false;
-    put(&mut store, at(40), without);
+    let mut without_incarnation = entry("1", 0, 3);
+    without_incarnation.leaving = false;
+    put(&mut store, at(40), without_incarnation);
     assert!(
         !store.table["1"].accepts_work(),
-        "a target that told its start always does"
+        "a target that has stated its incarnation always states it"
     );
 }
 
-type Word = (u8, u8, bool, bool);
+type EntryUpdate = (u8, u8, bool, bool);
 
 quickcheck! {
-    /// Whatever reaches a node, in whichever order and however often, what it holds of a target is the newest word that was
-    /// readable, or nothing to use.
-    fn the_newest_word_holds_whatever_the_order(words: Vec<Word>) -> bool {
+    /// In whichever order and however often updates of an entry arrive, a node keeps the newest readable
+    /// one. After an unreadable one the target gets no work until a readable one arrives that is at least
+    /// as new as the kept one.
+    fn the_newest_readable_entry_counts_in_any_order(updates: Vec<EntryUpdate>) -> bool {
         let mut store = store(&[entry("1", 1, 0)]);
         let mut newest = (TargetIncarnation(1), 0);
-        let mut good = true;
-        for (place, (run, sequence, leaves, readable)) in words.into_iter().enumerate() {
-            let now = at(place as u64);
+        let mut usable = true;
+        for (index, (incarnation, sequence, is_leaving, readable)) in updates.into_iter().enumerate() {
+            let now = at(index as u64);
             if !readable {
                 put(&mut store, now, TargetEntry::unreadable("1"));
-                good = false;
+                usable = false;
                 continue;
             }
-            let mut word = entry("1", u64::from(run % 4) + 1, u64::from(sequence % 8));
-            word.leaving = leaves;
-            if (word.incarnation, word.sequence) >= newest {
-                newest = (word.incarnation, word.sequence);
-                good = !leaves;
+            let mut update = entry("1", u64::from(incarnation % 4) + 1, u64::from(sequence % 8));
+            update.leaving = is_leaving;
+            if (update.incarnation, update.sequence) >= newest {
+                newest = (update.incarnation, update.sequence);
+                usable = !is_leaving;
             }
-            put(&mut store, now, word);
-            let held = &store.table["1"];
-            if (held.incarnation, held.sequence) != newest || held.accepts_work() != good {
+            put(&mut store, now, update);
+            let stored = &store.table["1"];
+            if (stored.incarnation, stored.sequence) != newest || stored.accepts_work() != usable {
                 return false;
             }
         }
@@ -228,19 +252,20 @@
 }
 
 // ----------------------------------------------------------------------------
-// A source that goes back
+// A source restored from a backup
 
-/// What a source tells that has come back from a copy.
+/// A revision of a source that was restored from a backup, which starts a new era.
 fn in_later_era(number: u64) -> Revision {
     Revision::in_era(1, number)
 }
 
-fn ids(store: &TargetStore) -> Vec<&str> {
+/// The ids of the targets that accept work.
+fn working_ids(store: &TargetStore) -> Vec<&str> {
     let used = store.table.values().filter(|entry| entry.accepts_work());
     used.map(|entry| entry.id.as_str()).collect()
 }
 
-/// Guards against changes that are taken for old ones since the numbers of revisions go back.
+/// Guards against ignoring changes as old ones because a restore resets the numbers of revisions.
 #[test]
 fn every_revision_of_a_later_era_is_newer() {
     assert!(Revision::in_era(1, 3) > Revision::in_era(0, 900));
@@ -250,8 +275,8 @@
     let mut store = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
     put(&mut store, at(1), entry("3", 0, 1));
     store.apply(at(2), Revision(900), Vec::new());
-    let copy = table(&[entry("1", 0, 5), entry("2", 0, 5)]);
-    store.replace(at(1000), in_later_era(20), copy);
+    let backup = table(&[entry("1", 0, 5), entry("2", 0, 5)]);
+    store.replace(at(1000), in_later_era(20), backup);
     store.apply(
         at(1100),
         in_later_era(21),
@@ -262,64 +287,74 @@
         in_later_era(22),
         vec![TargetChange::Gone("2".to_owned())],
     );
-    assert_eq!(ids(&store), ["2", "3"], "a live one may write its entry again");
+    assert_eq!(
+        working_ids(&store),
+        ["2", "3"],
+        "a live target may rewrite its entry"
+    );
     assert!(store.expire(at(3100)));
-    assert!(ids(&store).is_empty(), "neither has");
+    assert!(working_ids(&store).is_empty(), "neither has rewritten it");
 }
 
-/// Guards against targets that are used again because an older copy of the source calls them ready.
+/// Guards against using targets that left or were removed, because an older backup of the source lists
+/// them as ready.
 #[test]
-fn what_was_known_of_targets_that_leave_holds_against_an_older_copy() {
-    for run in [0, 1000] {
-        let mut store = store(&[entry("1", run, 1), entry("2", run, 1), entry("3", run, 1)]);
-        put(&mut store, at(1), leaving(entry("1", run, 30)));
+fn targets_known_to_leave_stay_unused_after_a_restore_from_a_backup() {
+    for inc in [0, 1000] {
+        let mut store = store(&[entry("1", inc, 1), entry("2", inc, 1), entry("3", inc, 1)]);
+        put(&mut store, at(1), leaving(entry("1", inc, 30)));
         store.apply(at(2), Revision(50), vec![TargetChange::Gone("2".to_owned())]);
-        let copy = || table(&[entry("1", run, 25), entry("2", run, 25), entry("3", run, 25)]);
-        store.replace(at(5000), in_later_era(20), copy());
-        assert_eq!(ids(&store), ["3"], "run {run}");
-        // Read again, by way of another node or after a watch that broke.
-        store.replace(at(6000), in_later_era(21), copy());
-        assert_eq!(ids(&store), ["3"], "run {run}, read again");
+        let backup = || table(&[entry("1", inc, 25), entry("2", inc, 25), entry("3", inc, 25)]);
+        store.replace(at(5000), in_later_era(20), backup());
+        assert_eq!(working_ids(&store), ["3"], "incarnation {inc}");
+        // Read again, through another node or after a broken watch.
+        store.replace(at(6000), in_later_era(21), backup());
+        assert_eq!(working_ids(&store), ["3"], "incarnation {inc}, read again");
         store.apply(
             at(7000),
             in_later_era(22),
             vec![TargetChange::Gone("2".to_owned())],
         );
-        put(&mut store, at(7000), leaving(entry("1", run, 31)));
+        put(&mut store, at(7000), leaving(entry("1", inc, 31)));
         store.expire(at(60_000));
-        assert_eq!(ids(&store), ["3"], "run {run}, written again");
+        assert_eq!(working_ids(&store), ["3"], "incarnation {inc}, written again");
     }
 }
 
-/// Guards against a target that is used on the strength of what was known, although its entry can't be read any more.
+/// Guards against a target that is used as listed before, although its entry in the backup can't be read.
 #[test]
-fn an_entry_that_cannot_be_read_in_a_copy_names_no_target_to_use() {
+fn a_target_whose_entry_in_a_backup_is_unreadable_gets_no_work() {
     let mut store = store(&[entry("1", 0, 30), entry("2", 0, 30)]);
-    let copy = table(&[TargetEntry::unreadable("1"), entry("2", 0, 25)]);
-    store.replace(at(1000), in_later_era(20), copy);
-    assert_eq!(ids(&store), ["2"]);
+    let backup = table(&[TargetEntry::unreadable("1"), entry("2", 0, 25)]);
+    store.replace(at(1000), in_later_era(20), backup);
+    assert_eq!(working_ids(&store), ["2"]);
     put(&mut store, at(2000), entry("1", 0, 31));
-    assert_eq!(ids(&store), ["1", "2"]);
+    assert_eq!(working_ids(&store), ["1", "2"]);
 }
 
-/// Guards against a live target that is never used again because its entry had expired before the source came back from a copy.
+/// Guards against a live target that is never used again because its entry had expired before the source
+/// was restored from a backup.
 #[test]
-fn a_target_that_came_back_with_a_copy_is_used_again_when_it_stays_listed() {
+fn a_target_that_reappears_with_a_backup_is_used_again_when_it_stays_listed() {
     let mut store = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
     store.apply(at(2), Revision(50), vec![TargetChange::Gone("2".to_owned())]);
-    let copy = table(&[entry("1", 0, 25), entry("2", 0, 25)]);
-    store.replace(at(5000), in_later_era(20), copy);
+    let backup = table(&[entry("1", 0, 25), entry("2", 0, 25)]);
+    store.replace(at(5000), in_later_era(20), backup);
     let changed_at = store.changed_at;
     assert!(!store.expire(at(14_000)));
     assert!(store.expire(at(15_000)));
-    assert_eq!(ids(&store), ["1", "2"]);
-    assert_eq!(store.changed_at, changed_at, "the source has told nothing new");
+    assert_eq!(working_ids(&store), ["1", "2"]);
+    assert_eq!(
+        store.changed_at, changed_at,
+        "the list of the source has not changed"
+    );
     assert_eq!(store.services["s"].working, 2);
 }
 
-/// Guards against a node that takes a list from another one and uses what that one does not rely on, or for ever distrusts it.
+/// Guards against a node that gets its list from another node and either uses entries that are unverified
+/// there or never uses them.
 #[test]
-fn what_one_node_does_not_rely_on_another_does_not_either_but_for_what_it_knows_itself() {
+fn entries_unverified_at_one_node_are_unverified_at_others_unless_known_there() {
     let unverified = |id: &str| TargetEntry {
         unverified: true,
         ..entry(id, 0, 25)
@@ -330,42 +365,45 @@
         in_later_era(20),
         table(&[entry("1", 0, 25), unverified("2")]),
     );
-    assert_eq!(ids(&new), ["1"]);
+    assert_eq!(working_ids(&new), ["1"]);
     assert!(new.expire(at(10_000)));
-    assert_eq!(ids(&new), ["1", "2"]);
-    let mut knows = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
+    assert_eq!(working_ids(&new), ["1", "2"]);
+    let mut informed = store(&[entry("1", 0, 1), entry("2", 0, 1)]);
     let list = table(&[entry("1", 0, 25), unverified("2")]);
-    let packed = PackedList::pack(&list).unpack().expect("it was packed here");
-    knows.replace(at(0), in_later_era(20), packed);
-    assert_eq!(ids(&knows), ["1", "2"]);
+    let packed = PackedList::pack(&list)
+        .unpack()
+        .expect("the list was packed above");
+    informed.replace(at(0), in_later_era(20), packed);
+    assert_eq!(working_ids(&informed), ["1", "2"]);
 }
 
-/// Guards against a zone whose evacuation is undone by an older copy, and against one that stays evacuated for ever although nobody wants it.
+/// Guards against a zone whose evacuation is undone by an older backup, and against one that stays
+/// evacuated for ever although the operator has not confirmed it.
 #[test]
-fn an_evacuation_holds_against_an_older_copy_until_it_is_told_again_or_is_not() {
+fn an_evacuation_outlives_a_restore_until_it_is_confirmed_reversed_or_expires() {
     let known = || {
         let mut evacuations = Evacuations::default();
         evacuations.replace(at(0), Revision(50), zones(&["a"]));
         evacuations
     };
-    let mut told = known();
-    assert!(!told.replace(at(1000), in_later_era(20), zones(&[])));
-    assert_eq!(told.zones, zones(&["a"]));
-    told.apply(in_later_era(21), vec![("a".to_owned(), true)]);
-    assert!(!told.expire(at(60_000)), "the operator wants it");
-    let mut opened = known();
-    opened.replace(at(1000), in_later_era(20), zones(&[]));
-    opened.apply(in_later_era(21), vec![("a".to_owned(), false)]);
-    assert_eq!(opened.zones, zones(&[]));
-    let mut forgotten = known();
-    forgotten.replace(at(1000), in_later_era(20), zones(&["b"]));
-    assert_eq!(forgotten.zones, zones(&["a", "b"]));
+    let mut confirmed = known();
+    assert!(!confirmed.replace(at(1000), in_later_era(20), zones(&[])));
+    assert_eq!(confirmed.zones, zones(&["a"]));
+    confirmed.apply(in_later_era(21), vec![("a".to_owned(), true)]);
+    assert!(!confirmed.expire(at(60_000)), "the operator has confirmed it");
+    let mut reopened = known();
+    reopened.replace(at(1000), in_later_era(20), zones(&[]));
+    reopened.apply(in_later_era(21), vec![("a".to_owned(), false)]);
+    assert_eq!(reopened.zones, zones(&[]));
+    let mut unlisted = known();
+    unlisted.replace(at(1000), in_later_era(20), zones(&["b"]));
+    assert_eq!(unlisted.zones, zones(&["a", "b"]));
     let mut other = Evacuations::default();
-    other.merge(at(2000), forgotten.clone());
-    for (evacuations, over) in [(&mut forgotten, at(11_000)), (&mut other, at(12_000))] {
+    other.merge(at(2000), unlisted.clone());
+    for (evacuations, expiry) in [(&mut unlisted, at(11_000)), (&mut other, at(12_000))] {
         assert!(!evacuations.replace(at(3000), in_later_era(22), zones(&["b"])));
-        assert!(!evacuations.expire(over - Span::from_millis(1)));
-        assert!(evacuations.expire(over));
+        assert!(!evacuations.expire(expiry - Span::from_millis(1)));
+        assert!(evacuations.expire(expiry));
         assert_eq!(evacuations.zones, zones(&["b"]));
     }
 }
@@ -378,20 +416,20 @@
 }
 
 #[test]
-fn what_was_read_earlier_opens_no_zone_again() {
+fn an_older_read_reopens_no_zone() {
     let mut evacuations = Evacuations::default();
     assert!(!evacuations.replace(at(0), Revision(5), zones(&[])));
     assert!(evacuations.apply(Revision(9), vec![("a".to_owned(), true)]));
     assert!(
         !evacuations.replace(at(0), Revision(8), zones(&[])),
-        "another node was behind"
+        "the read is older than the known state"
     );
     assert_eq!(evacuations.zones, zones(&["a"]));
     assert!(!evacuations.apply(Revision(12), Vec::new()));
     assert_eq!(
         (evacuations.at, evacuations.changed_at),
         (Revision(12), Revision(9)),
-        "others are told when it changed, not how far it was heard"
+        "the revision of the change is sent to other nodes, not that of the last read"
     );
     assert!(evacuations.apply(
         Revision(15),
@@ -400,12 +438,12 @@
     assert_eq!(evacuations.zones, zones(&["b"]));
     assert!(
         evacuations.replace(at(0), Revision(20), zones(&[])),
-        "a whole read tells what was missed"
+        "a complete read includes missed changes"
     );
 }
 
 #[test]
-fn nothing_goes_to_an_evacuated_zone_and_targets_that_come_meanwhile_belong_to_it() {
+fn targets_of_an_evacuated_zone_get_no_work_even_if_listed_later() {
     let mut store = store(&[entry("1", 0, 1), entry("2", 0, 1), entry("7", 0, 1)]);
     assert!(store.apply_evacuations(at(10), &zones(&["a"])));
     put(&mut store, at(20), entry("3", 0, 1));
@@ -417,14 +455,14 @@
     assert_eq!(open(&store), ["7"]);
     assert_eq!(
         store.services["s"].working, 1,
-        "forecasts reckon with what is left"
+        "forecasts count only the targets left"
     );
     assert!(store.apply_evacuations(at(30), &zones(&[])));
     assert_eq!(open(&store), ["1", "2", "3", "7"]);
     assert_eq!(
         store.table["1"].cold_until(Span::from_millis(3000)),
         at(3030),
-        "it may have turned cold shortly before it was opened"
+        "it may have become cold shortly before the zone was reopened"
     );
     assert_eq!(store.table["7"].cold_until(Span::from_millis(3000)), Time(0));
 }
@@ -432,35 +470,35 @@
 #[test]
 fn a_call_finds_no_target_when_all_zones_of_its_service_are_evacuated() {
     let mut store = store(&[entry("1", 0, 1), entry("7", 0, 1)]);
-    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
+    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the state chart is valid");
     forwarder.apply_plan(&plan(&store));
-    let need = TargetQuery {
+    let query = TargetQuery {
         service: "s".to_owned(),
         ..TargetQuery::default()
     };
     store.apply_evacuations(at(10), &zones(&["a"]));
     forwarder.apply_plan(&plan(&store));
     for _ in 0..20 {
-        let ChooseResult::Send(chosen) = forwarder.choose(at(20), &need) else {
-            panic!("one zone is open");
+        let ChooseResult::Send(chosen) = forwarder.choose(at(20), &query) else {
+            panic!("one zone is still open");
         };
         assert_eq!(chosen.id, "7");
     }
     store.apply_evacuations(at(30), &zones(&["a", "b"]));
     forwarder.apply_plan(&plan(&store));
-    assert!(matches!(forwarder.choose(at(40), &need), ChooseResult::Busy(_)));
+    assert!(matches!(forwarder.choose(at(40), &query), ChooseResult::Busy(_)));
     assert_eq!(plan(&store).count_working("s"), 0);
 }
 
 // ----------------------------------------------------------------------------
-// What went with an earlier run
+// State that is dropped with an earlier incarnation
 
 #[test]
-fn nothing_that_was_seen_of_a_run_holds_for_the_next_one() {
+fn nothing_recorded_of_an_incarnation_applies_to_the_next_one() {
     let mut store = store(&[entry("1", 1000, 1)]);
-    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the chart is right");
+    let mut forwarder = Forwarder::new(ForwardSettings::default()).expect("the state chart is valid");
     forwarder.apply_plan(&plan(&store));
-    let need = TargetQuery {
+    let query = TargetQuery {
         service: "s".to_owned(),
         engine_memory: Some(600_000),
         prefix: 9,
@@ -468,20 +506,23 @@
         prompt_tokens: 12_000,
         ..TargetQuery::default()
     };
-    let key = forwarder.key("1").expect("it is listed");
-    let send = forwarder.begin(at(1), &need, key);
-    let failed = forwarder.begin(at(1), &need, key);
+    let key = forwarder.key("1").expect("the target is listed");
+    let send = forwarder.begin(at(1), &query, key);
+    let failed = forwarder.begin(at(1), &query, key);
     forwarder.end(at(2), failed, SendEnd::Unreachable);
     put(&mut store, at(10), entry("1", 2000, 1));
     forwarder.apply_plan(&plan(&store));
-    let now_key = forwarder.key("1").expect("it is listed");
-    assert_ne!(key, now_key);
+    let new_key = forwarder.key("1").expect("the target is listed");
+    assert_ne!(key, new_key);
     forwarder.end(at(20), send, SendEnd::Unreachable);
-    let record = forwarder.target(now_key).expect("it is known");
+    let record = forwarder.target(new_key).expect("the target is known");
     assert_eq!((record.in_flight, record.failure_rate), (0, 0.0));
     assert!(record.pending_prefill_tokens.abs() < f64::EPSILON);
-    assert!(!record.prefixes.holds(at(20), 9, 600_000), "its memory is empty");
-    assert!(matches!(forwarder.choose(at(20), &need), ChooseResult::Send(_)));
+    assert!(
+        !record.prefixes.holds(at(20), 9, 600_000),
+        "its prefix cache is empty"
+    );
+    assert!(matches!(forwarder.choose(at(20), &query), ChooseResult::Send(_)));
 }
 
 fn spec() -> PoolSpec {
@@ -515,57 +556,73 @@
     queue
 }
 
-/// An order of three pieces in calls of two: when the maker of the first two starts again they are made again at once.
+/// An order of three pieces in calls of two: when the target that computed the first two restarts, they
+/// are computed again at once.
 #[test]
-fn pieces_that_a_run_made_are_made_again_when_it_has_ended() {
+fn pieces_of_an_ended_incarnation_are_computed_again() {
     let mut store = store(&[entry("1", 1000, 1)]);
     let mut queue = queue(&store);
-    queue.submit(at(0), order("r", 3, &[])).expect("there is room");
+    queue
+        .submit(at(0), order("r", 3, &[]))
+        .expect("there is capacity");
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, all_computed(&call));
-    let old = queue.next_calls(at(200)).remove(0);
-    assert_eq!((queue.waiting(), old.pieces.len()), (0, 1));
+    let old_call = queue.next_calls(at(200)).remove(0);
+    assert_eq!((queue.waiting(), old_call.pieces.len()), (0, 1));
     put(&mut store, at(250), entry("1", 2000, 1));
     queue.apply_plan(&spec(), None, &store.table, |_| true);
-    assert_eq!(queue.waiting(), 2, "what the ended run held is to be made");
-    let again = queue.next_calls(at(250)).remove(0);
-    assert_eq!(again.pieces.len(), 2, "the new run is idle");
-    queue.call_ended(at(260), old.call, BatchOutcome::BrokenOff);
+    assert_eq!(
+        queue.waiting(),
+        2,
+        "the results of the previous incarnation have to be computed again"
+    );
+    let second_call = queue.next_calls(at(250)).remove(0);
+    assert_eq!(second_call.pieces.len(), 2, "the new incarnation is idle");
+    queue.call_ended(at(260), old_call.call, BatchOutcome::BrokenOff);
     let usable = queue.targets().all(|target| target.usable(at(260)));
-    assert!(usable, "what the ended run did is no fault of the new one");
+    assert!(
+        usable,
+        "a failure of the previous incarnation does not count against the new one"
+    );
 }
 
-/// An order that waits with inputs at a run that has ended would be found out when its call is at work, a queue later.
+/// Guards against an order that fails only after it has waited in the queue, because its inputs were lost
+/// when the target that holds them restarted.
 #[test]
-fn an_order_whose_inputs_are_gone_ends_at_once() {
-    let mut makers = store(&[entry("1", 1000, 1), entry("2", 1000, 1)]);
+fn an_order_whose_inputs_are_lost_ends_at_once() {
+    let mut holders = store(&[entry("1", 1000, 1), entry("2", 1000, 1)]);
     let pool = store(&[entry("8", 0, 1)]);
     let mut queue = queue(&pool);
     let busy = order("busy", 2, &["10.0.0.2:80/x"]);
-    let kept = queue.submit(at(0), busy).expect("there is room");
+    let busy_key = queue.submit(at(0), busy).expect("there is capacity");
     let _ = queue.next_calls(at(0));
-    let waits = queue.submit(at(5), order("r", 1, &["10.0.0.1:80/y"]));
-    let waits = waits.expect("there is room");
-    put(&mut makers, at(50), entry("1", 2000, 1));
-    let plan = plan(&makers);
+    let waiting_key = queue.submit(at(5), order("r", 1, &["10.0.0.1:80/y"]));
+    let waiting_key = waiting_key.expect("there is capacity");
+    put(&mut holders, at(50), entry("1", 2000, 1));
+    let plan = plan(&holders);
     queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
-    assert_eq!(queue.take_ended(), [(waits, OrderOutcome::InputsGone)]);
-    assert!(queue.order(kept).is_some());
+    assert_eq!(queue.take_ended(), [(waiting_key, OrderOutcome::InputsGone)]);
+    assert!(queue.order(busy_key).is_some());
     let later = queue.submit(at(60), order("later", 1, &["10.0.0.1:80/z"]));
-    let later = later.expect("there is room");
+    let later = later.expect("there is capacity");
     queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
-    assert!(queue.order(later).is_some(), "that one the new run made");
+    assert!(
+        queue.order(later).is_some(),
+        "the new incarnation computed its input"
+    );
 }
 
 #[test]
-fn results_at_a_target_that_gets_nothing_more_are_not_freed_there() {
+fn no_releases_are_sent_to_a_target_in_an_evacuated_zone() {
     let mut store = store(&[entry("1", 0, 1)]);
     let mut queue = queue(&store);
-    queue.submit(at(0), order("r", 2, &[])).expect("there is room");
+    queue
+        .submit(at(0), order("r", 2, &[]))
+        .expect("there is capacity");
     let call = queue.next_calls(at(0)).remove(0);
     queue.call_ended(at(200), call.call, all_computed(&call));
     let Some((_, OrderOutcome::Computed(handles))) = queue.take_ended().pop() else {
-        panic!("they were made");
+        panic!("the order is not computed");
     };
     store.apply_evacuations(at(210), &zones(&["a"]));
     queue.apply_plan(&spec(), None, &store.table, |_| true);
@@ -575,16 +632,17 @@
     assert_eq!(services["s"].working, 0);
 }
 
-/// Guards against a zone that a node opens since another one, whose list it takes in the later era, never knew that it was evacuated.
+/// Guards against a zone that a node reopens because the other node, whose set it merges in the later
+/// era, never knew of the evacuation.
 #[test]
-fn an_evacuation_that_another_node_does_not_know_holds_too() {
-    let mut knows = Evacuations::default();
-    knows.replace(at(0), Revision(50), zones(&["a"]));
+fn an_evacuation_unknown_to_another_node_is_kept_after_a_merge() {
+    let mut informed = Evacuations::default();
+    informed.replace(at(0), Revision(50), zones(&["a"]));
     let mut other = Evacuations::default();
     other.replace(at(0), Revision(40), zones(&[]));
     other.replace(at(1000), in_later_era(20), zones(&["b"]));
-    assert!(knows.merge(at(1000), other));
-    assert_eq!(knows.zones, zones(&["a", "b"]));
-    assert!(knows.expire(at(11_000)));
-    assert_eq!(knows.zones, zones(&["b"]));
+    assert!(informed.merge(at(1000), other));
+    assert_eq!(informed.zones, zones(&["a", "b"]));
+    assert!(informed.expire(at(11_000)));
+    assert_eq!(informed.zones, zones(&["b"]));
 }
