--- a/crates/barleyspool_core/tests/source_reading/main.rs
+++ b/crates/barleyspool_core/tests/source_reading/main.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
 mod changes;
-mod first_list;
 mod fleet;
+mod initial_list;
 #[path = "../membership/net.rs"]
 #[allow(dead_code, reason = "shared with the tests of membership")]
 mod net;
