--- a/crates/barleyspool_core/tests/router.rs
+++ b/crates/barleyspool_core/tests/router.rs
@@ -1,5 +1,5 @@
-//! Focused proofs on one router: what a plan, a target or a crowd does to it.
-#![allow(clippy::unwrap_used, clippy::panic, reason = "a proof stops where it fails")]
+//! Tests of a single router: invalid calls, plans, failing and leaving targets, retries and overload.
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a test stops where it fails")]
 
 mod support;
 
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use support::*;
 
-fn summary(key: &str, organisation: &str, deadline: Time) -> Call {
+/// A call of `organisation` with the given key and deadline.
+fn organisation_call(key: &str, organisation: &str, deadline: Time) -> Call {
     Call {
         organisation: organisation.into(),
         deadline,
@@ -15,7 +16,7 @@
     }
 }
 
-/// A bench with `count` targets of `slots` per service.
+/// A test bench of one router with `count` targets per service, each with `slots` slots.
 fn bench(count: u32, slots: u32, guards: Guards) -> Bench {
     let settings = RouterSettings {
         node: NodeId(1),
@@ -26,10 +27,10 @@
 }
 
 // ----------------------------------------------------------------------------
-// Bad input: a typed refusal each, and nothing in flight is touched
+// Invalid calls: each is refused with its own reason, and requests in flight are not affected
 
 #[test]
-fn bad_calls_get_a_typed_refusal_each_and_touch_nothing() {
+fn invalid_calls_are_refused_with_their_reason_and_leave_running_requests_alone() {
     let good = || call("good");
     let cases = [
         (
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_caller_that_is_unsure_is_never_told_not_run_by_a_node_that_cannot_know() {
+fn a_node_that_cannot_know_the_fate_of_earlier_sends_never_answers_not_run() {
     let verdict = |guards| {
         let mut bench = bench(2, 4, guards);
         let caller = bench.arrive(Call {
@@ -125,25 +126,27 @@
     assert_eq!(
         verdict(Guards::without(Guard::EarlierSendsUnknown)),
         Verdict::NotRun,
-        "without the guard it is told so"
+        "without the guard the node claims that nothing ran"
     );
     assert_eq!(verdict(Guards::default()), Verdict::Unknown);
 }
 
-/// The settled home knows: what it does not remember did not run.
+/// The home node of a key, once its takeover wait is over, remembers every unrepeatable key that ran. What it
+/// does not remember did not run, so it may answer so even if the caller is uncertain about its earlier
+/// sends.
 #[test]
-fn the_settled_home_may_say_not_run_to_a_caller_that_is_unsure() {
+fn the_home_node_may_answer_not_run_although_earlier_sends_are_uncertain() {
     let mut bench = bench(2, 4, Guards::default());
     bench.take_plan(Plan {
         serving: Serving::Stopping,
         ..plan(START, 2, 4)
     });
-    let unsure = Call {
+    let uncertain = Call {
         earlier: Earlier::Uncertain,
         unrepeatable: true,
         ..call("k")
     };
-    let caller = bench.arrive(unsure);
+    let caller = bench.arrive(uncertain);
     let refusal = bench.refusal(caller).unwrap();
     assert_eq!(
         (refusal.reason, refusal.verdict),
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn a_key_sent_again_with_another_deadline_or_content_is_refused() {
+fn a_key_that_is_reused_with_another_deadline_or_payload_is_refused() {
     let mut bench = bench(2, 4, Guards::default());
     let first = Call {
         unrepeatable: true,
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn unrepeatable_keys_are_refused_when_they_cannot_be_remembered() {
+fn unrepeatable_calls_are_refused_when_the_key_memory_is_full() {
     let settings = RouterSettings {
         node: NodeId(1),
         max_keys: 1,
@@ -197,20 +200,20 @@
     assert_eq!(
         bench.router.remembered_keys(),
         0,
-        "forgotten after the deadline and the skew"
+        "a key is dropped once its deadline and the allowed clock skew have passed"
     );
 }
 
 #[test]
-fn a_lease_that_is_not_held_takes_no_unrepeatable_work_and_serves_all_else() {
-    let lease = |confirmed_until, settled| LeaseView {
+fn without_a_valid_lease_only_repeatable_calls_are_served() {
+    let lease = |confirmed_until, takeover_end| LeaseView {
         confirmed_until,
         eras: vec![(
             Era {
                 epoch: Epoch(1),
                 members: vec![NodeId(1)],
             },
-            settled,
+            takeover_end,
         )],
         me: NodeId(1),
     };
@@ -223,7 +226,7 @@
             ms(700),
         ),
     ];
-    for (lease, reason, come_back) in cases {
+    for (lease, reason, retry_after) in cases {
         let mut bench = bench(2, 4, Guards::default());
         bench.take_plan(Plan {
             lease,
@@ -236,7 +239,7 @@
         let refusal = bench.refusal(refused).unwrap();
         assert_eq!(
             (refusal.reason, refusal.verdict, refusal.come_back),
-            (reason, Verdict::NotRun, come_back)
+            (reason, Verdict::NotRun, retry_after)
         );
         let served = bench.arrive(call("other"));
         bench.answer_all(ms(5));
@@ -247,10 +250,11 @@
 // ----------------------------------------------------------------------------
 // The plan
 
-/// A control thread that hangs, or a process that slept: nothing new is sent until the plan is vouched for.
+/// After the control thread hung or the process was suspended, nothing new is sent until the plan is
+/// refreshed.
 #[test]
 fn nothing_is_sent_under_a_stale_plan() {
-    let sent = |guards| {
+    let sends = |guards| {
         let mut bench = bench(2, 4, guards);
         bench.sleep(ms(3001));
         bench.arrive(Call {
@@ -260,11 +264,11 @@
         bench.sent.len()
     };
     assert_eq!(
-        sent(Guards::without(Guard::PlanAge)),
+        sends(Guards::without(Guard::PlanAge)),
         1,
-        "without the guard it acts on old facts"
+        "without the guard the router sends under the stale plan"
     );
-    assert_eq!(sent(Guards::default()), 0);
+    assert_eq!(sends(Guards::default()), 0);
 }
 
 #[test]
@@ -283,14 +287,15 @@
     assert_eq!(
         served(Guards::without(Guard::SeenRevision)),
         (1, false),
-        "without the guard it is served"
+        "without the guard the call is served"
     );
     assert_eq!(served(Guards::default()), (0, true));
 }
 
-/// A request ends under the configuration it began with.
+/// A request that is running when the configuration changes still passes through the stages that it was
+/// admitted with; only later requests use the new configuration.
 #[test]
-fn a_request_runs_to_its_end_under_the_revision_it_was_admitted_with() {
+fn a_request_completes_under_the_revision_it_was_admitted_with() {
     let mut bench = bench(2, 4, Guards::default());
     let caller = bench.arrive(call("k"));
     let mut next = document(2);
@@ -312,7 +317,8 @@
 // ----------------------------------------------------------------------------
 // Targets
 
-/// From the first word of a target's leaving on, it gets nothing new; here the word comes on an answer.
+/// Guards against new work for a target that has announced that it is leaving; here an answer carries the
+/// announcement.
 #[test]
 fn a_target_that_says_it_is_leaving_gets_nothing_new() {
     let sent_after = |guards| {
@@ -343,14 +349,15 @@
     };
     assert!(
         sent_after(Guards::without(Guard::TargetLeaving)) > 0,
-        "without the guard it gets new work"
+        "without the guard the target gets new work"
     );
     assert_eq!(sent_after(Guards::default()), 0);
 }
 
-/// Guards against work for a target that leaves while its streams go on: the word comes on a piece, and the stream breaks off later or not at all.
+/// Guards against new work for a target that is leaving while its streams continue: a part of a stream
+/// carries the announcement, and the stream breaks off later or not at all.
 #[test]
-fn a_target_that_says_amid_a_stream_that_it_leaves_gets_nothing_new() {
+fn a_target_that_says_during_a_stream_that_it_is_leaving_gets_nothing_new() {
     let mut bench = bench(2, 8, Guards::default());
     bench.arrive(call("first"));
     let (attempt, order) = bench.sent.pop().unwrap();
@@ -359,67 +366,72 @@
         bench.arrive(call(&format!("k{nth}")));
     }
     assert!(bench.sent.iter().all(|(_, sent)| sent.target != order.target));
-    assert_eq!(phase(&bench, order.target), TargetPhase::Leaving);
+    assert_eq!(phase_of(&bench, order.target), TargetPhase::Leaving);
 }
 
-/// How long a refusal of `target` asks for rest in these tests.
-const REST: Span = Span::from_secs(2);
+/// Cooldown that a refusal of a target requests in these tests.
+const COOLDOWN: Span = Span::from_secs(2);
 
-/// Refuses the first call that goes to any target, asking for rest; returns the target.
-fn refuse_one(bench: &mut Bench) -> TargetId {
+/// Has the target of the first send refuse it and request a cooldown; returns that target.
+fn refuse_with_cooldown(bench: &mut Bench) -> TargetId {
     bench.arrive(call("refused"));
     let (attempt, order) = bench.sent.pop().unwrap();
     let end = AttemptEnd::Refused {
         leaving: false,
-        rest: REST,
+        rest: COOLDOWN,
     };
     bench.end(attempt, Some(order.echo), end);
     order.target
 }
 
-/// Guards against steps and probes to a target within the rest that it has asked this node for.
+/// Guards against steps and probes to a target during the cooldown that it has requested from this node.
 #[test]
-fn a_target_at_rest_gets_neither_steps_nor_probes() {
+fn a_target_in_cooldown_gets_neither_steps_nor_probes() {
     let mut bench = bench(2, 8, Guards::default());
-    let resting = refuse_one(&mut bench);
-    let over = bench.now + REST;
+    let cooling_down = refuse_with_cooldown(&mut bench);
+    let cooldown_end = bench.now + COOLDOWN;
     bench.answer_all(ms(1));
     let mut nth = 0;
-    while bench.now + ms(100) < over {
+    while bench.now + ms(100) < cooldown_end {
         nth += 1;
         bench.arrive(call(&format!("k{nth}")));
-        assert!(bench.sent.iter().all(|(_, sent)| sent.target != resting), "{nth}");
+        assert!(
+            bench.sent.iter().all(|(_, sent)| sent.target != cooling_down),
+            "{nth}"
+        );
         bench.answer_all(ms(5));
         bench.pass(ms(20));
         assert!(bench.probes.is_empty(), "{nth}");
     }
     bench.pass(ms(100));
-    assert_eq!(bench.probes, [resting], "its rest is over");
+    assert_eq!(bench.probes, [cooling_down], "the cooldown is over");
 }
 
-/// Guards against requests that wait in vain, or are told to come back too early, while all targets of a service rest.
+/// Guards against requests that wait in vain, or that callers retry too early, while all targets of a service
+/// are in cooldown.
 #[test]
-fn requests_are_refused_at_once_while_all_targets_of_a_service_rest() {
+fn requests_are_refused_at_once_while_all_targets_of_a_service_are_in_cooldown() {
     let mut bench = bench(1, 8, Guards::default());
-    refuse_one(&mut bench);
+    refuse_with_cooldown(&mut bench);
     let caller = bench.arrive(call("next"));
     assert!(bench.sent.is_empty());
     let Some(Outcome::Refused(refusal)) = bench.callers[&caller].outcomes.first() else {
-        panic!("it is not refused");
+        panic!("the request was not refused");
     };
     assert_eq!(refusal.reason, Reason::TargetsRest);
     assert_eq!(refusal.verdict, Verdict::NotRun);
-    assert!(refusal.come_back >= REST, "{:?}", refusal.come_back);
+    assert!(refusal.come_back >= COOLDOWN, "{:?}", refusal.come_back);
 }
 
-/// Guards against a lane that does not know of a rest which another lane of the same node was asked for.
+/// Guards against a lane that sends to a target whose cooldown was requested from another lane of the same
+/// node; the plan passes it on.
 #[test]
-fn a_rest_that_the_plan_tells_holds_too() {
+fn a_cooldown_that_comes_with_the_plan_is_kept() {
     let mut bench = bench(2, 8, Guards::default());
     let plan = Plan::clone(bench.router.plan());
     let mut targets = Vec::clone(&plan.targets);
-    targets[0].rest_until = bench.now + REST;
-    let resting = targets[0].id;
+    targets[0].rest_until = bench.now + COOLDOWN;
+    let cooling_down = targets[0].id;
     let plan = Plan {
         targets: Arc::new(targets),
         ..plan
@@ -428,37 +440,37 @@
     for nth in 0..12 {
         bench.arrive(call(&format!("k{nth}")));
     }
-    assert!(bench.sent.iter().all(|(_, sent)| sent.target != resting));
+    assert!(bench.sent.iter().all(|(_, sent)| sent.target != cooling_down));
 }
 
 #[test]
-fn what_a_leaving_target_works_on_is_finished_and_a_newer_run_is_used_again() {
+fn a_leaving_target_finishes_its_work_and_its_next_incarnation_is_used() {
     let mut bench = bench(1, 8, Guards::default());
     let caller = bench.arrive(call("k"));
-    let leaving = |plan: &Plan, leaving: bool, run: u64| {
+    let with_leaving = |plan: &Plan, leaving: bool, incarnation: u64| {
         let mut targets = Vec::clone(&plan.targets);
         targets[0].leaving = leaving;
-        targets[0].incarnation = Incarnation(run);
+        targets[0].incarnation = Incarnation(incarnation);
         Plan {
             targets: Arc::new(targets),
             ..plan.clone()
         }
     };
     let plan = Plan::clone(bench.router.plan());
-    bench.take_plan(leaving(&plan, true, 1));
+    bench.take_plan(with_leaving(&plan, true, 1));
     bench.answer_all(ms(5));
     assert_eq!(bench.outcome(caller).unwrap().verdict(), Verdict::Complete);
     let refused = bench.arrive(call("l"));
     assert_eq!(bench.refusal(refused).unwrap().reason, Reason::NoTarget);
-    bench.take_plan(leaving(&plan, false, 2));
+    bench.take_plan(with_leaving(&plan, false, 2));
     bench.arrive(call("m"));
-    assert_eq!(bench.sent.len(), 1, "the newer run is used");
+    assert_eq!(bench.sent.len(), 1, "the new incarnation is used");
 }
 
-/// Breaks every send to one target until it is in quarantine.
-fn fail_target(bench: &mut Bench, id: TargetId) {
+/// Fails every send to target `id` until it is in quarantine.
+fn fail_until_quarantined(bench: &mut Bench, id: TargetId) {
     for nth in 0..400 {
-        if phase(bench, id) == TargetPhase::Quarantined {
+        if phase_of(bench, id) == TargetPhase::Quarantined {
             break;
         }
         bench.arrive(Call {
@@ -476,7 +488,7 @@
     bench.answer_all(ms(1));
 }
 
-fn phase(bench: &Bench, id: TargetId) -> TargetPhase {
+fn phase_of(bench: &Bench, id: TargetId) -> TargetPhase {
     bench
         .router
         .targets()
@@ -486,17 +498,17 @@
 }
 
 #[test]
-fn a_target_that_fails_is_put_into_quarantine_probed_and_used_again() {
+fn a_failing_target_is_quarantined_probed_and_used_again_after_a_trial() {
     let mut bench = bench(4, 8, Guards::default());
-    fail_target(&mut bench, TargetId(0));
-    assert_eq!(phase(&bench, TargetId(0)), TargetPhase::Quarantined);
-    let probed = |bench: &mut Bench, ok| {
+    fail_until_quarantined(&mut bench, TargetId(0));
+    assert_eq!(phase_of(&bench, TargetId(0)), TargetPhase::Quarantined);
+    let answer_probe = |bench: &mut Bench, ok| {
         bench.probes.clear();
         bench.pass(ms(20_000));
         assert_eq!(
             bench.probes,
             [TargetId(0)],
-            "one probe, and no other before it is answered"
+            "exactly one probe is sent until it is answered"
         );
         bench.step(TrafficEvent::Probed {
             target: TargetId(0),
@@ -505,11 +517,11 @@
             leaving: false,
         });
     };
-    probed(&mut bench, false);
-    assert_eq!(phase(&bench, TargetId(0)), TargetPhase::Quarantined);
-    probed(&mut bench, true);
-    assert_eq!(phase(&bench, TargetId(0)), TargetPhase::Trial);
-    // On trial it gets one call at a time until one is answered.
+    answer_probe(&mut bench, false);
+    assert_eq!(phase_of(&bench, TargetId(0)), TargetPhase::Quarantined);
+    answer_probe(&mut bench, true);
+    assert_eq!(phase_of(&bench, TargetId(0)), TargetPhase::Trial);
+    // A target on trial gets one call at a time until it has answered one.
     for nth in 0..30 {
         let deadline = bench.now + ms(900);
         bench.arrive(Call {
@@ -518,41 +530,42 @@
             ..call(&format!("t{nth}"))
         });
     }
-    let trial = bench
+    let trial_calls = bench
         .sent
         .iter()
         .filter(|(_, order)| order.target == TargetId(0))
         .count();
-    assert_eq!(trial, 1);
+    assert_eq!(trial_calls, 1);
     bench.answer_all(ms(1));
-    assert_eq!(phase(&bench, TargetId(0)), TargetPhase::Live);
+    assert_eq!(phase_of(&bench, TargetId(0)), TargetPhase::Live);
 }
 
-/// When most targets look down, what this node sees is suspect: it goes on trying.
+/// When most targets seem to be down, the fault is more likely at this node, so it goes on sending to half of
+/// them.
 #[test]
-fn no_more_than_half_of_the_targets_are_put_into_quarantine() {
+fn at_most_half_of_the_targets_are_quarantined() {
     let quarantined = |guards| {
         let mut bench = bench(4, 8, guards);
         for id in 0..4 {
-            fail_target(&mut bench, TargetId(id));
+            fail_until_quarantined(&mut bench, TargetId(id));
         }
         (0..4)
-            .filter(|id| phase(&bench, TargetId(*id)) == TargetPhase::Quarantined)
+            .filter(|id| phase_of(&bench, TargetId(*id)) == TargetPhase::Quarantined)
             .count()
     };
     assert!(
         quarantined(Guards::without(Guard::QuarantineCap)) > 2,
-        "without the guard nearly all are"
+        "without the guard nearly all targets are quarantined"
     );
     assert_eq!(quarantined(Guards::default()), 2);
 }
 
-/// Probes do not wait for each other: several hung targets do not delay the word of one that is well again.
+/// Probes run concurrently: several hung targets must not delay the return of one that has recovered.
 #[test]
 fn probes_of_hung_targets_do_not_hold_up_others() {
     let mut bench = bench(6, 8, Guards::default());
     for id in 0..3 {
-        fail_target(&mut bench, TargetId(id));
+        fail_until_quarantined(&mut bench, TargetId(id));
     }
 
     bench.probes.clear();
@@ -562,7 +575,7 @@
     assert_eq!(
         probes,
         [TargetId(0), TargetId(1), TargetId(2)],
-        "all three are under way at once"
+        "all three probes are in flight at once"
     );
     bench.step(TrafficEvent::Probed {
         target: TargetId(2),
@@ -570,11 +583,12 @@
         report: None,
         leaving: false,
     });
-    assert_eq!(phase(&bench, TargetId(2)), TargetPhase::Trial);
+    assert_eq!(phase_of(&bench, TargetId(2)), TargetPhase::Trial);
 }
 
-/// The limit of a fast target does not collapse because calls at once take a little longer than one alone;
-/// found when one entry carried 642 requests/s before a target that had 936 of its 1000 slots free.
+/// Guards against a concurrency limit that collapses because concurrent calls to a fast target take a little
+/// longer than a single one. This once held an entry at 642 requests/s while its target had 936 of its 1000
+/// slots free.
 #[test]
 fn a_fast_target_with_free_slots_keeps_its_limit() {
     let mut limit = ConcurrencyLimit::new(64.0, 1000.0);
@@ -589,11 +603,12 @@
         limit.record_answer(START + ms(nth), Span(6000), false, None);
     }
     assert!(limit.value >= 64.0, "{}", limit.value);
-    // One whose calls wait, or that has become far slower and says nothing, is spared.
-    for (report, took) in [(Some(LoadReport { queued: 5, ..report }), 1300), (None, 90_000)] {
+    // The limit falls for a target that queues calls, or that has become far slower and does not report its
+    // load.
+    for (report, latency_us) in [(Some(LoadReport { queued: 5, ..report }), 1300), (None, 90_000)] {
         let mut limit = limit.clone();
         for nth in 1000..3000 {
-            limit.record_answer(START + ms(nth), Span(took), false, report);
+            limit.record_answer(START + ms(nth), Span(latency_us), false, report);
         }
         assert!(limit.value < 32.0, "{}", limit.value);
     }
@@ -602,7 +617,7 @@
 // ----------------------------------------------------------------------------
 // Retries
 
-/// With a whole stage failing, targets see at most 1.1 sends per request.
+/// While all targets of a stage fail, the retry budget keeps the load at 1.1 sends per request or less.
 #[test]
 fn a_failing_stage_is_not_flooded_with_retries() {
     let sends_per_request = |guards| {
@@ -629,7 +644,7 @@
     };
     assert!(
         sends_per_request(Guards::without(Guard::RetryBudget)) > 2.0,
-        "without the guard the load doubles"
+        "without the guard the load more than doubles"
     );
     let ratio = sends_per_request(Guards::default());
     assert!(ratio <= 1.1, "{ratio} sends per request");
@@ -649,19 +664,23 @@
     assert_ne!(first.target, second.target);
     bench.pass(ms(25));
     bench.end(attempt, None, AttemptEnd::Unreachable);
-    assert!(bench.sent.is_empty(), "no time is left for a step of 10 ms");
+    assert!(
+        bench.sent.is_empty(),
+        "the time left is shorter than a step of 10 ms"
+    );
     assert_eq!(bench.refusal(caller).unwrap().verdict, Verdict::NotRun);
     assert_eq!(
         bench.callers[&caller].at,
         START + ms(25),
-        "the answer comes at once, not at the deadline"
+        "the caller is answered at once, not at the deadline"
     );
 }
 
-/// A pause of a fast service is no reason to give it up; found when answers that took no time made every
-/// later one look overdue, and targets were put into quarantine for it.
+/// Guards against giving up sends to a fast service during a short pause. Answers that took almost no time
+/// once lowered the expected time so far that every later send counted as overdue, and targets were
+/// quarantined for it.
 #[test]
-fn a_short_pause_of_a_fast_service_is_waited_out() {
+fn a_send_to_a_fast_service_survives_a_short_pause() {
     let mut bench = bench(2, 8, Guards::default());
     for nth in 0..100 {
         let deadline = bench.now + ms(900);
@@ -681,13 +700,18 @@
     bench.pass(ms(49));
     assert!(bench.cancelled.is_empty());
     bench.pass(ms(1));
-    assert_eq!(bench.cancelled.len(), 1, "but not for ever");
+    assert_eq!(
+        bench.cancelled.len(),
+        1,
+        "the send is given up after a longer pause"
+    );
 }
 
-/// A stage that has become slower as a whole is noticed from what is given up, not only from answers; found
-/// by the traces of a saturated stage, where every step was given up again and again.
+/// The expected time of a stage has to grow with sends that are given up, not only with answers. Otherwise a
+/// stage that became slower as a whole has every step given up again and again, as in the traces of a
+/// saturated stage.
 #[test]
-fn a_stage_that_becomes_slower_is_waited_for() {
+fn requests_complete_at_a_stage_that_became_slower() {
     let mut bench = bench(2, 8, Guards::default());
     let mut complete = 0;
     for nth in 0..40 {
@@ -697,7 +721,7 @@
             deadline,
             ..call(&format!("k{nth}"))
         });
-        // Ten times what is expected; a send that is given up meanwhile is never answered.
+        // Each send takes ten times the expected time; one that is given up before that is never answered.
         while bench.outcome(caller).is_none() {
             bench.pass(ms(100));
             for (attempt, order) in std::mem::take(&mut bench.sent) {
@@ -710,11 +734,11 @@
 }
 
 // ----------------------------------------------------------------------------
-// Load
+// Overload
 
-/// A small organisation beside one that floods the node loses nothing.
+/// All requests of a small organisation complete while another organisation overloads the node.
 #[test]
-fn a_flood_of_one_organisation_costs_a_small_one_nothing() {
+fn an_organisation_that_overloads_the_node_does_not_affect_a_small_one() {
     let mut bench = bench(2, 2, Guards::default());
     let (mut small, mut nth) = (Vec::new(), 0);
     for round in 0..200 {
@@ -722,18 +746,18 @@
         let deadline = bench.now + ms(400);
         for _ in 0..10 {
             nth += 1;
-            bench.arrive(summary(&format!("large{nth}"), "large", deadline));
+            bench.arrive(organisation_call(&format!("large{nth}"), "large", deadline));
         }
         if round % 8 == 0 {
-            small.push(bench.arrive(summary(&format!("small{round}"), "small", deadline)));
+            small.push(bench.arrive(organisation_call(&format!("small{round}"), "small", deadline)));
         }
         let now = bench.now;
-        let due: Vec<_> = bench.sent.drain(..).collect();
-        let (old, new) = due
+        let in_flight: Vec<_> = bench.sent.drain(..).collect();
+        let (due, later) = in_flight
             .into_iter()
             .partition::<Vec<_>, _>(|(_, order)| order.deadline <= now + ms(390));
-        bench.sent = new;
-        for (attempt, order) in old {
+        bench.sent = later;
+        for (attempt, order) in due {
             bench.answer(attempt, &order);
         }
     }
@@ -744,10 +768,10 @@
     assert_eq!(complete.count(), small.len());
 }
 
-/// What cannot be done in time is refused at once, as not run, with a time to come back; and who comes back
-/// then is served.
+/// A request that cannot meet its deadline is refused at once, as not run, with a delay after which to retry;
+/// a caller that retries then is served.
 #[test]
-fn a_refused_caller_that_comes_back_when_told_is_served() {
+fn a_refused_caller_that_retries_after_the_given_delay_is_served() {
     let mut bench = bench(1, 1, Guards::default());
     for nth in 0..60 {
         bench.arrive(Call {
@@ -766,10 +790,10 @@
         (refusal.reason, refusal.verdict),
         (Reason::DeadlineUnreachable, Verdict::NotRun)
     );
-    assert_eq!(bench.callers[&refused].at, START, "refused at once");
+    assert_eq!(bench.callers[&refused].at, START, "the refusal comes at once");
     assert!(refusal.come_back > Span::ZERO);
-    let back = bench.now + refusal.come_back;
-    while bench.now < back {
+    let retry_at = bench.now + refusal.come_back;
+    while bench.now < retry_at {
         bench.pass(ms(10));
         if let Some((attempt, order)) = bench.sent.pop() {
             bench.answer(attempt, &order);
@@ -785,9 +809,9 @@
     assert_eq!(bench.outcome(caller).unwrap().verdict(), Verdict::Complete);
 }
 
-/// A request that is given up gets its final answer at once, and its step is cancelled at the target.
+/// A request that misses its deadline is answered at once, and its step is cancelled at the target.
 #[test]
-fn what_is_given_up_is_cancelled_and_answered_at_once() {
+fn a_request_that_misses_its_deadline_is_cancelled_and_answered_at_once() {
     let mut bench = bench(1, 4, Guards::default());
     let caller = bench.arrive(Call {
         unrepeatable: true,
@@ -803,12 +827,12 @@
     );
 }
 
-/// State is kept for organisations that have work here, not for all.
+/// The router keeps state only for organisations that have requests on this node.
 #[test]
-fn idle_organisations_leave_nothing_behind() {
+fn no_state_is_kept_for_idle_organisations() {
     let mut bench = bench(2, 4, Guards::default());
     bench.arrive(call("a"));
-    bench.arrive(summary("b", "large", START + ms(1000)));
+    bench.arrive(organisation_call("b", "large", START + ms(1000)));
     assert!(bench.router.active_organisations() > 0);
     bench.answer_all(ms(5));
     assert_eq!(
@@ -817,15 +841,15 @@
     );
 }
 
-/// The same events give the same actions: what was recorded can be replayed.
+/// The same events give the same actions, so that a recorded run can be replayed.
 #[test]
-fn a_recorded_run_replays_bit_for_bit() {
+fn a_recorded_run_replays_identically() {
     let run = || {
         let mut bench = bench(3, 2, Guards::default());
         for nth in 0..50 {
             bench.pass(ms(3));
             let deadline = bench.now + ms(500);
-            bench.arrive(summary(
+            bench.arrive(organisation_call(
                 &format!("k{nth}"),
                 if nth % 3 == 0 { "small" } else { "large" },
                 deadline,
