--- a/crates/barleyspool_core/tests/source_reading/changes.rs
+++ b/crates/barleyspool_core/tests/source_reading/changes.rs
@@ -1,4 +1,5 @@
-//! Differences between configurations and between lists: whoever takes them has what the teller has.
+//! Deltas between configurations and between target lists: a receiver that applies them has the same state as
+//! the sender.
 
 use barleyspool_core::{
     CatalogDocument, CatalogStore, ForwardOrganisation, OfferResult, Revision, Route, Span, TargetChange,
@@ -20,7 +21,8 @@
     }
 }
 
-/// A configuration whose parts are named by numbers; a number that comes again stands for a change.
+/// A configuration whose routes and organisations are named by numbers; a number that is listed again
+/// replaces the earlier entry.
 fn document(version: u64, routes: &[(u8, u8)], organisations: &[(u8, u8)]) -> CatalogDocument {
     let mut document = CatalogDocument {
         version: Revision(version),
@@ -49,62 +51,70 @@
 }
 
 fn sorted(store: &CatalogStore) -> CatalogDocument {
-    let mut document = store.catalog.as_ref().expect("a configuration").document.clone();
-    document.routes.sort_by(|one, other| one.name.cmp(&other.name));
+    let mut document = store
+        .catalog
+        .as_ref()
+        .expect("the store has a configuration")
+        .document
+        .clone();
+    document.routes.sort_by(|left, right| left.name.cmp(&right.name));
     document
         .organisations
-        .sort_by(|one, other| one.name.cmp(&other.name));
+        .sort_by(|left, right| left.name.cmp(&right.name));
     document
 }
 
+/// Routes with their ranks and organisations with their keys, as in [`document`].
 type Version = (Vec<(u8, u8)>, Vec<(u8, u8)>);
 
 quickcheck! {
-    fn whoever_takes_the_changes_has_the_same_configuration(versions: Vec<Version>, behind: usize) -> bool {
-        let mut teller = CatalogStore::default();
-        let mut taker = CatalogStore::default();
+    fn applying_the_changes_gives_the_same_configuration(versions: Vec<Version>, cutoff: usize) -> bool {
+        let mut sender = CatalogStore::default();
+        let mut receiver = CatalogStore::default();
         let versions = &versions[..versions.len().min(40)];
-        let stops = behind % (versions.len() + 1);
-        for (place, (routes, organisations)) in versions.iter().enumerate() {
+        let received = cutoff % (versions.len() + 1);
+        for (index, (routes, organisations)) in versions.iter().enumerate() {
             let organisations = &organisations[..organisations.len().min(12)];
-            let document = document(place as u64 + 1, routes, organisations);
-            if place < stops {
-                taker.offer(document.clone());
+            let document = document(index as u64 + 1, routes, organisations);
+            if index < received {
+                receiver.offer(document.clone());
             }
-            teller.offer(document);
+            sender.offer(document);
         }
-        if stops == 0 {
-            return taker.catalog.is_none();
+        if received == 0 {
+            return receiver.catalog.is_none();
         }
-        let Some(changes) = teller.changes_since(taker.version()) else {
+        let Some(changes) = sender.changes_since(receiver.version()) else {
             return false;
         };
-        taker.apply(changes);
-        sorted(&taker) == sorted(&teller)
+        receiver.apply(changes);
+        sorted(&receiver) == sorted(&sender)
     }
 }
 
 #[test]
-fn a_change_of_one_key_is_told_as_one_organisation_and_an_unknown_version_not_at_all() {
-    let many: Vec<(u8, u8)> = (0..200).map(|name| (name, name)).collect();
-    let mut changed = many.clone();
+fn the_change_of_one_key_sends_one_organisation_and_an_unknown_version_has_no_changes() {
+    let organisations: Vec<(u8, u8)> = (0..200).map(|name| (name, name)).collect();
+    let mut changed = organisations.clone();
     changed.push((7, 201));
     let mut store = CatalogStore::default();
-    store.offer(document(3, &[(1, 1)], &many));
+    store.offer(document(3, &[(1, 1)], &organisations));
     assert_eq!(
         store.offer(document(9, &[(1, 1)], &changed)),
         OfferResult::Accepted
     );
-    let changes = store.changes_since(Revision(3)).expect("known");
-    let size = serde_json::to_vec(&changes).expect("encodes").len();
-    assert!(size < 400, "{size} bytes for one key");
+    let changes = store
+        .changes_since(Revision(3))
+        .expect("revision 3 is in the history");
+    let size = serde_json::to_vec(&changes).expect("changes encode").len();
+    assert!(size < 400, "{size} bytes for the change of one key");
     assert_eq!(
         store.changes_since(Revision(9)).map(|changes| changes.len()),
         Some(0)
     );
     assert!(
         store.changes_since(Revision(5)).is_none(),
-        "nobody knows what 5 was"
+        "revision 5 never existed"
     );
 }
 
@@ -121,55 +131,57 @@
     entries.map(|entry| (entry.id.clone(), entry)).collect()
 }
 
-/// One step of a list: whole, or by changes (an entry with a mark, or none when it is gone).
-type Step = (bool, Vec<(u8, Option<bool>)>);
+/// One update of a target list: whether it is a whole list, and its entries. Each entry is an identifier and
+/// whether the target is leaving, or `None` for a target that was removed.
+type ListUpdate = (bool, Vec<(u8, Option<bool>)>);
 
-fn take(store: &mut TargetStore, at: u64, step: &Step) {
+fn apply_update(store: &mut TargetStore, at: u64, update: &ListUpdate) {
     let now = Time(0);
     let id = |id: u8| id % 8;
-    let parts = &step.1[..step.1.len().min(12)];
-    if step.0 {
-        let entries: Vec<(u8, bool)> = parts
+    let changes = &update.1[..update.1.len().min(12)];
+    if update.0 {
+        let entries: Vec<(u8, bool)> = changes
             .iter()
-            .filter_map(|(one, mark)| Some((id(*one), (*mark)?)))
+            .filter_map(|(number, leaving)| Some((id(*number), (*leaving)?)))
             .collect();
         store.replace(now, Revision(at), table(&entries));
     } else {
-        let change = |(one, mark): &(u8, Option<bool>)| match mark {
-            Some(leaving) => TargetChange::Put(entry(id(*one), *leaving)),
-            None => TargetChange::Gone(format!("t{}", id(*one))),
+        let change = |(number, leaving): &(u8, Option<bool>)| match leaving {
+            Some(leaving) => TargetChange::Put(entry(id(*number), *leaving)),
+            None => TargetChange::Gone(format!("t{}", id(*number))),
         };
-        store.apply(now, Revision(at), parts.iter().map(change).collect());
+        store.apply(now, Revision(at), changes.iter().map(change).collect());
     }
 }
 
 quickcheck! {
-    fn whoever_takes_the_changes_has_the_same_list(steps: Vec<Step>, behind: usize) -> bool {
-        let mut teller = TargetStore::default();
-        let mut taker = TargetStore::default();
-        teller.replace(Time(0), Revision(10), table(&[(1, false), (2, false)]));
-        let mut copy = teller.clone();
-        let steps = &steps[..steps.len().min(40)];
-        let stops = behind % (steps.len() + 1);
-        for (place, step) in steps.iter().enumerate() {
-            take(&mut teller, place as u64 + 11, step);
-            if place < stops {
-                take(&mut copy, place as u64 + 11, step);
+    fn applying_the_changes_gives_the_same_list(updates: Vec<ListUpdate>, cutoff: usize) -> bool {
+        let mut sender = TargetStore::default();
+        let mut receiver = TargetStore::default();
+        sender.replace(Time(0), Revision(10), table(&[(1, false), (2, false)]));
+        let mut reference = sender.clone();
+        let updates = &updates[..updates.len().min(40)];
+        let received = cutoff % (updates.len() + 1);
+        for (index, update) in updates.iter().enumerate() {
+            apply_update(&mut sender, index as u64 + 11, update);
+            if index < received {
+                apply_update(&mut reference, index as u64 + 11, update);
             }
         }
-        // The taker got its list by another way: whole, so that it has no changes of its own.
-        taker.replace(Time(0), copy.at, (*copy.table).clone());
-        let Some(changes) = teller.changes_since(taker.at) else {
+        // The receiver gets its list as a whole, from another node, so that it has no history of changes.
+        receiver.replace(Time(0), reference.at, (*reference.table).clone());
+        let Some(changes) = sender.changes_since(receiver.at) else {
             return false;
         };
-        taker.apply(Time(0), teller.at, changes);
-        taker.table == teller.table
+        receiver.apply(Time(0), sender.at, changes);
+        receiver.table == sender.table
     }
 }
 
-/// The changes of a node that is behind, or of a watch whose answer came late, would undo what is known already.
+/// Guards against late changes, from a node that is behind or from a delayed answer to a watch, that
+/// overwrite newer entries.
 #[test]
-fn changes_up_to_an_older_revision_undo_nothing() {
+fn changes_up_to_an_older_revision_are_ignored() {
     let mut store = TargetStore::default();
     store.replace(Time(0), Revision(10), table(&[(1, false)]));
     store.apply(Time(0), Revision(20), vec![TargetChange::Put(entry(1, true))]);
@@ -178,30 +190,33 @@
     assert!(store.table["t1"].leaving);
 }
 
-/// An entry that expired while the source was away is kept for a while by those who know of the outage. A node that has
-/// the list from one of them would otherwise keep it for ever, since nothing newer tells that it is gone.
+/// A node that noticed an outage of the source keeps entries that expired during it for a grace period. A
+/// node that got its list from such a node has to drop them at the same time; otherwise it keeps them for
+/// ever, since no later change removes them.
 #[test]
-fn whoever_has_the_list_from_another_node_drops_what_lapsed_as_soon_as_that_one() {
+fn a_node_that_got_its_list_from_another_drops_expired_entries_at_the_same_time() {
     let at = Time::from_millis;
-    let mut teller = TargetStore::default();
-    teller.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
-    let mut taker = TargetStore::default();
-    taker.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
-    teller.source_recovered(at(1000));
-    teller.replace(at(1000), Revision(5), table(&[(1, false)]));
-    assert_eq!(teller.table.len(), 2, "it may come back");
-    taker.note_expiring(at(1500), teller.at, teller.expiring(at(1500)));
-    let changes = teller.changes_since(taker.at).expect("known");
-    taker.apply(at(1500), teller.at, changes);
-    assert_eq!(taker.table.len(), 2);
-    assert!(!taker.expire(at(2900)));
-    assert!(taker.expire(at(3000)));
-    assert_eq!(taker.table.len(), 1);
-    assert_eq!(teller.expiring(at(2000)), [("t2".to_owned(), Span::from_secs(1))]);
+    let mut sender = TargetStore::default();
+    sender.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
+    let mut receiver = TargetStore::default();
+    receiver.replace(at(0), Revision(1), table(&[(1, false), (2, false)]));
+    sender.source_recovered(at(1000));
+    sender.replace(at(1000), Revision(5), table(&[(1, false)]));
+    assert_eq!(sender.table.len(), 2, "the entry is kept for its grace period");
+    receiver.note_expiring(at(1500), sender.at, sender.expiring(at(1500)));
+    let changes = sender
+        .changes_since(receiver.at)
+        .expect("the revision is in the history");
+    receiver.apply(at(1500), sender.at, changes);
+    assert_eq!(receiver.table.len(), 2);
+    assert!(!receiver.expire(at(2900)));
+    assert!(receiver.expire(at(3000)));
+    assert_eq!(receiver.table.len(), 1);
+    assert_eq!(sender.expiring(at(2000)), [("t2".to_owned(), Span::from_secs(1))]);
 }
 
 #[test]
-fn only_so_many_changes_are_kept() {
+fn the_history_of_changes_is_limited() {
     let mut store = TargetStore::default();
     store.replace(Time(0), Revision(1), table(&[]));
     for at in 2..3000_u64 {
@@ -212,6 +227,8 @@
         );
     }
     assert!(store.changes_since(Revision(1)).is_none());
-    let changes = store.changes_since(Revision(2500)).expect("recent");
+    let changes = store
+        .changes_since(Revision(2500))
+        .expect("revision 2500 is in the history");
     assert_eq!(changes.len(), 499);
 }
--- a/crates/barleyspool_core/tests/source_reading/fleet.rs
+++ b/crates/barleyspool_core/tests/source_reading/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes with their membership and their part at the source, stepped together as the gateway's control thread does.
+//! Simulated fleet in virtual time. Each node combines its membership with its reading of the source, in the
+//! same order as the gateway's control thread.
 
 use crate::net::Net;
 use barleyspool_core::{
@@ -8,39 +9,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
+/// Time step of the simulation.
 const STEP: Span = Span::from_millis(20);
-/// How often a node looks at its role.
-const LOOK: Span = Span::from_millis(200);
+/// Interval at which a node updates its role.
+const ROLE_INTERVAL: Span = Span::from_millis(200);
 
-/// One node's part at the source.
+/// State of one node that concerns the source.
 struct Node {
     zone: &'static str,
     watch: SourceWatch,
     cursor: FeedCursor,
-    /// The version that it has, also used as the revision of its list.
-    has: u64,
+    /// The version of the source data that it holds, also used as the revision of its list.
+    held_version: u64,
     failing: bool,
-    missing: bool,
-    /// When its watch ends without a change, or when it tries again.
-    wakes: Time,
+    /// Whether it has to read the source as a whole before it can watch.
+    needs_full_read: bool,
+    /// When its watch times out or, after a failure, when it retries.
+    wakes_at: Time,
     watching: bool,
-    /// Whether its watch was lost: it hears nothing until it ends.
-    deaf: bool,
-    next_look: Time,
-    told: SourceState,
-    audience: Vec<String>,
+    /// Whether its watch was lost without an error: it receives nothing until the watch times out.
+    watch_lost: bool,
+    next_role_update: Time,
+    /// The state that it announced last.
+    announced: SourceState,
+    /// Addresses of the nodes that it notifies.
+    recipients: Vec<String>,
 }
 
+/// A fleet of nodes and the source that they read.
 pub struct Fleet {
     pub net: Net,
+    /// Number of calls to the source so far.
     pub calls: u64,
     nodes: BTreeMap<String, Node>,
+    /// Latest version at the source.
     version: u64,
-    away: bool,
-    turned_away: BTreeSet<String>,
-    cut: BTreeSet<String>,
+    /// Whether the source responds to no node.
+    source_down: bool,
+    /// Nodes to which the source does not respond.
+    refused: BTreeSet<String>,
+    /// Nodes that are cut off from all others.
+    isolated: BTreeSet<String>,
 }
 
+/// Key of a node for the selection of readers.
 fn key(name: &str) -> u64 {
     rendezvous::text_key(name) as u64
 }
@@ -49,23 +61,23 @@
     pub fn start(size: usize, loss: f64, seed: u64) -> Self {
         let mut net = Net::new(loss, seed);
         let mut nodes = BTreeMap::new();
-        for place in 0..size {
-            let zone = ZONES[place % ZONES.len()];
-            let name = format!("n{place:03}");
+        for index in 0..size {
+            let zone = ZONES[index % ZONES.len()];
+            let name = format!("n{index:03}");
             net.start_in(zone, &name, 100, &["n000", "n004", "stale"]);
             let node = Node {
                 zone,
-                watch: SourceWatch::new(net.now, place as u64 + seed * 1000),
+                watch: SourceWatch::new(net.now, index as u64 + seed * 1000),
                 cursor: FeedCursor::default(),
-                has: 0,
+                held_version: 0,
                 failing: false,
-                missing: true,
-                wakes: net.now,
+                needs_full_read: true,
+                wakes_at: net.now,
                 watching: false,
-                deaf: false,
-                next_look: net.now,
-                told: SourceState::default(),
-                audience: Vec::new(),
+                watch_lost: false,
+                next_role_update: net.now,
+                announced: SourceState::default(),
+                recipients: Vec::new(),
             };
             nodes.insert(name, node);
         }
@@ -74,51 +86,56 @@
             calls: 0,
             nodes,
             version: 1,
-            away: false,
-            turned_away: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            source_down: false,
+            refused: BTreeSet::new(),
+            isolated: BTreeSet::new(),
         }
     }
 
     // ------------------------------------------------------------------------
-    // What happens to it
+    // Faults and changes
 
-    pub fn outage(&mut self, away: bool) {
-        self.away = away;
+    /// Starts or ends an outage of the source; open watches end at once.
+    pub fn set_outage(&mut self, source_down: bool) {
+        self.source_down = source_down;
         for node in self.nodes.values_mut().filter(|node| node.watching) {
-            node.wakes = self.net.now;
+            node.wakes_at = self.net.now;
         }
     }
 
-    pub fn turn_away(&mut self, name: &str) {
-        self.turned_away.insert(name.to_owned());
+    /// Lets the source refuse all calls of a node; its watch ends at once.
+    pub fn refuse_at_source(&mut self, name: &str) {
+        self.refused.insert(name.to_owned());
         if let Some(node) = self.nodes.get_mut(name) {
-            node.wakes = self.net.now;
+            node.wakes_at = self.net.now;
         }
     }
 
+    /// Suspends a node: it neither runs nor responds.
     pub fn freeze(&mut self, name: &str) {
         self.net.asleep.insert(name.to_owned());
     }
 
+    /// Loses all watches without an error.
     pub fn lose_watches(&mut self) {
-        self.nodes.values_mut().for_each(|node| node.deaf = true);
+        self.nodes.values_mut().for_each(|node| node.watch_lost = true);
     }
 
-    pub fn cut_off(&mut self, name: &str) {
+    /// Cuts a node off from all others; it still reaches the source.
+    pub fn isolate(&mut self, name: &str) {
         let others: Vec<String> = self
             .nodes
             .keys()
             .filter(|other| *other != name)
             .cloned()
             .collect();
-        self.cut.insert(name.to_owned());
+        self.isolated.insert(name.to_owned());
         let others: Vec<&str> = others.iter().map(String::as_str).collect();
         self.net.cut_between(&[name], &others);
     }
 
-    /// Cuts every second node off from the others; returns those.
-    pub fn split(&mut self) -> Vec<String> {
+    /// Cuts the links between every second node and the rest; returns the former.
+    pub fn partition(&mut self) -> Vec<String> {
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         let half: Vec<&str> = names.iter().step_by(2).map(String::as_str).collect();
         let rest: Vec<&str> = names.iter().skip(1).step_by(2).map(String::as_str).collect();
@@ -126,45 +143,51 @@
         half.into_iter().map(str::to_owned).collect()
     }
 
+    /// Restores all links between nodes.
     pub fn heal(&mut self) {
         self.net.cut.clear();
     }
 
+    /// Changes the data at the source.
     pub fn change(&mut self) {
         self.version += 1;
     }
 
-    /// A change; returns how long it took until every node that is awake had it.
-    pub fn change_and_wait(&mut self, longest: Span) -> Option<Span> {
+    /// Changes the data at the source; returns how long it took until every node that is not frozen had the
+    /// change, or `None` if it took more than `max_wait`.
+    pub fn change_and_wait(&mut self, max_wait: Span) -> Option<Span> {
         self.change();
-        let began = self.net.now;
-        while self.net.now.since(began) < longest {
+        let started = self.net.now;
+        while self.net.now.since(started) < max_wait {
             self.run(STEP);
             if self.behind().is_empty() {
-                return Some(self.net.now.since(began));
+                return Some(self.net.now.since(started));
             }
         }
         None
     }
 
     // ------------------------------------------------------------------------
-    // What is seen of it
+    // Observations
 
+    /// Nodes that lack the latest version and are not frozen.
     pub fn behind(&self) -> Vec<String> {
         let awake = self
             .nodes
             .iter()
             .filter(|(name, _)| !self.net.asleep.contains(*name));
-        let behind = awake.filter(|(_, node)| node.has < self.version);
+        let behind = awake.filter(|(_, node)| node.held_version < self.version);
         behind.map(|(name, _)| name.clone()).collect()
     }
 
+    /// Nodes of `zone` that take themselves for readers.
     pub fn readers_of(&self, zone: &str) -> Vec<String> {
-        let of_zone = self.nodes.iter().filter(|(_, node)| node.zone == zone);
-        let readers = of_zone.filter(|(_, node)| node.watch.is_reader());
+        let in_zone = self.nodes.iter().filter(|(_, node)| node.zone == zone);
+        let readers = in_zone.filter(|(_, node)| node.watch.is_reader());
         readers.map(|(name, _)| name.clone()).collect()
     }
 
+    /// A node that does not read the source.
     pub fn follower(&self) -> String {
         let mut followers = self.nodes.iter().filter(|(_, node)| !node.watch.is_reader());
         let (name, _) = followers.next().expect("a node that does not read");
@@ -174,11 +197,12 @@
     // ------------------------------------------------------------------------
     // Stepping
 
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Span) {
         let end = self.net.now + span;
         while self.net.now < end {
             self.net.run(STEP);
-            self.take_reported();
+            self.handle_reports();
             let names: Vec<String> = self.nodes.keys().cloned().collect();
             for name in &names {
                 if self.net.asleep.contains(name) {
@@ -191,7 +215,7 @@
         }
     }
 
-    fn take_reported(&mut self) {
+    fn handle_reports(&mut self) {
         let now = self.net.now;
         for (name, source, reads) in std::mem::take(&mut self.net.source_reports) {
             let Some(node) = self.nodes.get_mut(&name) else {
@@ -206,23 +230,23 @@
 
     fn step(&mut self, name: &str, node: &mut Node) {
         let now = self.net.now;
-        if now >= node.next_look {
-            node.next_look = now + LOOK;
+        if now >= node.next_role_update {
+            node.next_role_update = now + ROLE_INTERVAL;
             self.set_role(name, node);
         }
         self.read(name, node);
         if node.watch.should_ask(now, node.held(), node.failing) {
-            self.ask(name, node);
+            self.request_from_peer(name, node);
         }
         let state = node.state();
         self.net.step(name, MemberEvent::Source(state));
         let due = self.net.nodes[name].converged(now) && node.watch.announcement_due(now);
-        let moved = node.watch.reads(now) && state != node.told;
-        if due || moved {
-            node.told = state;
+        let state_changed = node.watch.reads(now) && state != node.announced;
+        if due || state_changed {
+            node.announced = state;
             node.watch.record_announcement(now);
-            let audience = node.audience.clone();
-            self.net.step(name, MemberEvent::Announce(audience));
+            let recipients = node.recipients.clone();
+            self.net.step(name, MemberEvent::Announce(recipients));
         }
     }
 
@@ -245,87 +269,91 @@
         };
         let members: Vec<ReaderCandidate> = others.chain([me]).collect();
         let role = source_role(&members, me.key);
-        node.audience = source_recipients(&members, node.zone, me.key);
+        node.recipients = source_recipients(&members, node.zone, me.key);
         node.watch.set_role(role, members.len());
     }
 
-    /// What the feeds of a node do at the source; both are taken as one here, which costs two calls each time.
+    /// Reads and watches the source. The two feeds of a node are simulated as one that makes two calls each
+    /// time.
     fn read(&mut self, name: &str, node: &mut Node) {
         let now = self.net.now;
         if !node.watch.is_reader() && node.watch.reads(now) {
-            node.missing = true;
+            node.needs_full_read = true;
         }
-        let settled = self.net.nodes[name].converged(now);
-        let wants = node.missing || (node.watch.is_reader() && settled);
-        let changed = node.watching && !node.deaf && node.has < self.version && self.answers(name);
+        let converged = self.net.nodes[name].converged(now);
+        let needs_source = node.needs_full_read || (node.watch.is_reader() && converged);
+        let changed = node.watching
+            && !node.watch_lost
+            && node.held_version < self.version
+            && self.source_answers(name);
         if changed {
-            // One feed of the two has a change.
+            // Only one of the two feeds returns a change.
             self.calls += 1;
-            node.has = self.version;
+            node.held_version = self.version;
             node.watching = false;
-        } else if node.watching && now < node.wakes {
+        } else if node.watching && now < node.wakes_at {
             return;
         } else if node.watching {
             self.calls += 2;
             node.watching = false;
-            if !self.answers(name) || node.deaf {
-                node.deaf = false;
-                self.failed(node);
+            if !self.source_answers(name) || node.watch_lost {
+                node.watch_lost = false;
+                self.source_failed(node);
                 return;
             }
             node.watch.record_reader_answer(now);
         }
-        if !wants || now < node.wakes && node.failing {
+        if !needs_source || now < node.wakes_at && node.failing {
             return;
         }
-        if node.missing || node.failing {
+        if node.needs_full_read || node.failing {
             self.calls += 2;
-            if !self.answers(name) {
-                self.failed(node);
+            if !self.source_answers(name) {
+                self.source_failed(node);
                 return;
             }
-            node.missing = false;
-            node.has = self.version;
+            node.needs_full_read = false;
+            node.held_version = self.version;
             node.cursor.advance(Revision(self.version));
             node.watch.record_reader_answer(now);
         }
         node.failing = false;
-        if node.watch.is_reader() && settled {
+        if node.watch.is_reader() && converged {
             node.watching = true;
-            node.wakes = now + watch_timeout(node.watch.uses_short_watch());
+            node.wakes_at = now + watch_timeout(node.watch.uses_short_watch());
         }
     }
 
-    fn failed(&self, node: &mut Node) {
-        let wait = node.cursor.record_failure();
+    fn source_failed(&self, node: &mut Node) {
+        let delay = node.cursor.record_failure();
         node.failing = true;
-        node.wakes = self.net.now + node.watch.retry_delay(wait);
+        node.wakes_at = self.net.now + node.watch.retry_delay(delay);
     }
 
-    fn answers(&self, name: &str) -> bool {
-        !self.away && !self.turned_away.contains(name)
+    fn source_answers(&self, name: &str) -> bool {
+        !self.source_down && !self.refused.contains(name)
     }
 
-    /// Takes what another node has that told so.
-    fn ask(&mut self, name: &str, node: &mut Node) {
+    /// Gets the version of a reachable node that has announced newer data.
+    fn request_from_peer(&mut self, name: &str, node: &mut Node) {
         let held = node.held();
         let members = self.net.nodes[name].members();
-        let mut newer = members.filter(|member| {
+        let mut newer_peers = members.filter(|member| {
             let address = &member.facts.address;
-            let reached = !self.net.cut.contains(&(name.to_owned(), address.clone()));
-            reached && !self.net.asleep.contains(address) && held.is_behind(member.source)
+            let reachable = !self.net.cut.contains(&(name.to_owned(), address.clone()));
+            reachable && !self.net.asleep.contains(address) && held.is_behind(member.source)
         });
-        let Some(teller) = newer.next() else { return };
-        let has = self
+        let Some(peer) = newer_peers.next() else { return };
+        let held_version = self
             .nodes
-            .get(&teller.facts.address)
-            .map_or(0, |teller| teller.has);
-        if has > node.has {
-            node.has = has;
-            node.missing = false;
-            // Its own watch hears nothing, so it watches anew.
+            .get(&peer.facts.address)
+            .map_or(0, |peer| peer.held_version);
+        if held_version > node.held_version {
+            node.held_version = held_version;
+            node.needs_full_read = false;
+            // Its watch may have been lost, so it starts a new one.
             node.watching = false;
-            node.deaf = false;
+            node.watch_lost = false;
         }
     }
 }
@@ -333,17 +361,17 @@
 impl Node {
     fn held(&self) -> HeldRevisions {
         HeldRevisions {
-            version: Revision(self.has),
-            list: Revision(self.has),
-            evacuations: Revision(self.has),
+            version: Revision(self.held_version),
+            list: Revision(self.held_version),
+            evacuations: Revision(self.held_version),
         }
     }
 
     fn state(&self) -> SourceState {
         SourceState {
-            version: Revision(self.has),
-            list: Revision(self.has),
-            evacuations: Revision(self.has),
+            version: Revision(self.held_version),
+            list: Revision(self.held_version),
+            evacuations: Revision(self.held_version),
             failing: self.failing,
         }
     }
--- a/crates/barleyspool_core/tests/source_reading/initial_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/initial_list.rs
@@ -1,6 +1,8 @@
-//! The first list of targets of a fleet whose nodes all start at once, in virtual time: what the source hands out, and until when all nodes know it.
+//! Simulation in virtual time of a fleet whose nodes all start at once without a target list: how often they
+//! read the source, and how soon all of them have the list.
 //!
-//! The pattern: each node of a fleet needs the same large state at the same moment, and one process of limited width has it.
+//! Every node needs the same large state at the same moment, and at first only one process of limited
+//! bandwidth has it.
 
 use crate::net::Net;
 use barleyspool_core::{
@@ -13,85 +15,102 @@
 use std::collections::BTreeMap;
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
+/// Time step of the simulation.
 const STEP: Span = Span::from_millis(10);
-/// How often a node looks at its role.
-const LOOK: Span = Span::from_millis(50);
-/// The seeds; one has a strong link, one a weak one, one is gone.
+/// Interval at which a node updates its role.
+const ROLE_INTERVAL: Span = Span::from_millis(50);
+/// The seeds of the fleet: one with a fast link, one with a slow link, and one that no longer exists.
 const SEEDS: [&str; 3] = ["n0000", "n0007", "stale"];
-/// Processes of one fleet start within this time.
-const STARTS: Span = Span::from_millis(100);
-/// The source's link and what it sends a target; a page holds so many.
+/// All nodes of a fleet start within this time.
+const START_SPREAD: Span = Span::from_millis(100);
+/// Bandwidth of the link of the source, in Mbit/s.
 const SOURCE_MBPS: f64 = 1000.0;
+/// Size of one target in an answer of the source.
 const ENTRY_BYTES: usize = 370;
-const PAGE: usize = 500;
-/// One node in twenty has a strong link.
-const STRONG: (usize, u32) = (20, 200);
-const WEAK_MBPS: u32 = 20;
-/// The time of a question and its answer without what they carry, with a connection made for it.
+/// Number of targets in a page of the source.
+const PAGE_ENTRIES: usize = 500;
+/// One node in twenty has a fast link; the second number is its bandwidth in Mbit/s.
+const FAST_LINK: (usize, u32) = (20, 200);
+/// Bandwidth of the links of the other nodes, in Mbit/s.
+const SLOW_MBPS: u32 = 20;
+/// Duration of a request and its response without the transfer of the payload, including the connection
+/// setup.
 const ROUND_TRIP: Span = Span::from_millis(6);
-/// The pause after a question to a node that was busy.
-const BUSY_PAUSE: Span = Span::from_millis(20);
-const BUSY_FOR: Span = Span::from_millis(100);
-/// Nodes that read the source for their zone, of all zones.
+/// Delay until the next request after a node replied that it is busy.
+const BUSY_DELAY: Span = Span::from_millis(20);
+/// How long a node that was busy is avoided.
+const BUSY_AVOIDED_FOR: Span = Span::from_millis(100);
+/// Number of nodes that read the source for their zone, over all zones.
 const READERS: u64 = 2 * ZONES.len() as u64;
 
-fn transfer(bytes: usize, mbps: f64) -> Span {
+/// Time to transfer `bytes` at `mbps` Mbit/s.
+fn transfer_time(bytes: usize, mbps: f64) -> Span {
     Span((bytes as f64 * 8.0 / mbps) as u64)
 }
 
-/// What a node has asked another one.
+/// The request to another node that is in progress.
 #[derive(Copy, Clone, Debug, PartialEq)]
-enum Waits {
-    Nothing,
-    /// For a list of another node.
+enum PendingRequest {
+    Idle,
+    /// That node sends its list, under this key of the transfer.
     List(usize, TransferKey),
-    /// For an answer that there is none now.
+    /// That node replies that it is busy.
     Busy(usize),
 }
 
-/// One node; of the tables of members only those of nodes that have started are there.
+/// One node. Its membership table is added to [`Net`] when the node starts.
 struct Node {
     name: String,
     zone: &'static str,
     link_mbps: u32,
-    starts: Time,
-    first: InitialListRead,
+    starts_at: Time,
+    list_read: InitialListRead,
     role: SourceRole,
     view: FleetView,
-    /// Since when it knows that others have the list.
-    knew: Option<Time>,
-    next_look: Time,
-    pages: usize,
-    page_at: Option<Time>,
-    asks: Waits,
-    ask_at: Time,
+    /// When it first knew of another node with the list.
+    holder_known_at: Option<Time>,
+    next_role_update: Time,
+    /// Number of pages that it has read from the source.
+    pages_read: usize,
+    /// When the page that it reads now arrives.
+    page_due: Option<Time>,
+    pending: PendingRequest,
+    next_request_at: Time,
+    /// Transfers of its list to other nodes.
     transfers: ListTransfers,
+    /// Nodes that were busy, and until when they are avoided.
     avoided: BTreeMap<usize, Time>,
-    has: Option<Time>,
+    /// When it had the whole list.
+    received_at: Option<Time>,
 }
 
+/// A fleet of nodes and the source of the list.
 struct Fleet {
     net: Net,
     nodes: Vec<Node>,
+    /// Number of pages of the list at the source.
     pages: usize,
+    /// Size of the packed list that nodes send each other.
     list_bytes: usize,
+    /// When the link of the source has sent all pages requested so far.
     source_free: Time,
+    /// Number of calls to the source so far.
     calls: u64,
     random: SmallRng,
 }
 
-/// A list with names as long as they usually are.
+/// A list with identifiers, addresses and service names of realistic length.
 fn list(targets: usize) -> TargetTable {
-    let entry = |place: usize| TargetEntry {
+    let entry = |index: usize| TargetEntry {
         id: format!(
             "i-{:010x}",
-            rendezvous::place(7, place as u64) as u64 & 0xff_ffff_ffff
+            rendezvous::place(7, index as u64) as u64 & 0xff_ffff_ffff
         ),
-        incarnation: TargetIncarnation(1_700_000_000_000 + place as u64 * 17),
+        incarnation: TargetIncarnation(1_700_000_000_000 + index as u64 * 17),
         sequence: 40,
-        service: format!("service-{}", place % 5),
-        address: format!("10.{}.{}.{}:8080", place % 5, place / 250, place % 250),
-        zone: ZONES[place % ZONES.len()].to_owned(),
+        service: format!("service-{}", index % 5),
+        address: format!("10.{}.{}.{}:8080", index % 5, index / 250, index % 250),
+        zone: ZONES[index % ZONES.len()].to_owned(),
         slots: 64,
         ..TargetEntry::default()
     };
@@ -105,31 +124,31 @@
     fn start(count: usize, targets: usize, seed: u64) -> Self {
         let net = Net::new(0.01, seed);
         let mut random = SmallRng::seed_from_u64(seed);
-        let node = |place: usize| {
-            let starts = net.now + Span(random.random_range(0..STARTS.0));
-            let (one_in, strong) = STRONG;
-            let link_mbps = if place.is_multiple_of(one_in) {
-                strong
+        let node = |index: usize| {
+            let starts_at = net.now + Span(random.random_range(0..START_SPREAD.0));
+            let (one_in, fast_mbps) = FAST_LINK;
+            let link_mbps = if index.is_multiple_of(one_in) {
+                fast_mbps
             } else {
-                WEAK_MBPS
+                SLOW_MBPS
             };
             Node {
-                name: format!("n{place:04}"),
-                zone: ZONES[place / one_in % ZONES.len()],
+                name: format!("n{index:04}"),
+                zone: ZONES[index / one_in % ZONES.len()],
                 link_mbps,
-                starts,
-                first: InitialListRead::new(starts, random.random()),
+                starts_at,
+                list_read: InitialListRead::new(starts_at, random.random()),
                 role: SourceRole::default(),
                 view: FleetView::default(),
-                knew: None,
-                next_look: starts,
-                pages: 0,
-                page_at: None,
-                asks: Waits::Nothing,
-                ask_at: starts,
+                holder_known_at: None,
+                next_role_update: starts_at,
+                pages_read: 0,
+                page_due: None,
+                pending: PendingRequest::Idle,
+                next_request_at: starts_at,
                 transfers: ListTransfers::new(link_mbps),
                 avoided: BTreeMap::new(),
-                has: None,
+                received_at: None,
             }
         };
         let nodes = (0..count).map(node).collect();
@@ -138,50 +157,50 @@
         Self {
             net,
             nodes,
-            pages: targets.div_ceil(PAGE),
-            list_bytes: rmp_serde::to_vec(&packed).expect("encodes").len(),
+            pages: targets.div_ceil(PAGE_ENTRIES),
+            list_bytes: rmp_serde::to_vec(&packed).expect("a packed list encodes").len(),
             source_free,
             calls: 0,
             random,
         }
     }
 
-    /// Runs for `span`; stops when all nodes have the list.
+    /// Runs for `span`, or until all nodes have the list.
     fn run(&mut self, span: Span) {
         let end = self.net.now + span;
-        while self.net.now < end && self.nodes.iter().any(|node| node.has.is_none()) {
+        while self.net.now < end && self.nodes.iter().any(|node| node.received_at.is_none()) {
             self.net.run(STEP);
-            for place in 0..self.nodes.len() {
-                self.step(place);
+            for index in 0..self.nodes.len() {
+                self.step(index);
             }
         }
     }
 
-    fn step(&mut self, place: usize) {
+    fn step(&mut self, index: usize) {
         let now = self.net.now;
-        if now < self.nodes[place].starts {
+        if now < self.nodes[index].starts_at {
             return;
         }
         let (name, zone, link_mbps) = {
-            let node = &self.nodes[place];
+            let node = &self.nodes[index];
             (node.name.clone(), node.zone, node.link_mbps)
         };
         if !self.net.nodes.contains_key(&name) {
-            let incarnation = 1 + place as u64;
+            let incarnation = 1 + index as u64;
             self.net.start_linked(zone, &name, incarnation, &SEEDS, link_mbps);
         }
-        if now >= self.nodes[place].next_look {
-            self.nodes[place].next_look = now + LOOK;
-            self.set_role(place);
+        if now >= self.nodes[index].next_role_update {
+            self.nodes[index].next_role_update = now + ROLE_INTERVAL;
+            self.set_role(index);
         }
-        if self.nodes[place].has.is_none() {
-            self.read(place);
-            self.ask(place);
+        if self.nodes[index].received_at.is_none() {
+            self.read(index);
+            self.request_list(index);
         }
     }
 
-    fn set_role(&mut self, place: usize) {
-        let node = &self.nodes[place];
+    fn set_role(&mut self, index: usize) {
+        let node = &self.nodes[index];
         let membership = &self.net.nodes[&node.name];
         let alive = membership
             .members()
@@ -210,89 +229,95 @@
                 .members()
                 .any(|member| member.source.list != Revision(0)),
         };
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.role = role;
         node.view = view;
         if view.holder {
-            node.knew = node.knew.or(Some(self.net.now));
+            node.holder_known_at = node.holder_known_at.or(Some(self.net.now));
         }
     }
 
-    /// Reads the source, page by page.
-    fn read(&mut self, place: usize) {
+    /// Reads the list from the source, page by page.
+    fn read(&mut self, index: usize) {
         let now = self.net.now;
-        let bytes = PAGE * ENTRY_BYTES;
+        let bytes = PAGE_ENTRIES * ENTRY_BYTES;
         let (source_free, pages) = (&mut self.source_free, self.pages);
-        let node = &mut self.nodes[place];
-        if node.page_at.is_some_and(|at| now >= at) {
-            node.page_at = None;
-            node.pages += 1;
+        let node = &mut self.nodes[index];
+        if node.page_due.is_some_and(|at| now >= at) {
+            node.page_due = None;
+            node.pages_read += 1;
         }
-        if node.pages == pages {
-            self.has(place);
+        if node.pages_read == pages {
+            self.record_list(index);
             return;
         }
-        let goes_on = node.pages > 0 || node.first.should_read(now, node.view);
-        if node.page_at.is_some() || !goes_on {
+        let should_read = node.pages_read > 0 || node.list_read.should_read(now, node.view);
+        if node.page_due.is_some() || !should_read {
             return;
         }
         self.calls += 1;
-        *source_free = now.max(*source_free) + transfer(bytes, SOURCE_MBPS);
-        let own = now + transfer(bytes, f64::from(node.link_mbps));
-        node.page_at = Some(own.max(*source_free) + ROUND_TRIP);
+        *source_free = now.max(*source_free) + transfer_time(bytes, SOURCE_MBPS);
+        let received = now + transfer_time(bytes, f64::from(node.link_mbps));
+        node.page_due = Some(received.max(*source_free) + ROUND_TRIP);
     }
 
-    /// Asks another node for the list.
-    fn ask(&mut self, place: usize) {
+    /// Requests the list from another node.
+    fn request_list(&mut self, index: usize) {
         let now = self.net.now;
-        if now < self.nodes[place].ask_at || self.nodes[place].has.is_some() {
+        if now < self.nodes[index].next_request_at || self.nodes[index].received_at.is_some() {
             return;
         }
-        match std::mem::replace(&mut self.nodes[place].asks, Waits::Nothing) {
-            Waits::List(holder, key) => {
+        match std::mem::replace(&mut self.nodes[index].pending, PendingRequest::Idle) {
+            PendingRequest::List(holder, key) => {
                 self.nodes[holder].transfers.finish(key);
-                self.has(place);
+                self.record_list(index);
                 return;
             }
-            Waits::Busy(holder) => {
-                self.nodes[place].avoided.insert(holder, now + BUSY_FOR);
+            PendingRequest::Busy(holder) => {
+                self.nodes[index].avoided.insert(holder, now + BUSY_AVOIDED_FOR);
             }
-            Waits::Nothing => {}
+            PendingRequest::Idle => {}
         }
-        let Some(holder) = self.holder(place) else { return };
+        let Some(holder) = self.holder(index) else { return };
         let admitted = self.nodes[holder].transfers.admit(now);
-        let taker_mbps = f64::from(self.nodes[place].link_mbps);
-        let node = &mut self.nodes[place];
+        let requester_mbps = f64::from(self.nodes[index].link_mbps);
+        let node = &mut self.nodes[index];
         match admitted {
             Some(key) => {
-                // As many as the holder's link bears at once share it, whether there are as many now or not.
-                let share: f64 = if self.nodes[holder].link_mbps == WEAK_MBPS {
+                // The bandwidth of the holder is divided by its maximum number of concurrent transfers, even
+                // if fewer are active.
+                let share_mbps: f64 = if self.nodes[holder].link_mbps == SLOW_MBPS {
                     20.0
                 } else {
                     25.0
                 };
-                let takes = transfer(self.list_bytes, share.min(taker_mbps));
-                self.nodes[place].asks = Waits::List(holder, key);
-                self.nodes[place].ask_at = now + takes + ROUND_TRIP;
+                let duration = transfer_time(self.list_bytes, share_mbps.min(requester_mbps));
+                self.nodes[index].pending = PendingRequest::List(holder, key);
+                self.nodes[index].next_request_at = now + duration + ROUND_TRIP;
             }
             None => {
-                node.asks = Waits::Busy(holder);
-                node.ask_at = now + BUSY_PAUSE + ROUND_TRIP;
+                node.pending = PendingRequest::Busy(holder);
+                node.next_request_at = now + BUSY_DELAY + ROUND_TRIP;
             }
         }
     }
 
-    fn holder(&mut self, place: usize) -> Option<usize> {
+    /// Selects a node from which node `index` requests the list.
+    fn holder(&mut self, index: usize) -> Option<usize> {
         let now = self.net.now;
-        let node = &self.nodes[place];
+        let node = &self.nodes[index];
         let members = self.net.nodes[&node.name].members();
         let holders = members.filter(|member| member.source.list != Revision(0));
-        let taker = ListRequester {
+        let requester = ListRequester {
             link_mbps: node.link_mbps,
-            waited: node.knew.map_or(Span::ZERO, |knew| now.since(knew)),
+            waited: node
+                .holder_known_at
+                .map_or(Span::ZERO, |known_at| now.since(known_at)),
         };
         let candidates = holders.map(|member| {
-            let number = member.facts.address[1..].parse().expect("a number");
+            let number = member.facts.address[1..]
+                .parse()
+                .expect("an address is the letter n and a number");
             ListHolder {
                 address: number,
                 avoided: node.avoided.get(&number).is_some_and(|until| now < *until),
@@ -300,15 +325,15 @@
                 link_mbps: member.facts.link_mbps,
             }
         });
-        let candidates = candidates.filter(|holder| taker.may_ask_other_zones() || !holder.other_zone);
+        let candidates = candidates.filter(|holder| requester.may_ask_other_zones() || !holder.other_zone);
         choose_list_holder(candidates, &mut self.random)
     }
 
-    /// The node has the list, and the others hear of it.
-    fn has(&mut self, place: usize) {
+    /// Records that the node has the list, and reports it to the others.
+    fn record_list(&mut self, index: usize) {
         let now = self.net.now;
-        let node = &mut self.nodes[place];
-        node.has = Some(now);
+        let node = &mut self.nodes[index];
+        node.received_at = Some(now);
         let name = node.name.clone();
         let state = SourceState {
             list: Revision(1),
@@ -318,51 +343,54 @@
         self.net.step(&name, MemberEvent::Serving(true));
     }
 
-    /// How long after its start the node had the list that came `share` of all from the first.
-    fn known_after(&self, share: f64) -> Option<Span> {
-        let took = |node: &Node| node.has.map(|at| at.since(node.starts));
-        let mut took: Vec<Span> = self.nodes.iter().filter_map(took).collect();
-        took.sort_unstable();
-        let place = (self.nodes.len() as f64 * share) as usize;
-        took.get(place.saturating_sub(1)).copied()
+    /// Time from its start within which each node of the fastest `fraction` had the list.
+    fn known_after(&self, fraction: f64) -> Option<Span> {
+        let elapsed = |node: &Node| node.received_at.map(|at| at.since(node.starts_at));
+        let mut elapsed: Vec<Span> = self.nodes.iter().filter_map(elapsed).collect();
+        elapsed.sort_unstable();
+        let index = (self.nodes.len() as f64 * fraction) as usize;
+        elapsed.get(index.saturating_sub(1)).copied()
     }
 }
 
-fn a_start(nodes: usize, targets: usize, within: Span) {
+/// Checks a start of `nodes` nodes with a list of `targets`: nine tenths have the list within `limit`, all
+/// within twice that, and calls to the source stay bounded.
+fn check_start(nodes: usize, targets: usize, limit: Span) {
     let mut fleet = Fleet::start(nodes, targets, nodes as u64);
     fleet.run(Span::from_secs(8));
-    let most = fleet.known_after(0.9);
-    let last = fleet.known_after(1.0);
+    let p90 = fleet.known_after(0.9);
+    let slowest = fleet.known_after(1.0);
     assert!(
-        most.is_some_and(|most| most <= within),
-        "nine tenths know after {most:?}"
+        p90.is_some_and(|p90| p90 <= limit),
+        "nine tenths of the nodes have the list after {p90:?}"
     );
     assert!(
-        last.is_some_and(|last| last <= within + within),
-        "all know after {last:?}"
+        slowest.is_some_and(|slowest| slowest <= limit + limit),
+        "all nodes have the list after {slowest:?}"
     );
-    // Each reader reads the list once; as many again for nodes that took themselves for readers before they knew the others.
+    // Each reader reads the list once. As many reads again are allowed for nodes that take themselves for
+    // readers before they know the others.
     let calls = 2 * READERS * fleet.pages as u64;
     assert!(fleet.calls <= calls, "{} calls, at most {calls}", fleet.calls);
 }
 
 #[test]
 fn nine_nodes_have_the_list_soon_after_they_start() {
-    a_start(9, 300, Span::from_millis(500));
+    check_start(9, 300, Span::from_millis(500));
 }
 
 #[test]
 fn a_fleet_of_295_nodes_has_the_list_soon_after_it_starts() {
-    a_start(295, 300, Span::from_millis(1500));
-    a_start(295, 6_000, Span::from_millis(1500));
+    check_start(295, 300, Span::from_millis(1500));
+    check_start(295, 6_000, Span::from_millis(1500));
 }
 
 #[test]
 fn a_fleet_of_585_nodes_has_the_list_soon_after_it_starts() {
-    a_start(585, 6_000, Span::from_millis(1500));
+    check_start(585, 6_000, Span::from_millis(1500));
 }
 
 #[test]
 fn a_fleet_of_1170_nodes_has_the_list_soon_after_it_starts() {
-    a_start(1_170, 12_000, Span::from_millis(2000));
+    check_start(1_170, 12_000, Span::from_millis(2000));
 }
--- a/crates/barleyspool_core/tests/source_reading/main.rs
+++ b/crates/barleyspool_core/tests/source_reading/main.rs
@@ -1,4 +1,5 @@
-//! A fleet that reads the source through a few of its nodes, over a network that loses and cuts, in virtual time.
+//! Simulation in virtual time of a fleet in which a few nodes read the source for all, over a network with
+//! message loss and partitions.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -6,20 +7,23 @@
 mod fleet;
 mod initial_list;
 #[path = "../membership/net.rs"]
-#[allow(dead_code, reason = "shared with the tests of membership")]
+#[allow(dead_code, reason = "shared with the membership tests")]
 mod net;
 mod roles;
 
 use barleyspool_core::Span;
 use fleet::Fleet;
 
+/// Fleet sizes, in nodes.
 const SIZES: [usize; 4] = [9, 86, 295, 410];
 
-/// What the pages of the deployments give: a change is in force everywhere within two seconds of its acknowledgement.
-const IN_FORCE: Span = Span::from_millis(2000);
+/// Time within which a change has to be in force on every node after its acknowledgement, as the
+/// documentation of the deployments promises.
+const PROPAGATION_LIMIT: Span = Span::from_millis(2000);
 
-/// Calls to the source of a fleet of any size: two whole reads of each node at its start, and of a reader when its
-/// watches begin; then for each reader an answer a change, and for the short pollers one every two seconds and feed.
+/// Calls to the source at any fleet size: two whole reads by each node at its start, and by each reader when
+/// it starts its watches; after that one answer per change for each reader, and for the two readers with a
+/// short watch timeout one every two seconds and feed.
 #[test]
 fn calls_to_the_source_grow_with_changes_and_zones_and_not_with_nodes() {
     const CHANGES: u64 = 10;
@@ -30,85 +34,88 @@
         let at_start = fleet.calls;
         assert!(
             at_start <= 2 * size as u64 + 6 * readers,
-            "{size} nodes: {at_start} at the start"
+            "{size} nodes: {at_start} calls at the start"
         );
         for _ in 0..CHANGES {
-            let took = fleet.change_and_wait(IN_FORCE);
-            assert!(took.is_some(), "{size} nodes: not everywhere after {IN_FORCE:?}");
+            let elapsed = fleet.change_and_wait(PROPAGATION_LIMIT);
+            assert!(
+                elapsed.is_some(),
+                "{size} nodes: some node lacks the change after {PROPAGATION_LIMIT:?}"
+            );
             fleet.run(Span::from_millis(300));
         }
         let calls = fleet.calls - at_start;
-        let most = CHANGES * (readers + 2) + 60;
+        let max_calls = CHANGES * (readers + 2) + 60;
         assert!(
-            calls <= most,
-            "{size} nodes: {calls} calls for {CHANGES} changes, at most {most}"
+            calls <= max_calls,
+            "{size} nodes: {calls} calls for {CHANGES} changes, at most {max_calls}"
         );
     }
 }
 
 #[test]
-fn a_change_is_in_force_although_both_readers_of_a_zone_froze_just_before() {
+fn a_change_reaches_all_nodes_although_both_readers_of_a_zone_have_just_frozen() {
     for size in [9, 86, 295] {
         let mut fleet = Fleet::start(size, 0.01, 7);
         fleet.run(Span::from_secs(3));
         for reader in fleet.readers_of("a") {
             fleet.freeze(&reader);
         }
-        let took = fleet.change_and_wait(Span::from_millis(3500));
-        assert!(took.is_some(), "{size} nodes");
+        let elapsed = fleet.change_and_wait(Span::from_millis(3500));
+        assert!(elapsed.is_some(), "{size} nodes");
     }
 }
 
 #[test]
-fn a_change_is_in_force_although_the_source_turns_all_readers_away() {
+fn a_change_reaches_all_nodes_although_the_source_refuses_all_readers() {
     let mut fleet = Fleet::start(86, 0.01, 3);
     fleet.run(Span::from_secs(3));
     for zone in fleet::ZONES {
         for reader in fleet.readers_of(zone) {
-            fleet.turn_away(&reader);
+            fleet.refuse_at_source(&reader);
         }
     }
-    let took = fleet.change_and_wait(IN_FORCE);
-    assert!(took.is_some());
+    let elapsed = fleet.change_and_wait(PROPAGATION_LIMIT);
+    assert!(elapsed.is_some());
 }
 
-/// A watch that was lost says nothing, which looks like a feed without changes. Only the two that watch for a short
-/// time find out.
+/// A watch whose connection was lost silently looks like a feed without changes. Only the two readers with a
+/// short watch timeout detect it.
 #[test]
-fn a_change_is_in_force_although_all_watches_were_lost() {
+fn a_change_reaches_all_nodes_although_all_watches_were_lost() {
     let mut fleet = Fleet::start(86, 0.01, 4);
     fleet.run(Span::from_secs(3));
     fleet.lose_watches();
-    let took = fleet.change_and_wait(Span::from_millis(3500));
-    assert!(took.is_some());
+    let elapsed = fleet.change_and_wait(Span::from_millis(3500));
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn a_node_that_is_cut_off_from_all_others_reads_for_itself() {
+fn a_node_that_is_cut_off_from_all_others_reads_the_source_itself() {
     let mut fleet = Fleet::start(86, 0.01, 5);
     fleet.run(Span::from_secs(3));
     let follower = fleet.follower();
-    fleet.cut_off(&follower);
-    let took = fleet.change_and_wait(Span::from_millis(3500));
-    assert!(took.is_some());
+    fleet.isolate(&follower);
+    let elapsed = fleet.change_and_wait(Span::from_millis(3500));
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn both_halves_of_a_split_learn_of_a_change_also_when_one_has_no_source() {
-    for without_source in [false, true] {
+fn both_halves_of_a_partition_get_a_change_even_if_one_cannot_reach_the_source() {
+    for half_without_source in [false, true] {
         let mut fleet = Fleet::start(86, 0.01, 6);
         fleet.run(Span::from_secs(3));
-        let half = fleet.split();
-        if without_source {
-            half.iter().for_each(|node| fleet.turn_away(node));
+        let half = fleet.partition();
+        if half_without_source {
+            half.iter().for_each(|node| fleet.refuse_at_source(node));
         }
         fleet.change();
         fleet.run(Span::from_millis(3500));
         let behind = fleet.behind();
-        if without_source {
+        if half_without_source {
             assert!(
                 behind.iter().all(|node| half.contains(node)),
-                "the other half knows"
+                "the half with a source has the change"
             );
             fleet.heal();
             fleet.run(Span::from_secs(4));
@@ -116,31 +123,31 @@
         assert_eq!(
             fleet.behind(),
             Vec::<String>::new(),
-            "without source: {without_source}"
+            "one half without source: {half_without_source}"
         );
     }
 }
 
-/// While the source is away the fleet tries it about as often at 410 nodes as at 86, also when all have just started and
-/// nobody has anything.
+/// During an outage of the source, 410 nodes call it about as often as 86 do, even if all nodes have just
+/// started and none of them has any data.
 #[test]
-fn an_outage_of_the_source_is_not_met_with_a_storm_of_calls() {
+fn an_outage_of_the_source_causes_no_storm_of_calls() {
     for size in [86, 410] {
         let mut fleet = Fleet::start(size, 0.01, 8);
-        fleet.outage(true);
+        fleet.set_outage(true);
         fleet.run(Span::from_secs(4));
         let before = fleet.calls;
         fleet.run(Span::from_secs(5));
         let calls = fleet.calls - before;
         assert!(calls < 400, "{size} nodes: {calls} calls in five seconds");
-        fleet.outage(false);
+        fleet.set_outage(false);
         fleet.run(Span::from_secs(3));
         assert_eq!(fleet.behind(), Vec::<String>::new(), "{size} nodes");
     }
 }
 
-/// For some minute after a start of all, news of members alone are near the budget of 13 KB a second; what a reader adds
-/// has to stay well below what is left when they are passed on.
+/// For about a minute after all nodes start, membership updates alone come close to the budget of 13 KB/s per
+/// node. The traffic of a reader has to fit well within the rest of the budget.
 #[test]
 fn reading_for_a_zone_adds_little_to_what_a_node_sends() {
     let mut fleet = Fleet::start(410, 0.01, 9);
@@ -149,8 +156,11 @@
     fleet.run(Span::from_secs(3));
     let mut sent: Vec<u64> = fleet.net.by_sender.values().map(|bytes| bytes / 3).collect();
     sent.sort_unstable();
-    let usual = sent[sent.len() / 2];
-    let most = sent.last().copied().unwrap_or_default();
-    assert!(most - usual < 3_800, "{usual} bytes a second, {most} at the most");
-    assert!(most < 11_000, "{most} bytes a second of the 13,000 there are");
+    let median = sent[sent.len() / 2];
+    let max_sent = sent.last().copied().unwrap_or_default();
+    assert!(
+        max_sent - median < 3_800,
+        "median {median} bytes/s, maximum {max_sent} bytes/s"
+    );
+    assert!(max_sent < 11_000, "{max_sent} bytes/s of a budget of 13,000");
 }
