--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -5,7 +5,7 @@
 use super::peers::Owner;
 use super::stages;
 use super::stopping;
-use super::target_ends;
+use super::target_crashes;
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{ForwardPlan, PoolSpec, Reason, Route, Span, StopPhase};
@@ -34,7 +34,7 @@
 /// Turns a call away at once when it is expected to be late because of what waits before it, or when nothing can serve it.
 pub fn admit(call: &Call) -> Result<(), CallFailure> {
     let now = call.traffic.now();
-    target_ends::check(call)?;
+    target_crashes::check_blocked(call)?;
     if let Some(service) = unserved(call) {
         let failure = CallFailure::not_run(Reason::NoTarget).at(service, "");
         return Err(failure.after(NO_TARGET_WAIT));
@@ -173,8 +173,8 @@
     let traffic = &call.traffic;
     let id = stages::likely_pool(call, stage);
     let wait = match traffic.peers.owner(traffic, &id) {
-        Owner::Me => traffic.pools.known(&id).map(|pool| pool.wait(traffic)),
-        Owner::Other(_) => traffic.peers.wait(traffic.now(), &id),
+        Owner::Local => traffic.pools.find(&id).map(|pool| pool.expected_wait(traffic)),
+        Owner::Remote(_) => traffic.peers.pool_wait(traffic.now(), &id),
     };
     wait.unwrap_or_default()
 }
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -9,11 +9,11 @@
 use super::held_bytes::HeldBytes;
 use super::placement;
 use super::read_call::{Taken, max_wait, read_body, take};
-use super::results::Results;
+use super::stage_results::StageResults;
 use super::stages;
 use super::starting;
 use super::stopping;
-use super::target_choice::{self, Reserved};
+use super::target_choice::{self, ReservedTarget};
 use crate::failure::CallFailure;
 use barleyspool_core::{
     CallFingerprint, CallHead, Catalog, Counter, Reason, Route, SendHistory, Span, StageProgress, TargetKey,
@@ -71,7 +71,7 @@
     /// Whether a send is under way of which something may have been written.
     pub sending: Cell<bool>,
     /// A target that was given out to it before its stages were made.
-    pub reserved: RefCell<Option<Reserved>>,
+    pub reserved: RefCell<Option<ReservedTarget>>,
     /// How often an owner was asked to place it.
     placements: Cell<u32>,
     /// Targets that failed it.
@@ -233,7 +233,7 @@
 }
 
 async fn answer(call: Rc<Call>, guard: Rc<CallGuard>) -> Result<Response<AnswerBody>, CallFailure> {
-    let mut results = Results::new(&call.traffic);
+    let mut results = StageResults::new(&call.traffic);
     let mut run = StageProgress::new(&call.route.stages, &call.head.pieces);
     if !call.route.stages.is_empty() {
         target_choice::reserve(&call, call.stage_forecast.get()).await?;
@@ -294,7 +294,7 @@
     pub fn zone(&self) -> String {
         let mut need = self.need();
         if need.engine_memory.is_some() {
-            need.placing = Some(placement::shard(self, &need));
+            need.placing = Some(placement::engine_shard(self, &need));
         }
         let mut forwarder = self.traffic.forwarder.borrow_mut();
         let likely = forwarder.likely_zone(self.traffic.now(), &need);
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -7,12 +7,12 @@
 use super::connections::{Connection, SendFailure};
 use super::held_bytes::HeldBytes;
 use super::placement::Placement;
-use super::results::Results;
 use super::send_request::{answer_parts, request};
+use super::stage_results::StageResults;
 use super::stream_relay::{self, Relay};
 use super::target_choice::choose;
-use super::target_ends;
-use super::target_reports::{self, Asked};
+use super::target_crashes;
+use super::target_reports::{self, SentRequest};
 use crate::edges::AnswerHead;
 use crate::event_log::Line;
 use crate::failure::CallFailure;
@@ -29,20 +29,20 @@
 use std::time::Duration;
 
 /// The largest answer that is held whole, in bytes.
-const MOST_ANSWER: usize = 32 << 20;
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 /// A repeatable call goes elsewhere after this many times the expected time.
-const TIMEOUT: f64 = 5.0;
+const TIMEOUT_FACTOR: f64 = 5.0;
 /// But never before this.
-const MAX_WAIT_LEAST: Span = Span::from_millis(250);
+const MIN_TIMEOUT: Span = Span::from_millis(250);
 /// Nor before this share of its objective: a busy target is no silent one.
-const MAX_WAIT_SHARE: f64 = 0.5;
+const MIN_TIMEOUT_SHARE: f64 = 0.5;
 
 /// What became of a call that was sent.
 pub enum Outcome {
     /// It has its answer, whole or as it comes.
     Answered(Response<AnswerBody>),
     /// Its inputs are gone; they have to be made anew.
-    InputsGone(Results),
+    InputsGone(StageResults),
 }
 
 /// Ends a send in the books, also when its task is dropped.
@@ -119,25 +119,25 @@
     call: &Rc<Call>,
     guard: &Rc<CallGuard>,
     stages: &StageProgress,
-    mut results: Results,
+    mut results: StageResults,
 ) -> Result<Outcome, CallFailure> {
     let inputs = stages.outputs();
     call.note_inputs(&inputs);
     let mut retry = "";
     loop {
-        target_ends::check(call)?;
+        target_crashes::check_blocked(call)?;
         let chosen = choose(call).await?;
         let mut send = SendGuard::begin(call, chosen);
         log_sent(call, &send.chosen, &inputs, retry);
         let sent = {
             let sent = send_once(call, &send.chosen, &inputs, call.head.resume_after);
             let wait = call.fetch_time().filter(|_| !inputs.is_empty());
-            release_while(sent, &mut results, wait).await
+            await_and_release(sent, &mut results, wait).await
         };
         call.sending.set(false);
         let end = match sent {
-            Ok(Sent::Stream(parts, body, connection, head)) => {
-                note(call, SendEnd::Answered { success: true });
+            Ok(TargetAnswer::Stream(parts, body, connection, head)) => {
+                record_end(call, SendEnd::Answered { success: true });
                 let response = stream_relay::start(Relay {
                     call: Rc::clone(call),
                     guard: Rc::clone(guard),
@@ -151,12 +151,12 @@
                 });
                 return Ok(Outcome::Answered(response));
             }
-            Ok(Sent::Whole(parts, body, success)) => {
+            Ok(TargetAnswer::Whole(parts, body, success)) => {
                 let end = SendEnd::Answered { success };
                 send.end(end);
-                note(call, end);
-                call.traffic.ends.answered(call.traffic.now(), call.print);
-                if next(call, end) != NextStep::Retry || !may_retry(call, end) {
+                record_end(call, end);
+                call.traffic.ends.record_answered(call.traffic.now(), call.print);
+                if step_after(call, end) != NextStep::Retry || !allow_retry(call, end) {
                     guard.first_output();
                     guard.answered(parts.status);
                     let held = HeldBytes::new(&call.traffic, body.len());
@@ -171,29 +171,35 @@
             Err(end) => end,
         };
         send.end(end);
-        target_ends::note(call, &send.chosen, end);
+        target_crashes::check_target(call, &send.chosen, end);
         if let SendEnd::Refused {
             inputs_gone: true, ..
         } = end
         {
             return Ok(Outcome::InputsGone(results));
         }
-        note(call, end);
+        record_end(call, end);
         call.avoid.borrow_mut().push(send.chosen.target);
-        match next(call, end) {
-            NextStep::Retry if may_retry(call, end) => retry = end.retry_reason().name(),
-            NextStep::FailUnknown => return Err(unknown(call, &send.chosen)),
-            _ if call.history.get().may_have_run => return Err(unknown(call, &send.chosen)),
+        match step_after(call, end) {
+            NextStep::Retry if allow_retry(call, end) => retry = end.retry_reason().name(),
+            NextStep::FailUnknown => return Err(unknown_failure(call, &send.chosen)),
+            _ if call.history.get().may_have_run => return Err(unknown_failure(call, &send.chosen)),
             _ => {
                 let failure = CallFailure::not_run(Reason::TargetRefused);
-                return Err(failure.after(COME_BACK).at(&call.service, &send.chosen.id));
+                return Err(failure
+                    .after(REFUSED_RETRY_AFTER)
+                    .at(&call.service, &send.chosen.id));
             }
         }
     }
 }
 
 /// Waits for an answer; meanwhile frees the call's inputs once its target has had time to fetch them.
-async fn release_while<T>(sent: impl Future<Output = T>, results: &mut Results, wait: Option<Span>) -> T {
+async fn await_and_release<T>(
+    sent: impl Future<Output = T>,
+    results: &mut StageResults,
+    wait: Option<Span>,
+) -> T {
     let mut sent = std::pin::pin!(sent);
     if let Some(wait) = wait {
         match timer::timeout(duration(wait), sent.as_mut()).await {
@@ -205,19 +211,19 @@
 }
 
 /// When to come back after targets refused.
-const COME_BACK: Span = Span::from_millis(200);
+const REFUSED_RETRY_AFTER: Span = Span::from_millis(200);
 
-fn unknown(call: &Call, chosen: &TargetChoice) -> CallFailure {
+fn unknown_failure(call: &Call, chosen: &TargetChoice) -> CallFailure {
     CallFailure::unknown(Reason::StepFailed).at(&call.service, &chosen.id)
 }
 
-fn note(call: &Call, end: SendEnd) {
+fn record_end(call: &Call, end: SendEnd) {
     let mut history = call.history.get();
     history.record_end(end);
     call.history.set(history);
 }
 
-fn next(call: &Call, end: SendEnd) -> NextStep {
+fn step_after(call: &Call, end: SendEnd) -> NextStep {
     next_step(
         call.traffic.now(),
         call.deadline,
@@ -229,7 +235,7 @@
 }
 
 /// Whether the budget allows another send. A target that was never reached got nothing, so that costs none.
-pub fn may_retry(call: &Call, end: SendEnd) -> bool {
+pub fn allow_retry(call: &Call, end: SendEnd) -> bool {
     let traffic = &call.traffic;
     let allowed = end == SendEnd::Unreachable
         || traffic
@@ -248,7 +254,7 @@
 pub fn log_sent(call: &Call, chosen: &TargetChoice, inputs: &[String], retry: &str) {
     let now = call.traffic.now();
     let plan = call.traffic.plan();
-    let far = plan
+    let cross_zone_inputs = plan
         .targets
         .get(&chosen.id)
         .map_or(0, |target| plan.count_held_outside(inputs, &target.zone) as u64);
@@ -259,7 +265,7 @@
         target: &chosen.id,
         send: history.sends + history.unreached + 1,
         left_ms: call.deadline.since(now).as_millis(),
-        far_kb: call.input_bytes() * far / inputs.len().max(1) as u64 / 1000,
+        far_kb: call.input_bytes() * cross_zone_inputs / inputs.len().max(1) as u64 / 1000,
         retry,
     };
     if retry.is_empty() {
@@ -270,7 +276,7 @@
 }
 
 /// What came back.
-pub enum Sent {
+pub enum TargetAnswer {
     /// A stream begins.
     Stream(Parts, Incoming, Connection, AnswerHead),
     /// A whole answer, and whether it is a success.
@@ -286,35 +292,35 @@
     chosen: &TargetChoice,
     inputs: &[String],
     resume_after: Option<u64>,
-) -> Result<Sent, SendEnd> {
+) -> Result<TargetAnswer, SendEnd> {
     let traffic = &call.traffic;
     let request = request(call, chosen, inputs, resume_after).ok_or(SendEnd::Unreachable)?;
-    let max_wait = max_wait(call);
+    let response_timeout = response_timeout(call);
     let sent_at = traffic.now();
     let sent = traffic
         .connections
         .send(&chosen.address, &chosen.id, request, || call.sending.set(true));
-    let (connection, response) = match timer::timeout(max_wait, sent).await {
+    let (connection, response) = match timer::timeout(response_timeout, sent).await {
         Ok(Ok(sent)) => sent,
         Ok(Err(SendFailure::NotWritten)) => return Err(SendEnd::Unreachable),
         Ok(Err(SendFailure::BrokenOff)) => return Err(SendEnd::BrokenOff),
         Err(_) => return Err(SendEnd::TimedOut),
     };
     let (parts, body) = response.into_parts();
-    let asked = Asked {
+    let sent_request = SentRequest {
         target: &chosen.id,
         call: &call.head.id,
-        sent: sent_at,
+        sent_at,
     };
-    let head = target_reports::read_head(traffic, asked, &parts);
+    let head = target_reports::read_head(traffic, sent_request, &parts);
     if head.id.as_deref() != Some(call.head.id.as_str()) && !head.misdirected && !head.not_run {
         traffic.count(Counter::Misdirected);
         return Err(SendEnd::BrokenOff);
     }
     if head.misdirected || head.not_run {
         // The answer is small; its connection is of use again when it has been read.
-        if Limited::new(body, MOST_ANSWER).collect().await.is_ok() {
-            traffic.connections.put_back(connection, keep(&head));
+        if Limited::new(body, MAX_ANSWER_BYTES).collect().await.is_ok() {
+            traffic.connections.put_back(connection, keep_alive(&head));
         }
         return Err(SendEnd::Refused {
             misdirected: head.misdirected,
@@ -326,30 +332,30 @@
         return Err(SendEnd::BrokenOff);
     }
     if success && call.route.kind == RouteKind::Streaming {
-        return Ok(Sent::Stream(parts, body, connection, head));
+        return Ok(TargetAnswer::Stream(parts, body, connection, head));
     }
-    match Limited::new(body, MOST_ANSWER).collect().await {
+    match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(body) => {
-            traffic.connections.put_back(connection, keep(&head));
-            Ok(Sent::Whole(parts, body.to_bytes(), success))
+            traffic.connections.put_back(connection, keep_alive(&head));
+            Ok(TargetAnswer::Whole(parts, body.to_bytes(), success))
         }
         Err(_) => Err(SendEnd::BrokenOff),
     }
 }
 
-fn keep(head: &AnswerHead) -> Option<Duration> {
+fn keep_alive(head: &AnswerHead) -> Option<Duration> {
     head.keep.map(duration)
 }
 
 /// How long a send may be silent: a repeatable call goes elsewhere when another send is left.
-fn max_wait(call: &Call) -> Duration {
-    let left = call.deadline.since(call.traffic.now());
-    let another = call.history.get().sends + 1 < call.route.max_sends;
-    if !call.route.repeatable() || !another {
+fn response_timeout(call: &Call) -> Duration {
+    let time_left = call.deadline.since(call.traffic.now());
+    let may_send_again = call.history.get().sends + 1 < call.route.max_sends;
+    if !call.route.repeatable() || !may_send_again {
         // The call's own time ends first, and says what became of it.
-        return duration(left + left + MAX_WAIT_LEAST);
+        return duration(time_left + time_left + MIN_TIMEOUT);
     }
-    let usual = call.first_time().scale(TIMEOUT).max(MAX_WAIT_LEAST);
-    let usual = usual.max(call.route.objective.scale(MAX_WAIT_SHARE));
-    duration(usual.min(left))
+    let timeout = call.first_time().scale(TIMEOUT_FACTOR).max(MIN_TIMEOUT);
+    let timeout = timeout.max(call.route.objective.scale(MIN_TIMEOUT_SHARE));
+    duration(timeout.min(time_left))
 }
--- a/crates/barleyspool_gateway/src/traffic/grants.rs
+++ b/crates/barleyspool_gateway/src/traffic/grants.rs
@@ -12,30 +12,30 @@
 use std::time::Duration;
 
 /// How long the owner may take to answer.
-const ANSWER: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Nodes that are asked in turn.
-const MOST_OWNERS: usize = 2;
+const MAX_OWNERS: usize = 2;
 /// How long a target is passed over when none of them answered.
-const UNANSWERED: Span = Span::from_millis(60);
+const UNANSWERED_BACKOFF: Span = Span::from_millis(60);
 
 /// Whether a call may go to the target that was chosen for it, and after which wait; `None` when it may not within `max_wait`, which is
 /// noted for the next choice.
-pub async fn ask(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Span> {
-    let room = match ask_owner(traffic, chosen, max_wait).await {
+pub async fn request_grant(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Span> {
+    let wait = match request_from_owners(traffic, chosen, max_wait).await {
         Some(Grant::After(wait)) => return Some(wait),
         Some(Grant::NoCapacity(wait)) => wait,
-        None => max_wait + UNANSWERED,
+        None => max_wait + UNANSWERED_BACKOFF,
     };
     let now = traffic.now();
     let mut forwarder = traffic.forwarder.borrow_mut();
-    forwarder.note_no_capacity(now, chosen.target, now + room);
+    forwarder.note_no_capacity(now, chosen.target, now + wait);
     None
 }
 
 /// Asks the owner, and when it does not answer whoever stands in for it.
-async fn ask_owner(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
-    for _ in 0..MOST_OWNERS {
-        let grant = ask_one(traffic, chosen, max_wait).await;
+async fn request_from_owners(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
+    for _ in 0..MAX_OWNERS {
+        let grant = request_from_owner(traffic, chosen, max_wait).await;
         if grant.is_some() {
             return grant;
         }
@@ -43,20 +43,20 @@
     None
 }
 
-async fn ask_one(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
+async fn request_from_owner(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
     let shard = traffic.forwarder.borrow().shard_of_target(&chosen.id)?;
     let request = GrantRequest {
         target: chosen.id.clone(),
         from: traffic.plan().me,
         max_wait,
     };
-    match traffic.peers.owner_of(traffic, shard) {
-        Owner::Me => Some(grant_here(traffic, &request)),
-        Owner::Other(address) => {
-            let asked = traffic.peers.grant(&address, request);
-            let grant = timer::timeout(ANSWER, asked).await.ok().flatten();
+    match traffic.peers.owner_of_key(traffic, shard) {
+        Owner::Local => Some(grant_locally(traffic, &request)),
+        Owner::Remote(address) => {
+            let pending = traffic.peers.request_grant(&address, request);
+            let grant = timer::timeout(ANSWER_TIMEOUT, pending).await.ok().flatten();
             if grant.is_none() {
-                traffic.peers.leave_out(traffic.now(), &address);
+                traffic.peers.exclude(traffic.now(), &address);
             }
             grant
         }
@@ -64,7 +64,7 @@
 }
 
 /// Answers for this node.
-pub fn grant_here(traffic: &Traffic, request: &GrantRequest) -> Grant {
+pub fn grant_locally(traffic: &Traffic, request: &GrantRequest) -> Grant {
     let now = traffic.now();
     let mut forwarder = traffic.forwarder.borrow_mut();
     forwarder.grant(now, &request.target, request.from, request.max_wait)
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -17,14 +17,14 @@
 mod pools;
 mod read_call;
 mod relayed_stream;
-mod results;
 mod send_request;
+mod stage_results;
 mod stages;
 mod starting;
 mod stopping;
 mod stream_relay;
 mod target_choice;
-mod target_ends;
+mod target_crashes;
 mod target_reports;
 
 pub use relayed_stream::{RelayItem, RelayedStream};
@@ -44,7 +44,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use target_ends::TargetEnds;
+use target_crashes::TargetCrashes;
 use target_reports::TargetReports;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
@@ -83,7 +83,7 @@
     /// How much longer stages take than was forecast.
     pub forecast_correction: RefCell<ForecastCorrection>,
     /// Which calls targets end under.
-    pub ends: TargetEnds,
+    pub ends: TargetCrashes,
     /// What targets say of themselves in answers.
     pub reports: TargetReports,
 }
@@ -107,7 +107,7 @@
     fn take_plan(&self) {
         let plan = self.shared.plan.load_full();
         self.forwarder.borrow_mut().apply_plan(&plan);
-        self.pools.take_plan(&plan);
+        self.pools.apply_plan(&plan);
         if let Some(catalog) = &plan.catalog {
             self.forecast_correction
                 .borrow_mut()
@@ -120,7 +120,7 @@
             }
         }
         for (id, pool) in self.pools.all() {
-            if self.peers.owner(self, &id) != Owner::Me || !id.is_current(&plan) {
+            if self.peers.owner(self, &id) != Owner::Local || !id.is_current(&plan) {
                 pool.hand_over();
             }
         }
@@ -161,7 +161,7 @@
         placements: RefCell::default(),
         planned: RefCell::default(),
         forecast_correction: RefCell::default(),
-        ends: TargetEnds::new(sightings.clone()),
+        ends: TargetCrashes::new(sightings.clone()),
         reports: TargetReports::new(sightings),
     });
     traffic.take_plan();
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -24,21 +24,21 @@
 use tokio::task::spawn_local;
 
 /// How long a node that did not answer is left out.
-const DOWN_FOR: Span = Span::from_millis(1500);
+const EXCLUDED_FOR: Span = Span::from_millis(1500);
 /// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a node with orders may be silent before it is asked whether it is there.
-const SILENT: Duration = Duration::from_millis(150);
+const PING_AFTER: Duration = Duration::from_millis(150);
 /// How long it may take to answer that.
-const PING: Duration = Duration::from_millis(200);
+const PING_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long what a node said of its wait is of use.
-const WAIT_AGE: Span = Span::from_millis(1500);
+const MAX_WAIT_AGE: Span = Span::from_millis(1500);
 
 /// An order that came from another node.
 #[derive(Debug)]
 pub enum PeerJob {
     /// Make pieces.
-    Make(RemoteOrder, oneshot::Sender<RemoteEnd>),
+    Compute(RemoteOrder, oneshot::Sender<RemoteEnd>),
     /// Free results.
     Release(RemoteRelease),
     /// Choose an engine.
@@ -59,18 +59,18 @@
 #[derive(Default)]
 pub struct Peers {
     links: RefCell<HashMap<String, Rc<Link>>>,
-    down: RefCell<HashMap<String, Time>>,
-    waits: RefCell<HashMap<PoolId, (Span, Time)>>,
+    excluded: RefCell<HashMap<String, Time>>,
+    reported_waits: RefCell<HashMap<PoolId, (Span, Time)>>,
     /// Until when the engines of a shard have no room, by their owner's word, and when that was told.
-    no_room: RefCell<HashMap<PoolId, (Time, Time)>>,
+    no_capacity: RefCell<HashMap<PoolId, (Time, Time)>>,
 }
 
 /// What became of an order at another node.
-enum Made {
+enum OrderAttempt {
     /// It ended there.
     Ended(OrderOutcome),
     /// The connection broke.
-    Broken,
+    ConnectionLost,
     /// The node cannot be reached or is silent.
     Unreachable,
 }
@@ -79,77 +79,85 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This node.
-    Me,
+    Local,
     /// Another, at this address.
-    Other(String),
+    Remote(String),
 }
 
 impl Peers {
     /// The node that owns a pool, as far as this one can tell; one that did not answer lately is left out.
     pub fn owner(&self, traffic: &Traffic, id: &PoolId) -> Owner {
-        self.owner_of(traffic, id.owner_key())
+        self.owner_of_key(traffic, id.owner_key())
     }
 
     /// The same for the key of a shard.
-    pub fn owner_of(&self, traffic: &Traffic, shard: u128) -> Owner {
+    pub fn owner_of_key(&self, traffic: &Traffic, shard: u128) -> Owner {
         let plan = traffic.plan();
         let now = traffic.now();
-        let down = self.down.borrow();
-        let up = plan.members.iter().filter(|member| {
-            let until = down.get(&member.peer_address);
+        let excluded = self.excluded.borrow();
+        let available = plan.members.iter().filter(|member| {
+            let until = excluded.get(&member.peer_address);
             until.is_none_or(|until| now >= *until)
         });
-        let picked = rendezvous::pick(shard, up.map(|member| member.key));
-        let owner = plan.members.iter().find(|member| Some(member.key) == picked);
+        let owner_key = rendezvous::pick(shard, available.map(|member| member.key));
+        let owner = plan.members.iter().find(|member| Some(member.key) == owner_key);
         match owner {
-            Some(member) if member.key != plan.me => Owner::Other(member.peer_address.clone()),
-            _ => Owner::Me,
+            Some(member) if member.key != plan.me => Owner::Remote(member.peer_address.clone()),
+            _ => Owner::Local,
         }
     }
 
     /// How long a full call to another node's pool takes by its own last word.
-    pub fn wait(&self, now: Time, id: &PoolId) -> Option<Span> {
-        let (wait, at) = *self.waits.borrow().get(id)?;
+    pub fn pool_wait(&self, now: Time, id: &PoolId) -> Option<Span> {
+        let (wait, at) = *self.reported_waits.borrow().get(id)?;
         let age = now.since(at);
-        (age < WAIT_AGE).then(|| Span(wait.0.saturating_sub(age.0 / 2)))
+        (age < MAX_WAIT_AGE).then(|| Span(wait.0.saturating_sub(age.0 / 2)))
     }
 
     /// How long the engines of a shard have no room yet, by their owner's last word; `None` when they may have.
-    pub fn no_room(&self, now: Time, id: &PoolId) -> Option<Span> {
-        let (until, reported) = *self.no_room.borrow().get(id)?;
-        let holds = now < until && now.since(reported) < NO_CAPACITY_TTL;
-        holds.then(|| until.since(now))
+    pub fn no_capacity_wait(&self, now: Time, id: &PoolId) -> Option<Span> {
+        let (until, reported) = *self.no_capacity.borrow().get(id)?;
+        let is_valid = now < until && now.since(reported) < NO_CAPACITY_TTL;
+        is_valid.then(|| until.since(now))
     }
 
     /// The owner of a shard of engines says that there is no room yet.
-    pub fn note_no_room(&self, now: Time, id: &PoolId, wait: Span) {
-        self.no_room.borrow_mut().insert(id.clone(), (now + wait, now));
+    pub fn note_no_capacity(&self, now: Time, id: &PoolId, wait: Span) {
+        self.no_capacity
+            .borrow_mut()
+            .insert(id.clone(), (now + wait, now));
     }
 
     /// Lets another node make pieces; `None` when it cannot be reached or falls silent.
-    pub async fn make(
+    pub async fn compute(
         &self,
         traffic: &Traffic,
         address: &str,
         id: &PoolId,
         order: &PieceOrder,
     ) -> Option<OrderOutcome> {
-        let mut made = self.try_make(traffic, address, id, order).await;
-        if matches!(made, Made::Broken) {
+        let mut attempt = self.try_compute(traffic, address, id, order).await;
+        if matches!(attempt, OrderAttempt::ConnectionLost) {
             // A connection that was reset says nothing of the node: it gets another one at once.
             self.links.borrow_mut().remove(address);
-            made = self.try_make(traffic, address, id, order).await;
+            attempt = self.try_compute(traffic, address, id, order).await;
         }
-        if let Made::Ended(end) = made {
+        if let OrderAttempt::Ended(end) = attempt {
             return Some(end);
         }
-        self.leave_out(traffic.now(), address);
+        self.exclude(traffic.now(), address);
         None
     }
 
-    async fn try_make(&self, traffic: &Traffic, address: &str, id: &PoolId, order: &PieceOrder) -> Made {
+    async fn try_compute(
+        &self,
+        traffic: &Traffic,
+        address: &str,
+        id: &PoolId,
+        order: &PieceOrder,
+    ) -> OrderAttempt {
         let Some(link) = self.link(address).await else {
-            return Made::Unreachable;
+            return OrderAttempt::Unreachable;
         };
         let now = traffic.now();
         let remote = RemoteOrder {
@@ -164,19 +172,19 @@
             },
         };
         let mut context = context::current();
-        context.deadline = Instant::now() + Duration::from_micros(order.deadline.since(now).0) + PING;
-        let made = link.client.make(context, remote);
-        let mut made = std::pin::pin!(made);
+        context.deadline = Instant::now() + Duration::from_micros(order.deadline.since(now).0) + PING_TIMEOUT;
+        let attempt = link.client.make(context, remote);
+        let mut attempt = std::pin::pin!(attempt);
         loop {
             tokio::select! {
-                end = made.as_mut() => {
-                    let Ok(end) = end else { return Made::Broken };
+                end = attempt.as_mut() => {
+                    let Ok(end) = end else { return OrderAttempt::ConnectionLost };
                     link.last_answer.set(Instant::now());
-                    self.waits.borrow_mut().insert(id.clone(), (end.wait, traffic.now()));
-                    return Made::Ended(end.end);
+                    self.reported_waits.borrow_mut().insert(id.clone(), (end.wait, traffic.now()));
+                    return OrderAttempt::Ended(end.end);
                 }
-                there = still_there(&link) => if !there {
-                    return Made::Unreachable;
+                responsive = is_responsive(&link) => if !responsive {
+                    return OrderAttempt::Unreachable;
                 },
             }
         }
@@ -186,7 +194,7 @@
         if let Some(link) = self.links.borrow().get(address) {
             return Some(Rc::clone(link));
         }
-        let client = timer::timeout(CONNECT, pieces::connect(address))
+        let client = timer::timeout(CONNECT_TIMEOUT, pieces::connect(address))
             .await
             .ok()?
             .ok()?;
@@ -217,21 +225,21 @@
 
 impl Peers {
     /// Lets another node choose an engine; `None` when it does not answer.
-    pub async fn place(&self, address: &str, request: PlaceRequest) -> Option<PlaceAnswer> {
+    pub async fn request_placement(&self, address: &str, request: PlaceRequest) -> Option<PlaceAnswer> {
         let link = self.link(address).await?;
         let answer = link.client.place(context::current(), request).await;
-        self.answered(address, answer)
+        self.check_answer(address, answer)
     }
 
     /// Asks another node whether a call may go to a target; `None` when it does not answer.
-    pub async fn grant(&self, address: &str, request: GrantRequest) -> Option<Grant> {
+    pub async fn request_grant(&self, address: &str, request: GrantRequest) -> Option<Grant> {
         let link = self.link(address).await?;
         let answer = link.client.grant(context::current(), request).await;
-        self.answered(address, answer)
+        self.check_answer(address, answer)
     }
 
     /// A connection that has ended is not asked again.
-    fn answered<T>(&self, address: &str, answer: Result<Option<T>, RpcError>) -> Option<T> {
+    fn check_answer<T>(&self, address: &str, answer: Result<Option<T>, RpcError>) -> Option<T> {
         if matches!(answer, Err(RpcError::Shutdown)) {
             self.links.borrow_mut().remove(address);
         }
@@ -239,13 +247,15 @@
     }
 
     /// A node does not answer: for a while another one is taken for the owner of what it owns.
-    pub fn leave_out(&self, now: Time, address: &str) {
+    pub fn exclude(&self, now: Time, address: &str) {
         self.links.borrow_mut().remove(address);
-        self.down.borrow_mut().insert(address.to_owned(), now + DOWN_FOR);
+        self.excluded
+            .borrow_mut()
+            .insert(address.to_owned(), now + EXCLUDED_FOR);
     }
 
     /// Tells another node how a call that it placed goes on. What is lost it forgets by itself.
-    pub async fn placed(&self, address: &str, call: String, step: PlaceStep) {
+    pub async fn report_step(&self, address: &str, call: String, step: PlaceStep) {
         if let Some(link) = self.link(address).await {
             let _ = link.client.placed(context::current(), call, step).await;
         }
@@ -253,32 +263,32 @@
 }
 
 /// Waits a while, then makes sure that the node answers; orders that share a link share the question.
-async fn still_there(link: &Link) -> bool {
-    timer::sleep(SILENT).await;
-    if link.last_answer.get().elapsed() < SILENT || link.pinging.get() {
+async fn is_responsive(link: &Link) -> bool {
+    timer::sleep(PING_AFTER).await;
+    if link.last_answer.get().elapsed() < PING_AFTER || link.pinging.get() {
         return true;
     }
-    let _mark = PingMark::new(link);
-    let asked = timer::timeout(PING, link.client.ping(context::current())).await;
-    let there = matches!(asked, Ok(Ok(())));
-    if there {
+    let _guard = PingGuard::new(link);
+    let ping = timer::timeout(PING_TIMEOUT, link.client.ping(context::current())).await;
+    let responsive = matches!(ping, Ok(Ok(())));
+    if responsive {
         link.last_answer.set(Instant::now());
     }
-    there
+    responsive
 }
 
 /// A question whether a node is there. It ends when this is dropped, also with an order that ended in the same moment: a question
 /// that counted as under way for ever would be the last one, and the node taken for there whatever it does.
-struct PingMark<'a>(&'a Link);
+struct PingGuard<'a>(&'a Link);
 
-impl<'a> PingMark<'a> {
+impl<'a> PingGuard<'a> {
     fn new(link: &'a Link) -> Self {
         link.pinging.set(true);
         Self(link)
     }
 }
 
-impl Drop for PingMark<'_> {
+impl Drop for PingGuard<'_> {
     fn drop(&mut self) {
         self.0.pinging.set(false);
     }
@@ -299,7 +309,7 @@
             end: OrderOutcome::Failed,
             wait: Span::ZERO,
         };
-        if self.jobs.send(PeerJob::Make(order, reply)).is_err() {
+        if self.jobs.send(PeerJob::Compute(order, reply)).is_err() {
             return failed;
         }
         end.await.unwrap_or(failed)
@@ -344,23 +354,23 @@
     });
     while let Some(job) = received.recv().await {
         match job {
-            PeerJob::Make(order, reply) => {
-                spawn_local(make_for_peer(Rc::clone(&traffic), order, reply));
+            PeerJob::Compute(order, reply) => {
+                spawn_local(compute_for_peer(Rc::clone(&traffic), order, reply));
             }
             PeerJob::Place(request, reply) => {
                 // When the other node does not wait any more it has chosen alone.
-                let _ = reply.send(placement::place_here(&traffic, &request));
+                let _ = reply.send(placement::place_locally(&traffic, &request));
             }
             PeerJob::Grant(request, reply) => {
-                let _ = reply.send(grants::grant_here(&traffic, &request));
+                let _ = reply.send(grants::grant_locally(&traffic, &request));
             }
-            PeerJob::Placed(call, step) => placement::take_step(&traffic, &call, step),
+            PeerJob::Placed(call, step) => placement::apply_step(&traffic, &call, step),
             PeerJob::Release(release) => {
                 let id = PoolId {
                     service: release.service,
                     shard: release.shard,
                 };
-                if let Some(pool) = traffic.pools.known(&id) {
+                if let Some(pool) = traffic.pools.find(&id) {
                     pool.release(release.handles);
                 }
             }
@@ -368,7 +378,7 @@
     }
 }
 
-async fn make_for_peer(traffic: Rc<Traffic>, order: RemoteOrder, mut reply: oneshot::Sender<RemoteEnd>) {
+async fn compute_for_peer(traffic: Rc<Traffic>, order: RemoteOrder, mut reply: oneshot::Sender<RemoteEnd>) {
     let id = PoolId {
         service: order.service,
         shard: order.shard,
@@ -387,16 +397,16 @@
         let _ = reply.send(ended(OrderOutcome::Moved));
         return;
     }
-    let Some(pool) = traffic.pools.get(&traffic, &id) else {
+    let Some(pool) = traffic.pools.get_or_start(&traffic, &id) else {
         let _ = reply.send(ended(OrderOutcome::Failed));
         return;
     };
     let end = tokio::select! {
-        end = pool.make(&traffic, order, from) => end,
+        end = pool.compute(&traffic, order, from) => end,
         // The other node does not wait any more.
         () = reply.closed() => return,
     };
-    let wait = pool.wait(&traffic);
+    let wait = pool.expected_wait(&traffic);
     // A node that has gone in the same moment cannot free the results; they go after their time.
     let _ = reply.send(RemoteEnd { end, wait });
 }
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -19,12 +19,12 @@
 use tokio::task::spawn_local;
 
 /// How long the owner may take to answer.
-const ANSWER: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// A placement of which nothing was heard for this long is forgotten, in microseconds.
-const FORGET_US: u64 = 30_000_000;
+const PLACEMENT_TTL_US: u64 = 30_000_000;
 
 /// Forgotten placements are looked for whenever their number is a multiple of this.
-const LOOK_EVERY: usize = 64;
+const SWEEP_EVERY: usize = 64;
 
 /// The calls that this node has placed for others and for itself.
 #[derive(Debug, Default)]
@@ -65,10 +65,10 @@
 
     fn report(&self, step: PlaceStep) {
         match &self.owner {
-            Owner::Me => take_step(&self.traffic, &self.call, step),
-            Owner::Other(address) => {
+            Owner::Local => apply_step(&self.traffic, &self.call, step),
+            Owner::Remote(address) => {
                 let (traffic, address, call) = (Rc::clone(&self.traffic), address.clone(), self.call.clone());
-                spawn_local(async move { traffic.peers.placed(&address, call, step).await });
+                spawn_local(async move { traffic.peers.report_step(&address, call, step).await });
             }
         }
     }
@@ -83,64 +83,64 @@
 }
 
 /// What came of asking the owners of engines.
-pub enum Place {
+pub enum PlaceResult {
     /// The call goes there.
-    At(TargetChoice, Placement),
+    Placed(TargetChoice, Placement),
     /// All usable engines have been given all that they take; when there is room again.
-    NoRoom(Span),
+    NoCapacity(Span),
     /// Nobody chose one that this node can use.
-    Nowhere,
+    NotPlaced,
 }
 
 /// Lets the owner of the call's shard of engines choose one. When all of the shard have been given what they take, the owners of the
 /// other shards are asked.
-pub async fn place(call: &Call, max_wait: Span) -> Place {
+pub async fn place(call: &Call, max_wait: Span) -> PlaceResult {
     let traffic = &call.traffic;
-    let need = call.need();
-    if need.engine_memory.is_none() {
-        return Place::Nowhere;
+    let query = call.need();
+    if query.engine_memory.is_none() {
+        return PlaceResult::NotPlaced;
     }
-    let first = shard(call, &need);
+    let first = engine_shard(call, &query);
     // What was told holds while all engines have a rate: one that has none any more has room, whatever was told before.
     let all_rate_limited = traffic
         .forwarder
         .borrow()
-        .all_rate_limited(traffic.now(), &need.service);
-    let mut least: Option<Span> = None;
+        .all_rate_limited(traffic.now(), &query.service);
+    let mut shortest_wait: Option<Span> = None;
     for step in 0..first.of {
         let id = PoolId {
-            service: need.service.clone(),
+            service: query.service.clone(),
             shard: (first.number + step) % first.of,
         };
         let place = traffic
             .peers
-            .no_room(traffic.now(), &id)
+            .no_capacity_wait(traffic.now(), &id)
             .filter(|wait| all_rate_limited && *wait > max_wait);
         let place = match place {
-            Some(wait) => Place::NoRoom(wait),
-            None => place_in(call, &id, max_wait).await,
+            Some(wait) => PlaceResult::NoCapacity(wait),
+            None => place_in_shard(call, &id, max_wait).await,
         };
-        let Place::NoRoom(wait) = place else {
+        let PlaceResult::NoCapacity(wait) = place else {
             return place;
         };
-        least = Some(least.map_or(wait, |least| least.min(wait)));
+        shortest_wait = Some(shortest_wait.map_or(wait, |shortest_wait| shortest_wait.min(wait)));
     }
-    least.map_or(Place::Nowhere, Place::NoRoom)
+    shortest_wait.map_or(PlaceResult::NotPlaced, PlaceResult::NoCapacity)
 }
 
 /// Lets the owner of one shard choose.
-async fn place_in(call: &Call, id: &PoolId, max_wait: Span) -> Place {
+async fn place_in_shard(call: &Call, id: &PoolId, max_wait: Span) -> PlaceResult {
     let traffic = &call.traffic;
-    let Some(request) = request(call, id, max_wait) else {
-        return Place::Nowhere;
+    let Some(request) = place_request(call, id, max_wait) else {
+        return PlaceResult::NotPlaced;
     };
     let key = request.call.clone();
     let owner = traffic.peers.owner(traffic, id);
     let answer = match &owner {
-        Owner::Me => Some(place_here(traffic, &request)),
-        Owner::Other(address) => {
-            let asked = traffic.peers.place(address, request);
-            let answer = timer::timeout(ANSWER, asked).await.ok().flatten();
+        Owner::Local => Some(place_locally(traffic, &request)),
+        Owner::Remote(address) => {
+            let pending = traffic.peers.request_placement(address, request);
+            let answer = timer::timeout(ANSWER_TIMEOUT, pending).await.ok().flatten();
             if answer.is_none()
                 && traffic
                     .forwarder
@@ -148,7 +148,7 @@
                     .has_rate_limits(traffic.now(), &id.service)
             {
                 // Nobody else gives out what such engines take; the next time another node is asked.
-                traffic.peers.leave_out(traffic.now(), address);
+                traffic.peers.exclude(traffic.now(), address);
             }
             answer
         }
@@ -156,8 +156,8 @@
     let placed = match answer {
         Some(PlaceAnswer::At(placed)) => Some(placed),
         Some(PlaceAnswer::NoRoom(wait)) => {
-            traffic.peers.note_no_room(traffic.now(), id, wait);
-            return Place::NoRoom(wait);
+            traffic.peers.note_no_capacity(traffic.now(), id, wait);
+            return PlaceResult::NoCapacity(wait);
         }
         Some(PlaceAnswer::Busy) | None => None,
     };
@@ -169,52 +169,52 @@
         ended: false,
     };
     let Some(placed) = placed else {
-        return Place::Nowhere;
+        return PlaceResult::NotPlaced;
     };
     let usable = traffic
         .forwarder
         .borrow_mut()
         .usable(traffic.now(), &placed.target);
     let Some(mut chosen) = usable else {
-        return Place::Nowhere;
+        return PlaceResult::NotPlaced;
     };
     chosen.source = placed.source;
     chosen.wait = placed.wait;
     chosen.rate_limited = placed.bounded;
-    Place::At(chosen, placement)
+    PlaceResult::Placed(chosen, placement)
 }
 
 /// The shard of its engines at which a call is placed: calls with the same shared prefix meet at one.
-pub fn shard(call: &Call, need: &TargetQuery) -> Shard {
-    let key = match need.prefix {
+pub fn engine_shard(call: &Call, query: &TargetQuery) -> Shard {
+    let key = match query.prefix {
         0 => rendezvous::text_key(&call.head.id),
         prefix => u128::from(prefix),
     };
-    call.traffic.plan().engine_shard(&need.service, key)
+    call.traffic.plan().engine_shard(&query.service, key)
 }
 
-fn request(call: &Call, id: &PoolId, max_wait: Span) -> Option<PlaceRequest> {
-    let need = call.need();
+fn place_request(call: &Call, id: &PoolId, max_wait: Span) -> Option<PlaceRequest> {
+    let query = call.need();
     let forwarder = call.traffic.forwarder.borrow();
     // What rests for this node does not rest for the owner.
-    let resting = forwarder.in_cooldown(call.traffic.now(), &need.service);
-    let avoid = need.avoid.iter().copied().chain(resting);
+    let cooling_down = forwarder.in_cooldown(call.traffic.now(), &query.service);
+    let avoid = query.avoid.iter().copied().chain(cooling_down);
     let avoid = avoid.filter_map(|key| forwarder.target(key));
     Some(PlaceRequest {
         call: format!("{}/{}", call.head.id, call.next_placement()),
         shard: id.shard,
         from: call.traffic.plan().me,
         max_wait,
-        engine_memory: need.engine_memory?,
+        engine_memory: query.engine_memory?,
         avoid: avoid.map(|record| record.entry.id.clone()).collect(),
-        service: need.service,
-        route: need.route,
-        prefix: need.prefix,
-        prefix_tokens: need.prefix_tokens,
-        prompt_tokens: need.prompt_tokens,
+        service: query.service,
+        route: query.route,
+        prefix: query.prefix,
+        prefix_tokens: query.prefix_tokens,
+        prompt_tokens: query.prompt_tokens,
         zone: call.zone_of_inputs(),
-        input_bytes: need.input_bytes,
-        copies: need.copies,
+        input_bytes: query.input_bytes,
+        copies: query.copies,
     })
 }
 
@@ -222,7 +222,7 @@
 // As the owner
 
 /// Chooses an engine for a call of any node.
-pub fn place_here(traffic: &Traffic, request: &PlaceRequest) -> PlaceAnswer {
+pub fn place_locally(traffic: &Traffic, request: &PlaceRequest) -> PlaceAnswer {
     let now = traffic.now();
     let shard = Shard {
         number: request.shard,
@@ -230,7 +230,7 @@
     };
     let mut forwarder = traffic.forwarder.borrow_mut();
     let avoid = request.avoid.iter().filter_map(|id| forwarder.key(id)).collect();
-    let need = TargetQuery {
+    let query = TargetQuery {
         service: request.service.clone(),
         route: request.route.clone(),
         engine_memory: Some(request.engine_memory),
@@ -245,18 +245,18 @@
         placing: Some(shard),
         for_other_node: request.from != traffic.plan().me,
     };
-    let chosen = match forwarder.place(now, &need, request.from) {
+    let chosen = match forwarder.place(now, &query, request.from) {
         ChooseResult::Send(chosen) => chosen,
         ChooseResult::NoCapacity(wait) => return PlaceAnswer::NoRoom(wait),
         ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => return PlaceAnswer::Busy,
     };
-    let send = forwarder.begin(now, &need, chosen.target);
+    let send = forwarder.begin(now, &query, chosen.target);
     let mut placements = traffic.placements.borrow_mut();
     placements.sends.insert(request.call.clone(), (send, now));
-    let forgotten = |at: &Time| now.since(*at).0 > FORGET_US;
-    if placements.sends.len().is_multiple_of(LOOK_EVERY) {
+    let expired = |at: &Time| now.since(*at).0 > PLACEMENT_TTL_US;
+    if placements.sends.len().is_multiple_of(SWEEP_EVERY) {
         placements.sends.retain(|_, (send, at)| {
-            let keep = !forgotten(at);
+            let keep = !expired(at);
             if !keep {
                 forwarder.abandon(*send);
             }
@@ -272,7 +272,7 @@
 }
 
 /// A call that was placed here goes on.
-pub fn take_step(traffic: &Traffic, call: &str, step: PlaceStep) {
+pub fn apply_step(traffic: &Traffic, call: &str, step: PlaceStep) {
     let now = traffic.now();
     let mut placements = traffic.placements.borrow_mut();
     let Some((send, _)) = placements.sends.get(call).copied() else {
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -4,7 +4,7 @@
 use super::callers::duration;
 use super::connections::{Connection, SendFailure};
 use super::pools::PoolId;
-use super::target_reports::{self, Asked};
+use super::target_reports::{self, SentRequest};
 use crate::edges::AnswerHead;
 use crate::event_log::Line;
 use barleyspool_core::{
@@ -23,13 +23,13 @@
 use tokio::task::spawn_local;
 
 /// The largest answer of a call, in bytes.
-const MOST_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// A call without an answer is given up after this time.
-const CALL_TIMEOUT: Duration = Duration::from_secs(8);
+const BATCH_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long results wait to be freed together with others.
-const FREE_DELAY: Duration = Duration::from_millis(10);
+const RELEASE_DELAY: Duration = Duration::from_millis(10);
 /// How long a pool without work sleeps.
-const IDLE: Duration = Duration::from_secs(1);
+const IDLE_WAIT: Duration = Duration::from_secs(1);
 
 /// A pool that this node owns.
 pub struct Pool {
@@ -39,7 +39,7 @@
     pub queue: RefCell<PieceQueue>,
     waiters: RefCell<HashMap<OrderKey, oneshot::Sender<OrderOutcome>>>,
     /// The nodes whose orders wait here, and how many of each.
-    askers: RefCell<HashMap<u64, usize>>,
+    requesters: RefCell<HashMap<u64, usize>>,
     changed: Notify,
     releasable: Notify,
 }
@@ -49,12 +49,12 @@
     pool: &'a Pool,
     key: Option<OrderKey>,
     /// The node that wants it.
-    asker: u64,
+    requester: u64,
 }
 
 impl Drop for OrderGuard<'_> {
     fn drop(&mut self) {
-        self.pool.asks_no_more(self.asker);
+        self.pool.requester_done(self.requester);
         if let Some(key) = self.key.take() {
             self.pool.waiters.borrow_mut().remove(&key);
             self.pool.queue.borrow_mut().cancel(key);
@@ -70,12 +70,12 @@
             key: id.owner_key(),
             queue: RefCell::new(PieceQueue::new(spec)),
             waiters: RefCell::default(),
-            askers: RefCell::default(),
+            requesters: RefCell::default(),
             changed: Notify::new(),
             releasable: Notify::new(),
         });
         spawn_local(drive(Rc::clone(traffic), Rc::clone(&pool)));
-        spawn_local(free(Rc::clone(traffic), Rc::clone(&pool)));
+        spawn_local(release_results(Rc::clone(traffic), Rc::clone(&pool)));
         pool
     }
 
@@ -85,32 +85,32 @@
     }
 
     /// Makes the pieces of an order of the node `asker`.
-    pub async fn make(&self, traffic: &Traffic, order: PieceOrder, asker: u64) -> OrderOutcome {
+    pub async fn compute(&self, traffic: &Traffic, order: PieceOrder, requester: u64) -> OrderOutcome {
         let submitted = self.queue.borrow_mut().submit(traffic.now(), order);
         let key = match submitted {
             Ok(key) => key,
-            Err(come_back) => return OrderOutcome::TooLate(come_back),
+            Err(retry_after) => return OrderOutcome::TooLate(retry_after),
         };
         let (sender, ended) = oneshot::channel();
         self.waiters.borrow_mut().insert(key, sender);
         let mut guard = OrderGuard {
             pool: self,
             key: Some(key),
-            asker,
+            requester,
         };
-        *self.askers.borrow_mut().entry(asker).or_default() += 1;
+        *self.requesters.borrow_mut().entry(requester).or_default() += 1;
         self.wake();
         let end = ended.await.unwrap_or(OrderOutcome::Failed);
         guard.key = None;
         end
     }
 
-    fn asks_no_more(&self, asker: u64) {
-        let mut askers = self.askers.borrow_mut();
-        if let Some(orders) = askers.get_mut(&asker) {
+    fn requester_done(&self, requester: u64) {
+        let mut requesters = self.requesters.borrow_mut();
+        if let Some(orders) = requesters.get_mut(&requester) {
             *orders -= 1;
             if *orders == 0 {
-                askers.remove(&asker);
+                requesters.remove(&requester);
             }
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// How long a full call that came now would take.
-    pub fn wait(&self, traffic: &Traffic) -> Span {
+    pub fn expected_wait(&self, traffic: &Traffic) -> Span {
         self.queue.borrow().expected_wait(traffic.now(), 1)
     }
 
@@ -151,7 +151,7 @@
         let (calls, wake) = {
             let mut queue = pool.queue.borrow_mut();
             queue.tick(now);
-            take_reports(&traffic, &pool, &mut queue);
+            apply_reports(&traffic, &pool, &mut queue);
             // Until it is clear who owns the pool, orders gather: most of them go to another node.
             let calls = if traffic.plan().converged {
                 queue.next_calls(now)
@@ -162,9 +162,9 @@
         };
         pool.notify_ended();
         for call in calls {
-            spawn_local(run_call(Rc::clone(&traffic), Rc::clone(&pool), call));
+            spawn_local(run_batch(Rc::clone(&traffic), Rc::clone(&pool), call));
         }
-        let wait = wake.map_or(IDLE, |at| {
+        let wait = wake.map_or(IDLE_WAIT, |at| {
             Duration::from_micros(at.since(traffic.now()).0.max(1000))
         });
         // Whatever ends or comes notifies; the time is for what is overdue.
@@ -178,49 +178,49 @@
 ///
 /// A node asks for as long as an order of it waits here, and this one always does: without a part of the rate it would refuse its own callers,
 /// and ask nobody for one.
-fn take_reports(traffic: &Traffic, pool: &Pool, queue: &mut PieceQueue) {
+fn apply_reports(traffic: &Traffic, pool: &Pool, queue: &mut PieceQueue) {
     let (now, me) = (traffic.now(), traffic.plan().me);
     let mut forwarder = traffic.forwarder.borrow_mut();
-    for asker in pool.askers.borrow().keys() {
-        forwarder.rate_share(now, pool.key, *asker);
+    for requester in pool.requesters.borrow().keys() {
+        forwarder.rate_share(now, pool.key, *requester);
     }
     let share = forwarder.rate_share(now, pool.key, me);
     queue.apply_rates(now, share, me, |id| forwarder.limit(id));
     queue.apply_cooldowns(|id| forwarder.cooldown_until(id));
 }
 
-async fn run_call(traffic: Rc<Traffic>, pool: Rc<Pool>, call: BatchCall) {
+async fn run_batch(traffic: Rc<Traffic>, pool: Rc<Pool>, call: BatchCall) {
     let (key, target, pieces) = (call.call, call.id.clone(), call.pieces.len());
-    let far_kb = far_bytes(&traffic, &call) / 1000;
-    let began = traffic.now();
-    let mut answer = match timer::timeout(CALL_TIMEOUT, send_call(&traffic, &call)).await {
+    let cross_zone_kb = cross_zone_bytes(&traffic, &call) / 1000;
+    let started_at = traffic.now();
+    let mut answer = match timer::timeout(BATCH_TIMEOUT, send_batch(&traffic, &call)).await {
         Ok(answer) => answer,
-        Err(_) => CallAnswer::without(BatchOutcome::BrokenOff),
+        Err(_) => BatchAnswer::without_connection(BatchOutcome::BrokenOff),
     };
-    if answer.outcome == BatchOutcome::BrokenOff && has_ended_under(&traffic, &call).await {
+    if answer.outcome == BatchOutcome::BrokenOff && has_crashed(&traffic, &call).await {
         answer.outcome = BatchOutcome::TargetCrashed;
     }
     let now = traffic.now();
     let line = Line::PoolCall {
         target: &target,
         pieces,
-        made: made(&answer.outcome),
+        made: computed_count(&answer.outcome),
         waiting: pool.queue.borrow().waiting(),
-        far_kb,
+        far_kb: cross_zone_kb,
         end: outcome_name(&answer.outcome),
-        took_ms: now.since(began).as_millis(),
+        took_ms: now.since(started_at).as_millis(),
     };
     if matches!(answer.outcome, BatchOutcome::Done(_)) {
         traffic.log.write_good(now, &line);
     } else {
         traffic.log.write(now, &line);
     }
-    end_call(&traffic, &pool, key, answer);
+    finish_batch(&traffic, &pool, key, answer);
 }
 
 /// Whether the target of a call that was broken off has ended, which is noted for all requests that had pieces there.
-async fn has_ended_under(traffic: &Traffic, call: &BatchCall) -> bool {
-    if !traffic.ends.has_ended(traffic, &call.id, &call.address).await {
+async fn has_crashed(traffic: &Traffic, call: &BatchCall) -> bool {
+    if !traffic.ends.has_crashed(traffic, &call.id, &call.address).await {
         return false;
     }
     let requests = call
@@ -228,25 +228,25 @@
         .iter()
         .map(|piece| (piece.request.as_str(), piece.fingerprint));
     for request in requests.collect::<HashSet<_>>() {
-        traffic.ends.ended_under(traffic, &call.id, request);
+        traffic.ends.record_crash(traffic, &call.id, request);
     }
     true
 }
 
 /// The bytes of inputs that a call's target has to fetch from another zone; each piece fetches its own.
-fn far_bytes(traffic: &Traffic, call: &BatchCall) -> u64 {
+fn cross_zone_bytes(traffic: &Traffic, call: &BatchCall) -> u64 {
     let plan = traffic.plan();
     let Some(zone) = plan.targets.get(&call.id).map(|target| &target.zone) else {
         return 0;
     };
-    let far = |piece: &PieceRequest| {
-        let far = plan.count_held_outside(&piece.inputs, zone) as u64;
-        piece.input_bytes * far / piece.inputs.len().max(1) as u64
+    let piece_bytes = |piece: &PieceRequest| {
+        let cross_zone_inputs = plan.count_held_outside(&piece.inputs, zone) as u64;
+        piece.input_bytes * cross_zone_inputs / piece.inputs.len().max(1) as u64
     };
-    call.pieces.iter().map(far).sum()
+    call.pieces.iter().map(piece_bytes).sum()
 }
 
-fn made(outcome: &BatchOutcome) -> usize {
+fn computed_count(outcome: &BatchOutcome) -> usize {
     match outcome {
         BatchOutcome::Done(pieces) => pieces
             .iter()
@@ -266,7 +266,7 @@
     }
 }
 
-fn end_call(traffic: &Traffic, pool: &Pool, key: BatchKey, answer: CallAnswer) {
+fn finish_batch(traffic: &Traffic, pool: &Pool, key: BatchKey, answer: BatchAnswer) {
     let done = matches!(answer.outcome, BatchOutcome::Done(_));
     let usable = pool
         .queue
@@ -285,13 +285,13 @@
 }
 
 /// What came of a call, and its connection when a whole answer was read from it.
-struct CallAnswer {
+struct BatchAnswer {
     outcome: BatchOutcome,
     connection: Option<(Connection, Option<Duration>)>,
 }
 
-impl CallAnswer {
-    fn without(outcome: BatchOutcome) -> Self {
+impl BatchAnswer {
+    fn without_connection(outcome: BatchOutcome) -> Self {
         Self {
             outcome,
             connection: None,
@@ -299,19 +299,19 @@
     }
 }
 
-fn pieces_asked(target: &str, sent: Time) -> Asked<'_> {
-    Asked {
+fn batch_request(target: &str, sent_at: Time) -> SentRequest<'_> {
+    SentRequest {
         target,
         call: "",
-        sent,
+        sent_at,
     }
 }
 
-async fn send_call(traffic: &Traffic, call: &BatchCall) -> CallAnswer {
+async fn send_batch(traffic: &Traffic, call: &BatchCall) -> BatchAnswer {
     let sent_at = traffic.now();
     let (path, body) = (traffic.edges.pool.run)(&call.pieces);
     let Some(request) = request(traffic, path, &call.address, &call.id, body) else {
-        return CallAnswer::without(BatchOutcome::BrokenOff);
+        return BatchAnswer::without_connection(BatchOutcome::BrokenOff);
     };
     let sent = traffic
         .connections
@@ -319,15 +319,15 @@
         .await;
     let (connection, response) = match sent {
         Ok(sent) => sent,
-        Err(SendFailure::NotWritten) => return CallAnswer::without(BatchOutcome::Unreachable),
-        Err(SendFailure::BrokenOff) => return CallAnswer::without(BatchOutcome::BrokenOff),
+        Err(SendFailure::NotWritten) => return BatchAnswer::without_connection(BatchOutcome::Unreachable),
+        Err(SendFailure::BrokenOff) => return BatchAnswer::without_connection(BatchOutcome::BrokenOff),
     };
     let (parts, body) = response.into_parts();
-    let head = target_reports::read_head(traffic, pieces_asked(&call.id, sent_at), &parts);
-    let Ok(body) = Limited::new(body, MOST_ANSWER).collect().await else {
-        return CallAnswer::without(BatchOutcome::BrokenOff);
+    let head = target_reports::read_head(traffic, batch_request(&call.id, sent_at), &parts);
+    let Ok(body) = Limited::new(body, MAX_ANSWER_BYTES).collect().await else {
+        return BatchAnswer::without_connection(BatchOutcome::BrokenOff);
     };
-    CallAnswer {
+    BatchAnswer {
         outcome: outcome(traffic, &head, parts.status, &body.to_bytes()),
         connection: Some((connection, head.keep.map(duration))),
     }
@@ -365,16 +365,16 @@
 }
 
 /// Frees results, many at a time.
-async fn free(traffic: Rc<Traffic>, pool: Rc<Pool>) {
+async fn release_results(traffic: Rc<Traffic>, pool: Rc<Pool>) {
     loop {
         pool.releasable.notified().await;
-        tokio::time::sleep(FREE_DELAY).await;
+        tokio::time::sleep(RELEASE_DELAY).await;
         let releasable = pool.queue.borrow_mut().take_releasable(traffic.now());
         for (address, target, handles) in releasable {
             let (path, body) = (traffic.edges.pool.free)(&handles);
             if let Some(request) = request(&traffic, path, &address, &target, body) {
                 let to = (address, target);
-                spawn_local(send_free(
+                spawn_local(send_release(
                     Rc::clone(&traffic),
                     Rc::clone(&pool),
                     to,
@@ -387,7 +387,7 @@
 }
 
 /// Results that cannot be freed go by themselves after their time.
-async fn send_free(
+async fn send_release(
     traffic: Rc<Traffic>,
     pool: Rc<Pool>,
     (address, target): (String, String),
@@ -399,9 +399,9 @@
         let sent = traffic.connections.send(&address, &target, request, || {}).await;
         let Ok((connection, response)) = sent else { return };
         let (parts, body) = response.into_parts();
-        target_reports::read_head(&traffic, pieces_asked(&target, sent_at), &parts);
+        target_reports::read_head(&traffic, batch_request(&target, sent_at), &parts);
         let freed = parts.status.is_success();
-        let whole = Limited::new(body, MOST_ANSWER).collect().await;
+        let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         if whole.is_ok() {
             traffic.connections.put_back(connection, None);
         }
@@ -411,5 +411,5 @@
             pool.wake();
         }
     };
-    let _ = timer::timeout(CALL_TIMEOUT, work).await;
+    let _ = timer::timeout(BATCH_TIMEOUT, work).await;
 }
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -35,12 +35,12 @@
 pub struct Pools {
     pools: RefCell<HashMap<PoolId, Rc<Pool>>>,
     /// The list and the configuration that the pools have taken.
-    taken: RefCell<(Arc<TargetTable>, Option<Arc<Catalog>>)>,
+    applied: RefCell<(Arc<TargetTable>, Option<Arc<Catalog>>)>,
 }
 
 impl Pools {
     /// The pool, started when it is new here; `None` when the configuration does not know it.
-    pub fn get(&self, traffic: &Rc<Traffic>, id: &PoolId) -> Option<Rc<Pool>> {
+    pub fn get_or_start(&self, traffic: &Rc<Traffic>, id: &PoolId) -> Option<Rc<Pool>> {
         if let Some(pool) = self.pools.borrow().get(id) {
             return Some(Rc::clone(pool));
         }
@@ -53,7 +53,7 @@
     }
 
     /// The pool, when it was started here.
-    pub fn known(&self, id: &PoolId) -> Option<Rc<Pool>> {
+    pub fn find(&self, id: &PoolId) -> Option<Rc<Pool>> {
         self.pools.borrow().get(id).cloned()
     }
 
@@ -67,9 +67,9 @@
     }
 
     /// Takes what a newer plan says of the pools.
-    pub fn take_plan(&self, plan: &ForwardPlan) {
+    pub fn apply_plan(&self, plan: &ForwardPlan) {
         let new = (Arc::clone(&plan.targets), plan.catalog.clone());
-        let before = self.taken.replace(new);
+        let before = self.applied.replace(new);
         let same_catalog = match (&before.1, &plan.catalog) {
             (Some(before), Some(now)) => Arc::ptr_eq(before, now),
             (None, None) => true,
@@ -98,9 +98,9 @@
         return;
     };
     let shards = plan.pool_shards(&id.service);
-    let holds = |entry: &TargetEntry| shards.is_some_and(|shards| shards.shard_of(entry) == id.shard);
-    let mine = |entry: &TargetEntry| entry.service == id.service && holds(entry);
+    let in_shard = |entry: &TargetEntry| shards.is_some_and(|shards| shards.shard_of(entry) == id.shard);
+    let in_pool = |entry: &TargetEntry| entry.service == id.service && in_shard(entry);
     let mut queue = pool.queue.borrow_mut();
-    queue.apply_plan(spec, service.cold, &plan.targets, mine);
+    queue.apply_plan(spec, service.cold, &plan.targets, in_pool);
     queue.fail_lost_inputs(|handle, since| plan.is_result_lost(handle, since));
 }
--- a/crates/barleyspool_gateway/src/traffic/results.rs
+++ b/crates/barleyspool_gateway/src/traffic/stage_results.rs
@@ -9,18 +9,18 @@
 use tokio::task::spawn_local;
 
 /// The results of one call. Dropping it frees them.
-pub struct Results {
+pub struct StageResults {
     traffic: Rc<Traffic>,
     /// The pool that made each result, and when it was known here.
-    made: HashMap<String, (PoolId, Time)>,
+    origins: HashMap<String, (PoolId, Time)>,
 }
 
-impl Results {
+impl StageResults {
     /// No results yet.
     pub fn new(traffic: &Rc<Traffic>) -> Self {
         Self {
             traffic: Rc::clone(traffic),
-            made: HashMap::new(),
+            origins: HashMap::new(),
         }
     }
 
@@ -28,7 +28,7 @@
     pub fn add(&mut self, pool: &PoolId, handles: &[String]) {
         let now = self.traffic.now();
         for handle in handles {
-            self.made.insert(handle.clone(), (pool.clone(), now));
+            self.origins.insert(handle.clone(), (pool.clone(), now));
         }
     }
 
@@ -36,8 +36,8 @@
     pub fn is_any_lost(&self, handles: &[String]) -> bool {
         let plan = self.traffic.plan();
         let is_lost = |handle: &String| {
-            let made = self.made.get(handle);
-            made.is_some_and(|(_, since)| plan.is_result_lost(handle, *since))
+            let origin = self.origins.get(handle);
+            origin.is_some_and(|(_, since)| plan.is_result_lost(handle, *since))
         };
         !plan.restarts.is_empty() && handles.iter().any(is_lost)
     }
@@ -46,7 +46,7 @@
     pub fn release(&mut self, handles: Vec<String>) {
         let mut by_pool: BTreeMap<PoolId, Vec<String>> = BTreeMap::new();
         for handle in handles {
-            if let Some((pool, _)) = self.made.remove(&handle) {
+            if let Some((pool, _)) = self.origins.remove(&handle) {
                 by_pool.entry(pool).or_default().push(handle);
             }
         }
@@ -57,12 +57,12 @@
 
     /// Frees all.
     pub fn release_all(&mut self) {
-        let all = self.made.keys().cloned().collect();
+        let all = self.origins.keys().cloned().collect();
         self.release(all);
     }
 }
 
-impl Drop for Results {
+impl Drop for StageResults {
     fn drop(&mut self) {
         self.release_all();
     }
@@ -70,12 +70,12 @@
 
 fn release_at_owner(traffic: &Rc<Traffic>, id: PoolId, handles: Vec<String>) {
     match traffic.peers.owner(traffic, &id) {
-        Owner::Me => {
-            if let Some(pool) = traffic.pools.known(&id) {
+        Owner::Local => {
+            if let Some(pool) = traffic.pools.find(&id) {
                 pool.release(handles);
             }
         }
-        Owner::Other(address) => {
+        Owner::Remote(address) => {
             let traffic = Rc::clone(traffic);
             spawn_local(async move { traffic.peers.release(&address, id, handles).await });
         }
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -3,8 +3,8 @@
 use super::call::Call;
 use super::peers::Owner;
 use super::pools::PoolId;
-use super::results::Results;
-use super::target_ends;
+use super::stage_results::StageResults;
+use super::target_crashes;
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{OrderOutcome, PieceOrder, ReadyStage, Reason, Span, StageProgress, rendezvous};
@@ -13,40 +13,44 @@
 use std::time::Duration;
 
 /// Results smaller than this, in bytes, may be made in any zone.
-const ZONE_MATTERS: u64 = 100_000;
+const MIN_ZONE_BYTES: u64 = 100_000;
 /// Owners that cannot be reached before a stage is given up.
-const MOST_OWNERS: usize = 4;
+const MAX_UNREACHABLE_OWNERS: usize = 4;
 /// How long to wait before the same owner is asked again after it said that another one owns the pool.
-const OWNER_WAIT: Duration = Duration::from_millis(50);
+const MOVED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-struct StageEnd {
+struct StageOutcome {
     stage: usize,
     pool: PoolId,
-    end: OrderOutcome,
+    outcome: OrderOutcome,
 }
 
 /// Runs all stages of a call that are not complete.
 ///
 /// # Errors
 /// When they cannot be completed in time. Nothing of the call itself has run then.
-pub async fn run(call: &Call, stages: &mut StageProgress, results: &mut Results) -> Result<(), CallFailure> {
-    let mut working = FuturesUnordered::new();
+pub async fn run(
+    call: &Call,
+    stages: &mut StageProgress,
+    results: &mut StageResults,
+) -> Result<(), CallFailure> {
+    let mut running = FuturesUnordered::new();
     loop {
-        let mut again = false;
+        let mut has_recomputed = false;
         let started = stages.start_ready();
         if !started.is_empty() {
-            target_ends::check(call)?;
+            target_crashes::check_blocked(call)?;
         }
         for ready in started {
             if results.is_any_lost(&ready.inputs) {
                 recompute(stages, Some(ready.stage), &call.route.stages[ready.stage].service)?;
-                again = true;
+                has_recomputed = true;
                 continue;
             }
             let depth = stages.depth_after(ready.stage);
-            working.push(make_stage(call, ready, depth));
+            running.push(compute_stage(call, ready, depth));
         }
-        if again {
+        if has_recomputed {
             continue;
         }
         if stages.is_complete() && results.is_any_lost(&stages.outputs()) {
@@ -56,24 +60,24 @@
         if stages.is_complete() {
             return Ok(());
         }
-        let Some(ended) = working.next().await else {
+        let Some(finished) = running.next().await else {
             return Err(CallFailure::not_run(Reason::StepFailed));
         };
-        match ended.end {
+        match finished.outcome {
             OrderOutcome::Computed(handles) => {
-                results.add(&ended.pool, &handles);
-                let releasable = stages.complete(ended.stage, handles);
+                results.add(&finished.pool, &handles);
+                let releasable = stages.complete(finished.stage, handles);
                 results.release(releasable);
             }
             OrderOutcome::InputsGone => {
-                recompute(stages, Some(ended.stage), &ended.pool.service)?;
+                recompute(stages, Some(finished.stage), &finished.pool.service)?;
             }
-            OrderOutcome::TooLate(come_back) => {
+            OrderOutcome::TooLate(retry_after) => {
                 let failure = CallFailure::not_run(Reason::PoolBusy);
-                return Err(failure.after(come_back).at(&ended.pool.service, ""));
+                return Err(failure.after(retry_after).at(&finished.pool.service, ""));
             }
             OrderOutcome::Moved | OrderOutcome::Failed => {
-                return Err(CallFailure::not_run(Reason::StepFailed).at(&ended.pool.service, ""));
+                return Err(CallFailure::not_run(Reason::StepFailed).at(&finished.pool.service, ""));
             }
         }
     }
@@ -92,22 +96,22 @@
     let plan = call.traffic.plan();
     let spec = &call.route.stages[stage];
     let key = rendezvous::text_key(&call.head.id);
-    let (near, before) = if zone.is_empty() {
+    let (source_zone, upstream) = if zone.is_empty() {
         (call.home_zone(), call.route.stages[0].service.as_str())
     } else {
-        (zone.to_owned(), feeder(call, stage))
+        (zone.to_owned(), upstream_service(call, stage))
     };
     // Requests of all nodes come from a zone in proportion to the targets there that they were at before.
-    let come = plan.zone_share(before, &near);
+    let zone_share = plan.zone_share(upstream, &source_zone);
     let shards = plan.pool_shards(&spec.service);
     PoolId {
         service: spec.service.clone(),
-        shard: shards.map_or(0, |shards| shards.pick(key, &near, come)),
+        shard: shards.map_or(0, |shards| shards.pick(key, &source_zone, zone_share)),
     }
 }
 
 /// The service whose targets are spread over zones as the calls at a stage are: that of the stage before, or of the call itself.
-fn feeder(call: &Call, stage: usize) -> &str {
+fn upstream_service(call: &Call, stage: usize) -> &str {
     let stages = &call.route.stages;
     let needs = &stages[stage].needs;
     needs
@@ -120,19 +124,19 @@
     pool_id(call, stage, &call.home_zone())
 }
 
-async fn make_stage(call: &Call, ready: ReadyStage, depth: usize) -> StageEnd {
+async fn compute_stage(call: &Call, ready: ReadyStage, depth: usize) -> StageOutcome {
     let traffic = &call.traffic;
     let service = &call.route.stages[ready.stage].service;
-    let began = traffic.now();
+    let started_at = traffic.now();
     if let Some(planned) = &*call.planned.borrow() {
         planned.arrived(ready.stage);
     }
     let order = order(call, &ready, depth);
-    let (pool, owner, end) = make_at_owner(call, &order).await;
+    let (pool, owner, outcome) = compute_at_owner(call, &order).await;
     let now = traffic.now();
     let owner = match &owner {
-        Owner::Me => "self",
-        Owner::Other(address) => address,
+        Owner::Local => "self",
+        Owner::Remote(address) => address,
     };
     let line = Line::Stage {
         id: &call.head.id,
@@ -140,55 +144,55 @@
         service,
         pieces: ready.pieces,
         owner,
-        end: end_name(&end),
-        took_ms: now.since(began).as_millis(),
+        end: outcome_name(&outcome),
+        took_ms: now.since(started_at).as_millis(),
     };
-    if matches!(end, OrderOutcome::Computed(_)) {
+    if matches!(outcome, OrderOutcome::Computed(_)) {
         traffic.log.write_good(now, &line);
     } else {
         traffic.log.write(now, &line);
     }
-    StageEnd {
+    StageOutcome {
         stage: ready.stage,
         pool,
-        end,
+        outcome,
     }
 }
 
 /// Lets the owner of the pool make an order. Owners that cannot be reached are replaced a few times; one that says
 /// that the pool has moved is asked who owns it for as long as the call has time.
-async fn make_at_owner(call: &Call, order: &PieceOrder) -> (PoolId, Owner, OrderOutcome) {
+async fn compute_at_owner(call: &Call, order: &PieceOrder) -> (PoolId, Owner, OrderOutcome) {
     let traffic = &call.traffic;
     // The pool may be split in another way when it is asked again.
-    let place = || {
+    let locate = || {
         let pool = pool_id(call, order.stage as usize, &order.zone);
         let owner = traffic.peers.owner(traffic, &pool);
         (pool, owner)
     };
-    let (mut pool, mut owner) = place();
+    let (mut pool, mut owner) = locate();
     let mut unreachable = 0;
-    while unreachable < MOST_OWNERS {
-        let made = match &owner {
-            Owner::Me => match traffic.pools.get(traffic, &pool) {
-                Some(local) => Some(local.make(traffic, order.clone(), traffic.plan().me).await),
+    while unreachable < MAX_UNREACHABLE_OWNERS {
+        let outcome = match &owner {
+            Owner::Local => match traffic.pools.get_or_start(traffic, &pool) {
+                Some(local) => Some(local.compute(traffic, order.clone(), traffic.plan().me).await),
                 None => Some(OrderOutcome::Failed),
             },
-            Owner::Other(address) => traffic.peers.make(traffic, address, &pool, order).await,
+            Owner::Remote(address) => traffic.peers.compute(traffic, address, &pool, order).await,
         };
-        let before = (pool.clone(), owner.clone());
-        match made {
+        let previous = (pool.clone(), owner.clone());
+        match outcome {
             Some(OrderOutcome::Moved) => {
-                (pool, owner) = place();
-                if (&pool, &owner) == (&before.0, &before.1) {
+                (pool, owner) = locate();
+                if (&pool, &owner) == (&previous.0, &previous.1) {
                     // This node will hear of the other owner too.
-                    tokio::time::sleep(OWNER_WAIT).await;
-                    (pool, owner) = place();
+                    tokio::time::sleep(MOVED_RETRY_DELAY).await;
+                    (pool, owner) = locate();
                 }
             }
-            Some(end) => return (pool, owner, end),
+            Some(outcome) => return (pool, owner, outcome),
             None => {
                 unreachable += 1;
-                (pool, owner) = place();
+                (pool, owner) = locate();
             }
         }
     }
@@ -199,7 +203,7 @@
     let spec = &call.route.stages[ready.stage];
     let first = ready.inputs.is_empty() && spec.needs.is_empty();
     // The stages after this one and the call itself need their time too.
-    let later = Span(call.stage_time().0 * depth as u64) + call.first_time();
+    let later_time = Span(call.stage_time().0 * depth as u64) + call.first_time();
     PieceOrder {
         request: call.head.id.clone(),
         fingerprint: call.print,
@@ -212,11 +216,11 @@
         },
         inputs: ready.inputs.clone(),
         deadline: call.deadline,
-        due: (call.arrived + call.route.objective) - later,
+        due: (call.arrived + call.route.objective) - later_time,
         rank: call.rank,
         bytes: spec.bytes,
         input_bytes: piece_input_bytes(call, ready),
-        zone: zone(call, ready),
+        zone: preferred_zone(call, ready),
     }
 }
 
@@ -228,7 +232,7 @@
 
 /// The zone in which pieces should be made: where their inputs lie, or where the call that reads them will run.
 /// Empty when so little is moved that it does not matter.
-fn zone(call: &Call, ready: &ReadyStage) -> String {
+fn preferred_zone(call: &Call, ready: &ReadyStage) -> String {
     let stages = &call.route.stages;
     let input_bytes = piece_input_bytes(call, ready) * u64::from(ready.pieces);
     let read_by_call = !stages.iter().any(|other| other.needs.contains(&ready.stage));
@@ -237,7 +241,7 @@
     } else {
         0
     };
-    if input_bytes.max(output_bytes) < ZONE_MATTERS {
+    if input_bytes.max(output_bytes) < MIN_ZONE_BYTES {
         String::new()
     } else if input_bytes > output_bytes {
         call.zone_of(&ready.inputs).unwrap_or_default()
@@ -246,8 +250,8 @@
     }
 }
 
-fn end_name(end: &OrderOutcome) -> &'static str {
-    match end {
+fn outcome_name(outcome: &OrderOutcome) -> &'static str {
+    match outcome {
         OrderOutcome::Computed(_) => "made",
         OrderOutcome::InputsGone => "inputs_gone",
         OrderOutcome::TooLate(_) => "too_late",
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -5,13 +5,13 @@
 use super::call_guard::CallGuard;
 use super::callers::duration;
 use super::connections::Connection;
-use super::final_send::{self, SendGuard, Sent};
+use super::final_send::{self, SendGuard, TargetAnswer};
 use super::relayed_stream::{RelayItem, RelayedStream};
-use super::results::Results;
+use super::stage_results::StageResults;
 use super::stages;
 use super::stopping;
 use super::target_choice;
-use super::target_ends;
+use super::target_crashes;
 use crate::failure::CallFailure;
 use barleyspool_core::{NextStep, Reason, SendEnd, Span, StageProgress, next_step};
 use barleyspool_wire::timer;
@@ -50,7 +50,7 @@
     /// The stream.
     pub body: Option<Incoming>,
     /// The stage results that the call uses.
-    pub results: Results,
+    pub results: StageResults,
     /// Those that the call itself needs.
     pub inputs: Vec<String>,
 }
@@ -98,7 +98,7 @@
             StreamEnd::TimeOver => return broken(&relay, Reason::RouteTimeout),
             StreamEnd::Broken => {
                 relay.send.end(SendEnd::BrokenOff);
-                target_ends::note(&relay.call, &relay.send.chosen, SendEnd::BrokenOff);
+                target_crashes::check_target(&relay.call, &relay.send.chosen, SendEnd::BrokenOff);
                 if !resume(&mut relay, &mut passed).await {
                     return broken(&relay, Reason::StepFailed);
                 }
@@ -111,7 +111,7 @@
     relay.send.end(SendEnd::Answered { success: true });
     relay.guard.answered(relay.parts.status);
     let traffic = &relay.call.traffic;
-    traffic.ends.answered(traffic.now(), relay.call.print);
+    traffic.ends.record_answered(traffic.now(), relay.call.print);
     if let Some(connection) = relay.connection.take() {
         let keep = relay.keep.map(duration);
         relay.call.traffic.connections.put_back(connection, keep);
@@ -192,11 +192,11 @@
             call.history.get(),
             end,
         );
-        if step != NextStep::Retry || !final_send::may_retry(&call, end) {
+        if step != NextStep::Retry || !final_send::allow_retry(&call, end) {
             return false;
         }
         call.avoid.borrow_mut().push(relay.send.chosen.target);
-        if target_ends::check(&call).is_err() || !make_inputs(relay).await {
+        if target_crashes::check_blocked(&call).is_err() || !make_inputs(relay).await {
             return false;
         }
         let Ok(chosen) = target_choice::choose(&call).await else {
@@ -207,7 +207,7 @@
         let sent = final_send::send_once(&call, &relay.send.chosen, &relay.inputs, passed.event).await;
         let mut history = call.history.get();
         match sent {
-            Ok(Sent::Stream(_, body, connection, head)) => {
+            Ok(TargetAnswer::Stream(_, body, connection, head)) => {
                 history.record_end(SendEnd::Answered { success: true });
                 call.history.set(history);
                 relay.body = Some(body);
@@ -215,14 +215,14 @@
                 relay.keep = head.keep;
                 return true;
             }
-            Ok(Sent::Whole(..)) => {
+            Ok(TargetAnswer::Whole(..)) => {
                 history.record_end(SendEnd::Answered { success: false });
                 relay.send.end(SendEnd::Answered { success: false });
             }
             Err(end) => {
                 history.record_end(end);
                 relay.send.end(end);
-                target_ends::note(&call, &relay.send.chosen, end);
+                target_crashes::check_target(&call, &relay.send.chosen, end);
             }
         }
         call.history.set(history);
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -3,7 +3,7 @@
 use super::call::Call;
 use super::callers::duration;
 use super::grants;
-use super::placement::{self, Place, Placement};
+use super::placement::{self, PlaceResult, Placement};
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{ChooseResult, Reason, Span, TargetChoice, TargetQuery, Time};
@@ -11,33 +11,33 @@
 use std::time::Duration;
 
 /// How long a call may wait for a target that is full, as a share of its objective.
-const FULL_SHARE: f64 = 0.15;
+const FULL_WAIT_SHARE: f64 = 0.15;
 /// How often it looks meanwhile.
-const FULL_LOOK: Duration = Duration::from_millis(15);
+const FULL_POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// How often it asks the owner of its engines meanwhile: an owner has 60 ms to answer, and with a question at each look a shortage
 /// of engines would bring each owner some ten questions for each call.
-const OWNER_LOOK: Span = Span::from_millis(60);
+const OWNER_POLL_INTERVAL: Span = Span::from_millis(60);
 /// How much later than it was told a call may be sent. Later ones could meet those that were told a later time: with
 /// half a second more in each span a target still gets less than one and a half times its rate and five calls.
-const MOST_LATE: Span = Span::from_millis(500);
+const MAX_SEND_DELAY: Span = Span::from_millis(500);
 
 /// A target, and the placement when its owner chose it.
-pub type Found = (TargetChoice, Option<Placement>);
+pub type Selection = (TargetChoice, Option<Placement>);
 
 /// A target that was given out to a call before its stages are made.
-pub struct Reserved {
-    found: Found,
+pub struct ReservedTarget {
+    selection: Selection,
     due: Time,
 }
 
 /// What one look for a target came to.
-enum Look {
+enum Attempt {
     /// The call goes there.
-    At(Box<Found>),
+    Selected(Box<Selection>),
     /// All usable targets have been given all that they take; when there is room again.
-    NoRoom(Span),
+    NoCapacity(Span),
     /// All that may get work have asked this node for rest; when the first one's is over.
-    Resting(Span),
+    CoolingDown(Span),
     /// None is usable; when to come back.
     Busy(Span),
 }
@@ -47,32 +47,32 @@
 ///
 /// # Errors
 /// When no target can be had.
-pub async fn choose(call: &Call) -> Result<Found, CallFailure> {
+pub async fn choose(call: &Call) -> Result<Selection, CallFailure> {
     let traffic = &call.traffic;
-    if let Some(found) = use_reserved(call).await {
-        return Ok(found);
+    if let Some(selection) = use_reserved(call).await {
+        return Ok(selection);
     }
-    let until = traffic.now() + call.route.objective.scale(FULL_SHARE);
-    let mut ask_at = traffic.now();
+    let until = traffic.now() + call.route.objective.scale(FULL_WAIT_SHARE);
+    let mut ask_owner_at = traffic.now();
     loop {
         let now = traffic.now();
-        let ask = now >= ask_at;
-        if ask {
-            ask_at = now + OWNER_LOOK;
+        let ask_owner = now >= ask_owner_at;
+        if ask_owner {
+            ask_owner_at = now + OWNER_POLL_INTERVAL;
         }
-        match look(call, until.since(now), ask).await {
-            Look::At(found) => {
-                let due = traffic.now() + found.0.wait;
-                if wait_until(call, &found.0, due).await {
-                    return Ok(*found);
+        match try_choose(call, until.since(now), ask_owner).await {
+            Attempt::Selected(selection) => {
+                let due = traffic.now() + selection.0.wait;
+                if wait_until(call, &selection.0, due).await {
+                    return Ok(*selection);
                 }
             }
-            Look::NoRoom(wait) => return Err(no_room(call, wait)),
-            Look::Resting(wait) => return Err(at_rest(call, wait)),
-            Look::Busy(come_back) if traffic.now() >= until => {
-                return Err(no_target(call, Reason::NoTarget, come_back));
+            Attempt::NoCapacity(wait) => return Err(no_capacity(call, wait)),
+            Attempt::CoolingDown(wait) => return Err(cooling_down(call, wait)),
+            Attempt::Busy(retry_after) if traffic.now() >= until => {
+                return Err(no_target(call, Reason::NoTarget, retry_after));
             }
-            Look::Busy(_) => tokio::time::sleep(FULL_LOOK).await,
+            Attempt::Busy(_) => tokio::time::sleep(FULL_POLL_INTERVAL).await,
         }
     }
 }
@@ -82,72 +82,77 @@
 ///
 /// # Errors
 /// When there will be no room.
-pub async fn reserve(call: &Call, ahead: Span) -> Result<(), CallFailure> {
+pub async fn reserve(call: &Call, stage_time: Span) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
-    let max_wait = ahead + call.route.objective.scale(FULL_SHARE);
-    let rest = traffic
+    let max_wait = stage_time + call.route.objective.scale(FULL_WAIT_SHARE);
+    let cooldown = traffic
         .forwarder
         .borrow()
         .service_cooldown(traffic.now(), &call.need());
-    if rest > max_wait {
-        return Err(at_rest(call, Span(rest.0.saturating_sub(ahead.0))));
+    if cooldown > max_wait {
+        return Err(cooling_down(call, Span(cooldown.0.saturating_sub(stage_time.0))));
     }
     // A target that is warm by then is not bounded any more.
-    let bounded = traffic
+    let rate_limited = traffic
         .forwarder
         .borrow()
-        .all_rate_limited(traffic.now() + ahead, &call.service);
-    if !bounded {
+        .all_rate_limited(traffic.now() + stage_time, &call.service);
+    if !rate_limited {
         return Ok(());
     }
-    match look(call, max_wait, true).await {
-        Look::At(found) => {
-            let due = traffic.now() + found.0.wait;
-            *call.reserved.borrow_mut() = Some(Reserved { found: *found, due });
+    match try_choose(call, max_wait, true).await {
+        Attempt::Selected(selection) => {
+            let due = traffic.now() + selection.0.wait;
+            *call.reserved.borrow_mut() = Some(ReservedTarget {
+                selection: *selection,
+                due,
+            });
             Ok(())
         }
         // The stages of a call that comes back take their time again.
-        Look::NoRoom(wait) => Err(no_room(call, Span(wait.0.saturating_sub(ahead.0)))),
-        Look::Resting(wait) => Err(at_rest(call, Span(wait.0.saturating_sub(ahead.0)))),
-        Look::Busy(_) => Ok(()),
+        Attempt::NoCapacity(wait) => Err(no_capacity(call, Span(wait.0.saturating_sub(stage_time.0)))),
+        Attempt::CoolingDown(wait) => Err(cooling_down(call, Span(wait.0.saturating_sub(stage_time.0)))),
+        Attempt::Busy(_) => Ok(()),
     }
 }
 
 /// The target that was given out to a call, when it can still be used.
-async fn use_reserved(call: &Call) -> Option<Found> {
-    let Reserved { found, due } = call.reserved.borrow_mut().take()?;
-    let usable = !call.avoid.borrow().contains(&found.0.target);
-    (usable && wait_until(call, &found.0, due).await).then_some(found)
+async fn use_reserved(call: &Call) -> Option<Selection> {
+    let ReservedTarget { selection, due } = call.reserved.borrow_mut().take()?;
+    let usable = !call.avoid.borrow().contains(&selection.0.target);
+    (usable && wait_until(call, &selection.0, due).await).then_some(selection)
 }
 
 /// Looks for a target once; with `ask` the owner of its engines chooses.
-async fn look(call: &Call, max_wait: Span, ask: bool) -> Look {
+async fn try_choose(call: &Call, max_wait: Span, ask_owner: bool) -> Attempt {
     let traffic = &call.traffic;
-    if ask {
+    if ask_owner {
         match placement::place(call, max_wait).await {
-            Place::At(chosen, placement) => return Look::At(Box::new((chosen, Some(placement)))),
-            Place::NoRoom(wait) => return Look::NoRoom(wait),
-            Place::Nowhere => {}
+            PlaceResult::Placed(chosen, placement) => {
+                return Attempt::Selected(Box::new((chosen, Some(placement))));
+            }
+            PlaceResult::NoCapacity(wait) => return Attempt::NoCapacity(wait),
+            PlaceResult::NotPlaced => {}
         }
     }
-    let need = TargetQuery {
+    let query = TargetQuery {
         max_wait,
         ..call.need()
     };
     loop {
-        let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &need);
+        let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &query);
         match choice {
             // Each question that is answered with no takes a target out of the choice.
             ChooseResult::Send(mut chosen) if chosen.rate_limited => {
-                if let Some(wait) = grants::ask(traffic, &chosen, max_wait).await {
+                if let Some(wait) = grants::request_grant(traffic, &chosen, max_wait).await {
                     chosen.wait = wait;
-                    return Look::At(Box::new((chosen, None)));
+                    return Attempt::Selected(Box::new((chosen, None)));
                 }
             }
-            ChooseResult::Send(chosen) => return Look::At(Box::new((chosen, None))),
-            ChooseResult::NoCapacity(wait) => return Look::NoRoom(wait),
-            ChooseResult::CoolingDown(wait) => return Look::Resting(wait),
-            ChooseResult::Busy(come_back) => return Look::Busy(come_back),
+            ChooseResult::Send(chosen) => return Attempt::Selected(Box::new((chosen, None))),
+            ChooseResult::NoCapacity(wait) => return Attempt::NoCapacity(wait),
+            ChooseResult::CoolingDown(wait) => return Attempt::CoolingDown(wait),
+            ChooseResult::Busy(retry_after) => return Attempt::Busy(retry_after),
         }
     }
 }
@@ -162,10 +167,10 @@
     }
     let now = traffic.now();
     let usable = traffic.forwarder.borrow_mut().usable(now, &chosen.id).is_some();
-    usable && (!chosen.rate_limited || now.since(due) < MOST_LATE)
+    usable && (!chosen.rate_limited || now.since(due) < MAX_SEND_DELAY)
 }
 
-fn no_room(call: &Call, wait: Span) -> CallFailure {
+fn no_capacity(call: &Call, wait: Span) -> CallFailure {
     let traffic = &call.traffic;
     let line = Line::AtLimit {
         id: &call.head.id,
@@ -178,7 +183,7 @@
     no_target(call, Reason::AtLimit, wait)
 }
 
-fn at_rest(call: &Call, wait: Span) -> CallFailure {
+fn cooling_down(call: &Call, wait: Span) -> CallFailure {
     let traffic = &call.traffic;
     let line = Line::AtRest {
         id: &call.head.id,
@@ -190,11 +195,11 @@
 }
 
 /// The end of a call that gets no target now, with when to come back unless an earlier send of it may have run.
-fn no_target(call: &Call, reason: Reason, come_back: Span) -> CallFailure {
+fn no_target(call: &Call, reason: Reason, retry_after: Span) -> CallFailure {
     let failure = if call.history.get().may_have_run {
         CallFailure::unknown(reason)
     } else {
-        CallFailure::not_run(reason).after(come_back)
+        CallFailure::not_run(reason).after(retry_after)
     };
     failure.at(&call.service, "")
 }
--- a/crates/barleyspool_gateway/src/traffic/target_ends.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -20,61 +20,61 @@
 
 /// How long an answer of a target's port counts for all calls at that target: they break within milliseconds of each other, and
 /// a target that has ended is away for seconds.
-const SAME_LOOK: Span = Span::from_millis(200);
+const PORT_CHECK_TTL: Span = Span::from_millis(200);
 /// Looks that are kept; older ones go when there are more.
-const MOST_LOOKS: usize = 256;
+const MAX_PORT_CHECKS: usize = 256;
 
 /// A look at a target's port that several calls share.
 #[derive(Clone, Debug)]
-struct Look {
-    began: Time,
+struct PortCheck {
+    started_at: Time,
     presence: Rc<OnceCell<Presence>>,
 }
 
 /// Which calls targets end under, as far as this node sees.
 #[derive(Debug)]
-pub struct TargetEnds {
+pub struct TargetCrashes {
     sightings: mpsc::UnboundedSender<Sighting>,
-    survivors: RefCell<AnsweredCalls>,
-    looks: RefCell<HashMap<String, Look>>,
+    answered_calls: RefCell<AnsweredCalls>,
+    port_checks: RefCell<HashMap<String, PortCheck>>,
 }
 
-impl TargetEnds {
+impl TargetCrashes {
     /// Tells `sightings` what it sees.
     pub fn new(sightings: mpsc::UnboundedSender<Sighting>) -> Self {
         Self {
             sightings,
-            survivors: RefCell::default(),
-            looks: RefCell::default(),
+            answered_calls: RefCell::default(),
+            port_checks: RefCell::default(),
         }
     }
 
     /// A target gave a call a whole answer: it does not end targets.
-    pub fn answered(&self, now: Time, print: CallFingerprint) {
-        self.survivors.borrow_mut().insert(now, print);
+    pub fn record_answered(&self, now: Time, fingerprint: CallFingerprint) {
+        self.answered_calls.borrow_mut().insert(now, fingerprint);
     }
 
     /// Looks whether a target that broke a connection off has ended. One that was on its way out ends as it should.
-    pub async fn has_ended(&self, traffic: &Traffic, target: &str, address: &str) -> bool {
+    pub async fn has_crashed(&self, traffic: &Traffic, target: &str, address: &str) -> bool {
         let plan = traffic.plan();
         let leaving = plan.targets.get(target).is_none_or(|entry| entry.leaving);
         if leaving {
             return false;
         }
-        let look = self.look(traffic.now(), target);
-        let presence = look.get_or_init(|| traffic.connections.presence(address, target));
+        let check = self.port_check(traffic.now(), target);
+        let presence = check.get_or_init(|| traffic.connections.presence(address, target));
         *presence.await == Presence::Gone
     }
 
     /// A target has ended while it had a call, or a piece of one.
-    pub fn ended_under(&self, traffic: &Traffic, target: &str, (id, print): (&str, CallFingerprint)) {
+    pub fn record_crash(&self, traffic: &Traffic, target: &str, (id, fingerprint): (&str, CallFingerprint)) {
         let now = traffic.now();
         traffic.count(Counter::TargetEnded);
-        let counts = !self.survivors.borrow_mut().contains(now, print);
+        let counts = !self.answered_calls.borrow_mut().contains(now, fingerprint);
         let line = Line::TargetEnded {
             target,
             id,
-            print,
+            print: fingerprint,
             counts,
         };
         traffic.log.write(now, &line);
@@ -82,42 +82,47 @@
             return;
         }
         let plan = traffic.plan();
-        let run = plan.targets.get(target).map_or(0, |entry| entry.incarnation.0);
-        let run = IncarnationId::of(target, run);
+        let incarnation = plan.targets.get(target).map_or(0, |entry| entry.incarnation.0);
+        let incarnation = IncarnationId::of(target, incarnation);
         // The control thread is gone only when the process ends.
-        let _ = self.sightings.send(Sighting::Ended { print, run });
+        let _ = self.sightings.send(Sighting::Ended {
+            print: fingerprint,
+            run: incarnation,
+        });
     }
 
-    fn look(&self, now: Time, target: &str) -> Rc<OnceCell<Presence>> {
-        let mut looks = self.looks.borrow_mut();
-        if looks.len() >= MOST_LOOKS {
-            looks.retain(|_, look| now.since(look.began) < SAME_LOOK);
+    fn port_check(&self, now: Time, target: &str) -> Rc<OnceCell<Presence>> {
+        let mut port_checks = self.port_checks.borrow_mut();
+        if port_checks.len() >= MAX_PORT_CHECKS {
+            port_checks.retain(|_, check| now.since(check.started_at) < PORT_CHECK_TTL);
         }
-        let new = || Look {
-            began: now,
+        let new = || PortCheck {
+            started_at: now,
             presence: Rc::default(),
         };
-        let look = looks.entry(target.to_owned()).or_insert_with(new);
-        if now.since(look.began) >= SAME_LOOK {
-            *look = new();
+        let check = port_checks.entry(target.to_owned()).or_insert_with(new);
+        if now.since(check.started_at) >= PORT_CHECK_TTL {
+            *check = new();
         }
-        Rc::clone(&look.presence)
+        Rc::clone(&check.presence)
     }
 }
 
 /// Notes that a target ended under a call, when that is why a send of it broke off. Nobody waits for it: the call goes on
 /// elsewhere, where it may.
-pub fn note(call: &Call, chosen: &TargetChoice, end: SendEnd) {
+pub fn check_target(call: &Call, chosen: &TargetChoice, end: SendEnd) {
     if end != SendEnd::BrokenOff {
         return;
     }
     // Not the call itself, whose body would be held meanwhile.
-    let (traffic, id, print) = (Rc::clone(&call.traffic), call.head.id.clone(), call.print);
+    let (traffic, id, fingerprint) = (Rc::clone(&call.traffic), call.head.id.clone(), call.print);
     let chosen = chosen.clone();
     spawn_local(async move {
-        let ended = traffic.ends.has_ended(&traffic, &chosen.id, &chosen.address);
-        if ended.await {
-            traffic.ends.ended_under(&traffic, &chosen.id, (&id, print));
+        let crashed = traffic.ends.has_crashed(&traffic, &chosen.id, &chosen.address);
+        if crashed.await {
+            traffic
+                .ends
+                .record_crash(&traffic, &chosen.id, (&id, fingerprint));
         }
     });
 }
@@ -126,13 +131,13 @@
 ///
 /// # Errors
 /// When it gets no target for a while. Nothing of it ran unless a send of this very try did.
-pub fn check(call: &Call) -> Result<(), CallFailure> {
+pub fn check_blocked(call: &Call) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let now = traffic.now();
     let Some(wait) = traffic.shared.refused.load().wait(now, call.print) else {
         return Ok(());
     };
-    if traffic.ends.survivors.borrow_mut().contains(now, call.print) {
+    if traffic.ends.answered_calls.borrow_mut().contains(now, call.print) {
         return Ok(());
     }
     let line = Line::KeptAway {
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -28,93 +28,98 @@
 
 /// A request to a target whose answer is read.
 #[derive(Copy, Clone, Debug)]
-pub struct Asked<'a> {
+pub struct SentRequest<'a> {
     /// The target's id.
     pub target: &'a str,
     /// The call's id; empty for pieces.
     pub call: &'a str,
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
 /// Reads the head of an answer, and notes what it says of its target. All answers of targets are read here.
-pub fn read_head(traffic: &Traffic, asked: Asked, parts: &Parts) -> AnswerHead {
+pub fn read_head(traffic: &Traffic, request: SentRequest, parts: &Parts) -> AnswerHead {
     let head = (traffic.edges.target.answer)(parts);
     if head.misdirected {
         // Another target has the address now.
         return head;
     }
     if head.leaving {
-        note_leaving(traffic, asked);
+        note_leaving(traffic, request);
     }
-    note_rest(traffic, asked, head.rest);
+    note_cooldown(traffic, request, head.rest);
     let id = head.id.as_deref();
-    let another_call = id.is_some_and(|id| !asked.call.is_empty() && id != asked.call);
+    let another_call = id.is_some_and(|id| !request.call.is_empty() && id != request.call);
     if !another_call {
         // A late answer to another call names a limit of before.
-        note_limit(traffic, asked, head.limit);
+        note_limit(traffic, request, head.limit);
     }
     head
 }
 
-fn note_leaving(traffic: &Traffic, asked: Asked) {
-    let run = traffic
+fn note_leaving(traffic: &Traffic, request: SentRequest) {
+    let incarnation = traffic
         .forwarder
         .borrow()
-        .leaving_incarnation(asked.sent, asked.target);
-    let Some(run) = run else { return };
+        .leaving_incarnation(request.sent_at, request.target);
+    let Some(incarnation) = incarnation else { return };
     traffic.count(Counter::ReportedLeaving);
-    traffic.reports.send(Sighting::Leaves { run });
+    traffic.reports.send(Sighting::Leaves { run: incarnation });
     let line = Line::TargetLeaves {
-        target: asked.target,
-        service: &service(traffic, asked.target),
-        id: asked.call,
+        target: request.target,
+        service: &service(traffic, request.target),
+        id: request.call,
     };
     traffic.log.write(traffic.now(), &line);
 }
 
-fn note_rest(traffic: &Traffic, asked: Asked, rest: CooldownReport) {
-    let rest = match rest {
+fn note_cooldown(traffic: &Traffic, request: SentRequest, cooldown: CooldownReport) {
+    let cooldown = match cooldown {
         CooldownReport::None => return,
         CooldownReport::Unreadable => return traffic.count(Counter::RestUnreadable),
-        CooldownReport::For(rest) => rest,
+        CooldownReport::For(cooldown) => cooldown,
     };
     traffic.count(Counter::AskedRest);
     let now = traffic.now();
-    let begins = traffic
-        .forwarder
-        .borrow_mut()
-        .apply_cooldown(now, asked.sent, asked.target, rest);
-    if !begins {
+    let started =
+        traffic
+            .forwarder
+            .borrow_mut()
+            .apply_cooldown(now, request.sent_at, request.target, cooldown);
+    if !started {
         return;
     }
     let line = Line::TargetRests {
-        target: asked.target,
-        service: &service(traffic, asked.target),
-        rest_ms: rest.as_millis(),
-        id: asked.call,
+        target: request.target,
+        service: &service(traffic, request.target),
+        rest_ms: cooldown.as_millis(),
+        id: request.call,
     };
     traffic.log.write(now, &line);
 }
 
-fn note_limit(traffic: &Traffic, asked: Asked, report: LimitReport) {
+fn note_limit(traffic: &Traffic, request: SentRequest, report: LimitReport) {
     if report == LimitReport::Unreadable {
         return traffic.count(Counter::LimitUnreadable);
     }
     let now = traffic.now();
-    let reported = traffic
-        .forwarder
-        .borrow_mut()
-        .apply_limit_report(now, asked.sent, asked.target, report);
+    let reported =
+        traffic
+            .forwarder
+            .borrow_mut()
+            .apply_limit_report(now, request.sent_at, request.target, report);
     let Some(reported) = reported else { return };
-    let (run, per_s) = (reported.incarnation, reported.per_s);
-    traffic.reports.send(Sighting::Limit { run, per_s });
+    let (incarnation, per_s) = (reported.incarnation, reported.per_s);
+    traffic.reports.send(Sighting::Limit {
+        run: incarnation,
+        per_s,
+    });
     if reported.changed {
         let line = Line::TargetLimit {
-            target: asked.target,
-            service: &service(traffic, asked.target),
+            target: request.target,
+            service: &service(traffic, request.target),
             per_s,
-            id: asked.call,
+            id: request.call,
         };
         traffic.log.write(now, &line);
     }
