--- a/crates/barleyspool_core/src/config/mod.rs
+++ b/crates/barleyspool_core/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration, and the check that decides whether to accept one, with the same result on every node.
 //!
-//! The configuration service holds a head document, and the organisations in separate parts, so that each value
-//! stays under a megabyte with 47,000 organisations. See docs/DESIGN.md, "Configuration".
+//! The configuration service holds a head document, and the organisations in separate parts, so that each
+//! value stays under a megabyte with 47,000 organisations. See docs/DESIGN.md, "Configuration".
 
 mod check;
 mod document;
--- a/crates/barleyspool_core/src/config/resolved.rs
+++ b/crates/barleyspool_core/src/config/resolved.rs
@@ -57,8 +57,8 @@
     /// Checks all of `document` and resolves its names.
     ///
     /// Whether it is accepted depends only on the document, so all nodes decide alike. `previous` only
-    /// preserves the indices of services: a service keeps its [`ServiceIx`] for the lifetime of the process, so that
-    /// requests that run under an older revision can share queues with newer ones.
+    /// preserves the indices of services: a service keeps its [`ServiceIx`] for the lifetime of the process,
+    /// so that requests that run under an older revision can share queues with newer ones.
     ///
     /// # Errors
     /// All errors of the document, not only the first.
--- a/crates/barleyspool_core/src/control/gossip.rs
+++ b/crates/barleyspool_core/src/control/gossip.rs
@@ -4,8 +4,8 @@
 use crate::{Gossip, Guard, LeavingTarget, PeerReply, Span, Time, rendezvous};
 use rand::seq::IteratorRandom;
 
-/// Nodes of a zone that watch the configuration service and the fleet list. The number is constant, so that the
-/// load on the platform does not grow with the fleet.
+/// Nodes of a zone that watch the configuration service and the fleet list. The number is constant, so that
+/// the load on the platform does not grow with the fleet.
 const READERS_PER_ZONE: usize = 2;
 /// Maximum number of leaving targets in one message.
 const MAX_LEAVING: usize = 64;
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -56,8 +56,8 @@
 
 const CONFIGURATION_CHART: &str = include_str!("../../../../charts/configuration.json");
 
-/// Range of the random delay after which a starting node that has received no fleet list from a peer reads the
-/// platform itself.
+/// Range of the random delay after which a starting node that has received no fleet list from a peer reads
+/// the platform itself.
 const FIRST_READ_DELAY: (Span, Span) = (Span::from_millis(100), Span::from_millis(1500));
 
 /// The control state of one entry node.
@@ -68,9 +68,11 @@
     chart: Chart<NodePhase, NodeEvent>,
     store: ConfigStore,
     fleet: Arc<Fleet>,
+    /// The targets that this node uses, rebuilt whenever the configuration or the state of a target changes.
     targets: Arc<Vec<PlanTarget>>,
     lease: Lease,
     peers: PeerTable,
+    /// Targets that reported their leaving, until the fleet list drops them or has a newer incarnation.
     leaving: BTreeSet<LeavingTarget>,
     /// End of the cooldown that an incarnation of a target requested from this node.
     cooldowns: BTreeMap<(TargetId, Incarnation), Time>,
@@ -80,7 +82,9 @@
     next_heartbeat_at: Time,
     /// The earliest time of the next read by a node that keeps no watch.
     next_read_at: Time,
+    /// When this node starts to read the platform if it still has no fleet list.
     first_read_at: Time,
+    /// When the planned stop began.
     stop_at: Option<Time>,
     /// Requests that the traffic threads have not finished.
     live_requests: usize,
--- a/crates/barleyspool_core/src/control/peers.rs
+++ b/crates/barleyspool_core/src/control/peers.rs
@@ -27,7 +27,7 @@
         /// A message was received.
         #[serde(rename = "Replied")]
         MessageReceived = "replied",
-        /// No message was received for [`MAX_MISSED_HEARTBEATS`] heartbeat intervals.
+        /// No message was received for more than [`MAX_MISSED_HEARTBEATS`] heartbeat intervals.
         #[serde(rename = "Silence")]
         TimedOut = "silence",
         /// The peer announced its planned stop.
@@ -115,7 +115,7 @@
         peer.gossip.clone_from(gossip);
     }
 
-    /// Marks the peers that have sent nothing for [`MAX_MISSED_HEARTBEATS`] heartbeat intervals.
+    /// Marks the peers that have sent nothing for more than 4 heartbeat intervals as unresponsive.
     pub fn mark_unresponsive(&mut self, now: Time, heartbeat_interval: Span) {
         for peer in self.peers.values_mut() {
             if now.since(peer.last_message_at).0 > heartbeat_interval.0 * MAX_MISSED_HEARTBEATS {
--- a/crates/barleyspool_core/src/control/settings.rs
+++ b/crates/barleyspool_core/src/control/settings.rs
@@ -27,8 +27,8 @@
     pub heartbeat_interval: Span,
     /// How long a starting node waits for a majority of its cell before it serves without one.
     pub startup_timeout: Span,
-    /// The age of the last known read of the configuration service after which a node without watches reads it
-    /// itself.
+    /// The age of the last known read of the configuration service after which a node without watches reads
+    /// it itself.
     pub max_read_age: Span,
     /// The number of peers outside its cell that a node gossips with per heartbeat interval.
     pub fanout: usize,
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Gossips at once, and reads the platform unless a read was recent, after a caller sent a newer revision.
+    /// Gossips at once after a caller sent a newer revision, and reads the platform if `next_read_at` has passed.
     pub(super) fn handle_newer_revision(&mut self, now: Time) {
         self.next_heartbeat_at = now;
         if now >= self.next_read_at {
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Reads the platform once; the next read follows after one to two times `max_read_age`, at random so that
-    /// nodes do not read in step.
+    /// Reads the platform once; the next read follows after one to two times `max_read_age`, at random so
+    /// that nodes do not read in step.
     pub(super) fn read_platform(&mut self, now: Time) {
         let jitter = self.random.random_range(0..=self.settings.max_read_age.0);
         self.next_read_at = now + self.settings.max_read_age + Span(jitter);
--- a/crates/barleyspool_core/tests/control.rs
+++ b/crates/barleyspool_core/tests/control.rs
@@ -1,6 +1,6 @@
-//! Configuration, leaving targets, starts and planned stops, on one control state; two or three are joined
-//! directly where the promise is about two nodes.
-#![allow(clippy::unwrap_used, clippy::panic, reason = "a proof stops where it fails")]
+//! Configuration, leaving targets, starts and planned stops of one control state. Tests of what spreads
+//! between nodes connect two control states directly.
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
 
@@ -22,11 +22,11 @@
     }
 }
 
-/// A control state with what it wanted done since it was last looked at.
+/// A control state with the actions that it has returned.
 struct Node {
     control: Control,
     plan: Option<Plan>,
-    asks: usize,
+    gossip_sent: usize,
     fetches: Vec<(Revision, Revision)>,
     exited: bool,
     reads: usize,
@@ -39,7 +39,7 @@
         Self {
             control,
             plan: None,
-            asks: 0,
+            gossip_sent: 0,
             fetches: Vec::new(),
             exited: false,
             reads: 0,
@@ -50,7 +50,7 @@
     fn step(&mut self, now: Time, event: ControlEvent) {
         for action in self.control.step(now, event) {
             match action {
-                ControlAction::SendGossip { .. } => self.asks += 1,
+                ControlAction::SendGossip { .. } => self.gossip_sent += 1,
                 ControlAction::FetchSnapshot { config, fleet, .. } => self.fetches.push((config, fleet)),
                 ControlAction::Watch(watching) => self.watching = watching,
                 ControlAction::ReadPlatform => self.reads += 1,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn read(&mut self, now: Time, document: ConfigDocument) {
+    fn read_config(&mut self, now: Time, document: ConfigDocument) {
         self.step(
             now,
             ControlEvent::ConfigRead {
@@ -69,7 +69,7 @@
         );
     }
 
-    fn list(&mut self, now: Time, fleet: Fleet) {
+    fn read_fleet(&mut self, now: Time, fleet: Fleet) {
         self.step(
             now,
             ControlEvent::FleetRead {
@@ -78,11 +78,11 @@
         );
     }
 
-    fn serving(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.control.phase() == NodePhase::Serving
     }
 
-    fn leaving(&self, id: u32) -> bool {
+    fn is_leaving(&self, id: u32) -> bool {
         let plan = self.plan.as_ref().unwrap();
         plan.targets
             .iter()
@@ -92,10 +92,10 @@
     }
 }
 
-/// `a` asks `b`, and fetches from it if it wants to.
-fn ask(now: Time, a: &mut Node, b: &mut Node) {
-    let question = question(now, a);
-    let reply = b.control.answer_gossip(now, &question);
+/// `a` gossips with `b`, and fetches a snapshot if `b` has something newer.
+fn exchange(now: Time, a: &mut Node, b: &mut Node) {
+    let gossip = gossip_of(now, a);
+    let reply = b.control.answer_gossip(now, &gossip);
     a.step(
         now,
         ControlEvent::PeerReplied {
@@ -114,8 +114,8 @@
     }
 }
 
-/// What a node says of itself when it asks.
-fn question(now: Time, node: &mut Node) -> Gossip {
+/// The gossip message of a node, taken from its reply to an unlisted node.
+fn gossip_of(now: Time, node: &mut Node) -> Gossip {
     node.control
         .answer_gossip(
             now,
@@ -127,22 +127,22 @@
         .gossip
 }
 
-fn three() -> Fleet {
+fn three_nodes() -> Fleet {
     with_targets(fleet(1, &[(1, &[1, 2, 3])]), 3, 4)
 }
 
-/// A node that has list and configuration, has heard its peers and serves.
-fn ready(id: u32, guards: Guards) -> Node {
+/// A node that has the fleet list and a configuration, has received replies of its peers and serves.
+fn serving_node(id: u32, guards: Guards) -> Node {
     let mut node = Node::new(id, guards);
-    node.list(START, three());
-    node.read(START, document(5));
+    node.read_fleet(START, three_nodes());
+    node.read_config(START, document(5));
     for peer in [1, 2, 3].into_iter().filter(|peer| *peer != id) {
         let mut peer = Node::new(peer, guards);
-        peer.list(START, three());
-        peer.read(START, document(5));
-        ask(START, &mut node, &mut peer);
+        peer.read_fleet(START, three_nodes());
+        peer.read_config(START, document(5));
+        exchange(START, &mut node, &mut peer);
     }
-    assert!(node.serving());
+    assert!(node.is_serving());
     node
 }
 
@@ -150,43 +150,43 @@
 // Configuration
 
 #[test]
-fn a_revision_only_moves_up() {
+fn the_configuration_revision_never_decreases() {
     let outcome = |guards| {
-        let mut node = ready(1, guards);
-        node.read(START, document(4));
-        node.read(START, document(3));
+        let mut node = serving_node(1, guards);
+        node.read_config(START, document(4));
+        node.read_config(START, document(3));
         node.control.revision()
     };
     assert_eq!(
         outcome(Guards::without(Guard::RevisionMonotonic)),
         Revision(3),
-        "without the guard it goes back"
+        "without the guard the revision decreases"
     );
     assert_eq!(outcome(Guards::default()), Revision(5));
 }
 
 #[test]
-fn a_bad_configuration_between_good_ones_changes_nothing() {
-    let mut bad = document(6);
-    bad.head.pipelines[0].stages[0].service = "nowhere".into();
-    bad.head.pipelines[1].deadline_ms = 0;
+fn an_invalid_configuration_between_valid_ones_is_rejected_whole() {
+    let mut invalid = document(6);
+    invalid.head.pipelines[0].stages[0].service = "nowhere".into();
+    invalid.head.pipelines[1].deadline_ms = 0;
     let outcome = |guards| {
-        let mut node = ready(1, guards);
-        node.read(START, bad.clone());
+        let mut node = serving_node(1, guards);
+        node.read_config(START, invalid.clone());
         let between = node.control.revision();
-        node.read(START, document(7));
+        node.read_config(START, document(7));
         (between, node.control.revision())
     };
     assert_eq!(
         outcome(Guards::without(Guard::ConfigAllOrNothing)).0,
         Revision(6),
-        "without the guard it is taken"
+        "without the guard the invalid revision is accepted"
     );
     assert_eq!(outcome(Guards::default()), (Revision(5), Revision(7)));
 
-    let faults = Config::from_document(&bad, None).unwrap_err();
-    let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert_eq!(texts.len(), 2, "both faults are reported: {texts:?}");
+    let errors = Config::from_document(&invalid, None).unwrap_err();
+    let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    assert_eq!(texts.len(), 2, "both errors are reported: {texts:?}");
     assert!(
         texts
             .iter()
@@ -199,63 +199,67 @@
     );
 }
 
-/// Two operators publish at once, one of them something faulty; in whatever order a node hears of it, it
-/// ends where all others end.
+/// Two operators publish at the same time, and one of their documents is invalid. Nodes receive the documents
+/// in different orders and must still end at the same revision.
 #[test]
-fn all_nodes_end_at_the_same_revision_whatever_they_hear_first() {
-    let mut bad = document(8);
-    bad.head.classes.clear();
-    let documents = [document(6), document(7), bad, document(9)];
+fn all_nodes_reach_the_same_revision_in_any_order_of_updates() {
+    let mut invalid = document(8);
+    invalid.head.classes.clear();
+    let documents = [document(6), document(7), invalid, document(9)];
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 0, 3, 1], [1, 3, 0, 2]] {
-        let mut node = ready(1, Guards::default());
+        let mut node = serving_node(1, Guards::default());
         for at in order {
-            node.read(START, documents[at].clone());
+            node.read_config(START, documents[at].clone());
         }
         assert_eq!(node.control.revision(), Revision(9), "order {order:?}");
     }
 }
 
-/// A node starts while the service is stale; its peers know better.
+/// The configuration service returns an old revision to a starting node, whose peers have a newer one.
 #[test]
-fn a_node_that_starts_with_a_stale_service_asks_its_peers_first() {
-    let served_under = |guards| {
-        let (mut node, mut peer) = (Node::new(1, guards), ready(2, Guards::default()));
-        let mut lowest = None;
-        node.list(START, three());
-        node.read(START, document(2));
+fn a_starting_node_with_a_stale_service_catches_up_from_its_peers_before_it_serves() {
+    let first_served_revision = |guards| {
+        let (mut node, mut peer) = (Node::new(1, guards), serving_node(2, Guards::default()));
+        let mut first = None;
+        node.read_fleet(START, three_nodes());
+        node.read_config(START, document(2));
         node.step(START + ms(10), ControlEvent::Tick);
-        if node.serving() {
-            lowest = Some(node.control.revision());
+        if node.is_serving() {
+            first = Some(node.control.revision());
         }
-        ask(START + ms(20), &mut node, &mut peer);
+        exchange(START + ms(20), &mut node, &mut peer);
         node.step(START + ms(4000), ControlEvent::Tick);
-        assert!(node.serving());
-        lowest.unwrap_or_else(|| node.control.revision())
+        assert!(node.is_serving());
+        first.unwrap_or_else(|| node.control.revision())
     };
     assert_eq!(
-        served_under(Guards::without(Guard::PeersBeforeServing)),
+        first_served_revision(Guards::without(Guard::PeersBeforeServing)),
         Revision(2),
-        "without the guard it serves an old one"
+        "without the guard it serves an old revision"
     );
-    assert_eq!(served_under(Guards::default()), Revision(5));
+    assert_eq!(first_served_revision(Guards::default()), Revision(5));
 }
 
 #[test]
-fn a_node_without_peers_waits_a_bounded_time_and_counts_it() {
+fn a_starting_node_without_peers_serves_after_the_startup_timeout() {
     let mut node = Node::new(1, Guards::default());
-    node.list(START, three());
-    node.read(START, document(2));
+    node.read_fleet(START, three_nodes());
+    node.read_config(START, document(2));
     node.step(START + ms(2900), ControlEvent::Tick);
-    assert!(!node.serving());
+    assert!(!node.is_serving());
     node.step(START + ms(3000), ControlEvent::Tick);
-    assert!(node.serving());
+    assert!(node.is_serving());
     assert_eq!(node.control.counters().starts_without_peers, 1);
 }
 
-/// A change reaches a node that does not read the service, with only the part that changed.
+/// A node that does not read the configuration service receives a change from a peer, which sends only the
+/// part that changed.
 #[test]
-fn a_change_spreads_by_peers_with_only_what_changed() {
-    let (mut a, mut b) = (ready(1, Guards::default()), ready(2, Guards::default()));
+fn a_change_spreads_through_peers_with_only_the_changed_parts() {
+    let (mut a, mut b) = (
+        serving_node(1, Guards::default()),
+        serving_node(2, Guards::default()),
+    );
     let mut change = document(6);
     change.head.parts.push(PartRef {
         key: "organisations/1".into(),
@@ -269,19 +273,19 @@
         revision: Revision(6),
         part: Arc::new(part),
     });
-    b.read(START, change);
+    b.read_config(START, change);
     let sent = b.control.snapshot(Revision(5), Revision(1)).document.unwrap();
     assert_eq!(sent.parts.len(), 1, "only the new part is sent");
-    ask(START + ms(1), &mut a, &mut b);
+    exchange(START + ms(1), &mut a, &mut b);
     assert_eq!(a.control.revision(), Revision(6));
     let config = a.control.store().config().unwrap();
     assert!(config.organisation("new").is_some() && config.organisation("small").is_some());
 }
 
-/// A document that lacks a part the node does not have either is not accepted, and nothing is lost.
+/// A document without a part that the node lacks too is not accepted; the old configuration stays in force.
 #[test]
 fn a_document_with_a_missing_part_is_not_accepted() {
-    let mut node = ready(1, Guards::default());
+    let mut node = serving_node(1, Guards::default());
     let mut change = document(6);
     change.head.parts[0].revision = Revision(6);
     let snapshot = Snapshot {
@@ -298,58 +302,62 @@
 }
 
 #[test]
-fn a_long_outage_of_the_service_changes_nothing() {
-    let mut node = ready(1, Guards::default());
+fn the_plan_stays_fresh_during_a_long_outage_of_the_configuration_service() {
+    let mut node = serving_node(1, Guards::default());
     for minute in 0..120 {
         let now = START + Span::from_secs(minute * 60);
         node.step(now, ControlEvent::ConfigFailed);
         let plan = node.plan.as_ref().unwrap();
         assert!(
             plan.fresh(now, ms(100)),
-            "the plan is vouched for without the service"
+            "the plan is refreshed without the service"
         );
         assert_eq!(node.control.revision(), Revision(5));
     }
 }
 
-/// Few nodes of a zone read the platform, however many there are.
+/// Two nodes of each zone watch the platform, whatever the size of the fleet.
 #[test]
-fn readers_do_not_grow_with_the_fleet() {
+fn the_number_of_platform_readers_does_not_grow_with_the_fleet() {
     for size in [9_u32, 40, 200] {
         let ids: Vec<u32> = (1..=size).collect();
         let list = fleet(1, &[(1, &ids)]);
         let readers = ids.iter().filter(|id| {
             let mut node = Node::new(**id, Guards::default());
-            node.list(START, list.clone());
+            node.read_fleet(START, list.clone());
             node.watching
         });
-        assert_eq!(readers.count(), 6, "two in each of three zones, of {size} nodes");
+        assert_eq!(
+            readers.count(),
+            6,
+            "two in each of three zones, of {size} nodes in all"
+        );
     }
 }
 
-/// A node that starts waits a moment for its peers before it reads the platform; found when nine nodes that
-/// started together each read at once.
+/// A starting node delays its first read of the platform so that a peer can send it the fleet list first.
+/// Without the delay, nine nodes that started together each read at once.
 #[test]
-fn a_starting_node_gives_its_peers_a_moment_before_it_reads() {
-    let mut at_once = 0;
+fn a_starting_node_waits_for_its_peers_before_it_reads_the_platform() {
+    let mut early_reads = 0;
     for id in 1..=40 {
         let mut node = Node::new(id, Guards::default());
         node.step(START + ms(90), ControlEvent::Tick);
-        at_once += usize::from(node.reads > 0 || node.watching);
+        early_reads += usize::from(node.reads > 0 || node.watching);
         node.step(START + ms(2100), ControlEvent::Tick);
-        assert!(node.watching, "with no peer to tell it, it reads for itself");
+        assert!(node.watching, "without peers it watches the platform itself");
     }
-    assert_eq!(at_once, 0);
+    assert_eq!(early_reads, 0);
 }
 
-/// When nobody has read for long, nodes read for themselves, spread out and seldom.
+/// When no node has read the platform for `max_read_age`, a node without watches reads it, at a limited rate.
 #[test]
-fn a_node_reads_for_itself_when_nobody_has() {
+fn a_node_without_watches_reads_the_platform_when_no_peer_has() {
     let ids: Vec<u32> = (1..=40).collect();
     let mut node = (1..=40)
         .map(|id| {
             let mut node = Node::new(id, Guards::default());
-            node.list(START, fleet(1, &[(1, &ids)]));
+            node.read_fleet(START, fleet(1, &[(1, &ids)]));
             node
         })
         .find(|node| !node.watching)
@@ -357,21 +365,21 @@
     for second in 0..60 {
         node.step(START + Span::from_secs(second), ControlEvent::Tick);
     }
-    // One read per read age at the most, the first within it.
-    let most = 60_000 / ControlSettings::default().max_read_age.as_millis() as usize + 1;
+    // At most one read per `max_read_age`, and the first within it.
+    let max_reads = 60_000 / ControlSettings::default().max_read_age.as_millis() as usize + 1;
     assert!(
-        (1..=most).contains(&node.reads),
+        (1..=max_reads).contains(&node.reads),
         "{} reads in a minute",
         node.reads
     );
 }
 
 #[test]
-fn a_faulty_list_is_refused_whole() {
-    let mut node = ready(1, Guards::default());
+fn an_invalid_fleet_list_is_rejected_whole() {
+    let mut node = serving_node(1, Guards::default());
     let mut list = fleet(9, &[(7, &[1, 2]), (5, &[1])]);
     list.targets.clear();
-    node.list(START, list);
+    node.read_fleet(START, list);
     assert_eq!(node.control.fleet().revision, Revision(1));
     assert_eq!(node.control.counters().invalid_fleet_lists, 1);
 }
@@ -379,30 +387,30 @@
 // ----------------------------------------------------------------------------
 // Leaving targets
 
-/// What one node learns from a target's own word, others learn from it, before any list says so.
+/// A target's report that it is leaving spreads through gossip before the fleet list shows it.
 #[test]
-fn the_word_of_a_leaving_target_spreads_to_peers() {
-    let knows = |guards| {
-        let (mut a, mut b) = (ready(1, guards), ready(2, guards));
-        let told = LeavingTarget {
+fn the_report_of_a_leaving_target_spreads_to_peers() {
+    let peer_learns = |guards| {
+        let (mut a, mut b) = (serving_node(1, guards), serving_node(2, guards));
+        let target = LeavingTarget {
             target: TargetId(1),
             incarnation: Incarnation(1),
         };
-        b.step(START, ControlEvent::ReportedLeaving(told));
-        assert!(b.leaving(1));
-        ask(START + ms(500), &mut a, &mut b);
-        a.leaving(1)
+        b.step(START, ControlEvent::ReportedLeaving(target));
+        assert!(b.is_leaving(1));
+        exchange(START + ms(500), &mut a, &mut b);
+        a.is_leaving(1)
     };
     assert!(
-        !knows(Guards::without(Guard::LeavingGossip)),
-        "without the guard nobody is told"
+        !peer_learns(Guards::without(Guard::LeavingGossip)),
+        "without the guard peers are not notified"
     );
-    assert!(knows(Guards::default()));
+    assert!(peer_learns(Guards::default()));
 }
 
 #[test]
-fn leaving_is_forgotten_when_a_newer_run_is_listed_and_not_before() {
-    let mut node = ready(1, Guards::default());
+fn a_target_stays_leaving_until_a_newer_incarnation_is_listed() {
+    let mut node = serving_node(1, Guards::default());
     node.step(
         START,
         ControlEvent::ReportedLeaving(LeavingTarget {
@@ -410,12 +418,12 @@
             incarnation: Incarnation(1),
         }),
     );
-    let mut list = three();
+    let mut list = three_nodes();
     list.revision = Revision(2);
-    node.list(START, list.clone());
+    node.read_fleet(START, list.clone());
     assert!(
-        node.leaving(1),
-        "a lagging list that shows it live does not bring it back"
+        node.is_leaving(1),
+        "an outdated list that shows it as live does not bring it back"
     );
     list.revision = Revision(3);
     list.targets
@@ -423,73 +431,79 @@
         .find(|target| target.id == TargetId(1))
         .unwrap()
         .incarnation = Incarnation(2);
-    node.list(START, list);
-    assert!(!node.leaving(1));
+    node.read_fleet(START, list);
+    assert!(!node.is_leaving(1));
 }
 
 #[test]
-fn a_list_that_says_leaving_is_heard() {
-    let mut node = ready(1, Guards::default());
-    let mut list = three();
+fn a_target_that_the_fleet_list_marks_as_leaving_is_leaving() {
+    let mut node = serving_node(1, Guards::default());
+    let mut list = three_nodes();
     list.revision = Revision(2);
     list.targets
         .iter_mut()
         .find(|target| target.id == TargetId(2))
         .unwrap()
         .state = ListState::Leaving;
-    node.list(START, list);
-    assert!(node.leaving(2) && !node.leaving(1));
+    node.read_fleet(START, list);
+    assert!(node.is_leaving(2) && !node.is_leaving(1));
 }
 
 // ----------------------------------------------------------------------------
 // The planned stop
 
 #[test]
-fn a_stopping_node_stays_until_nothing_runs_and_no_caller_holds_its_address() {
-    let left_at = |guards| {
-        let mut node = ready(1, guards);
+fn a_stopping_node_exits_when_no_request_is_live_and_its_address_has_expired() {
+    let exited_after = |guards| {
+        let mut node = serving_node(1, guards);
         node.step(START, ControlEvent::LiveRequests(3));
         node.step(START, ControlEvent::Stop);
         let mut at = START;
         while !node.exited {
             at = at + ms(100);
             let live = usize::from(at < START + ms(7000));
-            // A second signal, and a cut from all peers, change nothing.
+            // A second stop signal and the loss of all peers change nothing.
             node.step(at, ControlEvent::Stop);
             node.step(at, ControlEvent::LiveRequests(live));
         }
         at.since(START)
     };
     assert!(
-        left_at(Guards::without(Guard::DrainBeforeStop)) < ms(7000),
-        "without the guard it cuts off what runs"
+        exited_after(Guards::without(Guard::DrainBeforeStop)) < ms(7000),
+        "without the guard it aborts live requests"
     );
-    assert_eq!(left_at(Guards::default()), ms(7000));
+    assert_eq!(exited_after(Guards::default()), ms(7000));
 }
 
 #[test]
-fn a_stopping_node_tells_callers_and_peers_and_names_others() {
-    let (mut a, mut b) = (ready(1, Guards::default()), ready(2, Guards::default()));
+fn a_stopping_node_and_its_peers_redirect_callers_to_other_nodes() {
+    let (mut a, mut b) = (
+        serving_node(1, Guards::default()),
+        serving_node(2, Guards::default()),
+    );
     b.step(START, ControlEvent::Stop);
-    let named = |node: &Node| -> Vec<NodeId> {
+    let redirect_ids = |node: &Node| -> Vec<NodeId> {
         let plan = node.plan.as_ref().unwrap();
         plan.addresses("z1", None, 7).iter().map(|peer| peer.id).collect()
     };
     assert!(
-        !named(&b).contains(&NodeId(2)),
-        "it does not name itself any more"
+        !redirect_ids(&b).contains(&NodeId(2)),
+        "it does not redirect callers to itself"
     );
-    ask(START + ms(500), &mut a, &mut b);
+    exchange(START + ms(500), &mut a, &mut b);
     a.step(START + ms(501), ControlEvent::Tick);
     a.step(START + ms(1100), ControlEvent::Tick);
-    assert!(!named(&a).contains(&NodeId(2)), "nor do its peers name it");
-    assert!(named(&a).contains(&NodeId(1)));
+    assert!(
+        !redirect_ids(&a).contains(&NodeId(2)),
+        "nor do its peers redirect callers to it"
+    );
+    assert!(redirect_ids(&a).contains(&NodeId(1)));
 }
 
-/// Nodes with other lease rules do not vouch for each other.
+/// Votes between nodes with different lease rules would not be safe, so none are given.
 #[test]
-fn words_between_nodes_with_other_rules_do_not_count() {
-    let mut node = ready(1, Guards::default());
+fn a_node_gives_no_vote_to_a_peer_with_different_lease_rules() {
+    let mut node = serving_node(1, Guards::default());
     let rules = LeaseRules {
         horizon: ms(1),
         ..LeaseRules::default()
