--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -1,14 +1,14 @@
-//! Every fault at every step of a request, in pairs, for repeatable and unrepeatable work, on one router
-//! whose targets are scripted at its interface. Virtual time, no random choices but seeded ones.
+//! Injects pairs of faults at every step of a request, for repeatable and unrepeatable work, into one router
+//! with scripted targets. Time is virtual and random choices are seeded, so that every run is the same.
 //!
-//! Each cell is judged by what the scripted targets truly ran. Then each guard is taken out in turn, and the
-//! same cells have to find it missing.
+//! Each cell of the matrix is checked against what the scripted targets actually ran. Then the guards are
+//! disabled one at a time, and some cell must fail without each of them.
 
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
     clippy::print_stdout,
-    reason = "a proof stops where it fails, and says what it covered"
+    reason = "a test fails by panicking, and prints what it covered"
 )]
 
 mod support;
@@ -17,49 +17,49 @@
 use std::sync::Arc;
 use support::*;
 
-/// What goes wrong with one send of a step.
+/// The fault that one send of a step meets.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 enum Fault {
     None,
     Refused,
     RefusedLeaving,
     Unreachable,
-    /// The connection breaks and the step ran.
-    BrokenRan,
-    /// The connection breaks and the step did not run; nobody can tell.
-    BrokenNotRun,
-    /// A stream breaks after its first half.
-    BrokenHalfway,
-    /// A stream leaves out a piece.
-    Gap,
-    /// An end marker comes before the end.
+    /// The connection breaks after the step ran.
+    BrokenAfterRun,
+    /// The connection breaks and the step did not run, which the router cannot know.
+    BrokenBeforeRun,
+    /// The stream breaks after its first half.
+    BrokenMidStream,
+    /// The stream skips some bytes.
+    StreamGap,
+    /// The end of the stream is reported before all of it was sent.
     EarlyEnd,
-    /// Another request's answer comes on this one's connection.
-    AlienAnswer,
-    /// Another request's part comes on this one's connection.
-    AlienPart,
-    /// The answer comes, and then comes again.
-    Twice,
-    /// Nothing ever comes.
+    /// The answer to another request arrives on the connection of this one.
+    ForeignAnswer,
+    /// A part of another attempt's stream arrives on the connection of this one.
+    ForeignPart,
+    /// The answer arrives twice.
+    DuplicateAnswer,
+    /// The step runs, and no answer ever arrives.
     Hang,
-    /// The answer comes after the deadline.
-    Late,
-    /// The process sleeps, less long than the deadline.
-    ShortSleep,
-    /// The process sleeps through the deadline.
-    LongSleep,
-    /// The control thread hangs, and the process goes on.
+    /// The answer arrives after the deadline.
+    LateAnswer,
+    /// The router's process is suspended, and resumes before the deadline.
+    ShortPause,
+    /// The router's process is suspended until after the deadline.
+    LongPause,
+    /// The control thread hangs, and the traffic threads run on with an old plan.
     StalePlan,
-    /// A new configuration without this pipeline comes into force.
+    /// A new configuration takes effect that does not define this pipeline.
     NewConfig,
-    /// The target goes off the list while it works.
-    OffList,
-    /// A planned stop begins.
-    Stop,
-    /// The same request is sent again to this node while it runs.
-    Repeat,
-    /// The caller goes away.
-    CallerLeaves,
+    /// The target is removed from the fleet list while the step runs.
+    Unlisted,
+    /// A planned stop of the node begins.
+    PlannedStop,
+    /// The caller sends the same request to this node again while it runs.
+    Resend,
+    /// The caller disconnects.
+    CallerDisconnects,
 }
 
 use Fault::*;
@@ -68,27 +68,27 @@
     Refused,
     RefusedLeaving,
     Unreachable,
-    BrokenRan,
-    BrokenNotRun,
-    BrokenHalfway,
-    Gap,
+    BrokenAfterRun,
+    BrokenBeforeRun,
+    BrokenMidStream,
+    StreamGap,
     EarlyEnd,
-    AlienAnswer,
-    AlienPart,
-    Twice,
+    ForeignAnswer,
+    ForeignPart,
+    DuplicateAnswer,
     Hang,
-    Late,
-    ShortSleep,
-    LongSleep,
+    LateAnswer,
+    ShortPause,
+    LongPause,
     StalePlan,
     NewConfig,
-    OffList,
-    Stop,
-    Repeat,
-    CallerLeaves,
+    Unlisted,
+    PlannedStop,
+    Resend,
+    CallerDisconnects,
 ];
 
-/// What is asked.
+/// The kind of request.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 enum Kind {
     Repeatable,
@@ -100,9 +100,9 @@
 const KINDS: [Kind; 3] = [Kind::Repeatable, Kind::Unrepeatable, Kind::UnrepeatableStage];
 const STEPS: u8 = 4;
 
-/// One cell: at `step` the first send meets `first`, the second `second`.
+/// One cell of the matrix: at `step` the first send meets the fault `first`, the second `second`.
 #[derive(Copy, Clone, Debug)]
-struct Cell {
+struct MatrixCell {
     kind: Kind,
     earlier: Earlier,
     step: u8,
@@ -110,14 +110,14 @@
     second: Fault,
 }
 
-fn cells() -> impl Iterator<Item = Cell> {
+fn cells() -> impl Iterator<Item = MatrixCell> {
     KINDS.into_iter().flat_map(|kind| {
         [Earlier::None, Earlier::Uncertain]
             .into_iter()
             .flat_map(move |earlier| {
                 (0..STEPS).flat_map(move |step| {
                     FAULTS.into_iter().flat_map(move |first| {
-                        FAULTS.into_iter().map(move |second| Cell {
+                        FAULTS.into_iter().map(move |second| MatrixCell {
                             kind,
                             earlier,
                             step,
@@ -130,23 +130,23 @@
     })
 }
 
-/// A run of a step, as its target knows it.
-struct Truth {
+/// A step that a scripted target ran.
+struct StepRun {
     step: u8,
     repeatable: bool,
 }
 
-struct Run {
+struct CellRun {
     bench: Bench,
-    cell: Cell,
+    cell: MatrixCell,
     callers: Vec<CallerId>,
     call: Call,
-    truth: Vec<Truth>,
+    step_runs: Vec<StepRun>,
     sends: u32,
 }
 
-impl Run {
-    fn new(cell: Cell, guards: Guards) -> Self {
+impl CellRun {
+    fn new(cell: MatrixCell, guards: Guards) -> Self {
         let mut call = call("mine");
         call.unrepeatable = cell.kind == Kind::Unrepeatable;
         call.earlier = cell.earlier;
@@ -160,7 +160,7 @@
             cell,
             callers: vec![caller],
             call,
-            truth: Vec::new(),
+            step_runs: Vec::new(),
             sends: 0,
         }
     }
@@ -172,32 +172,32 @@
         }
     }
 
-    fn ended(&self) -> bool {
+    fn all_ended(&self) -> bool {
         self.callers
             .iter()
             .all(|caller| !self.bench.callers[caller].outcomes.is_empty())
     }
 
-    /// Plays the cell until every caller has its outcome, or well past the deadline.
+    /// Runs the cell until every caller has its outcome, at most until 3 s after the deadline.
     fn play(&mut self) {
         let end = self.call.deadline + ms(3000);
-        while !self.ended() && self.bench.now < end {
+        while !self.all_ended() && self.bench.now < end {
             match self.bench.sent.pop() {
-                Some((attempt, order)) => self.serve(attempt, &order),
+                Some((attempt, order)) => self.handle_send(attempt, &order),
                 Option::None => self.bench.pass(ms(20)),
             }
         }
     }
 
-    fn ran(&mut self, order: &StepOrder) {
-        self.truth.push(Truth {
+    fn record_run(&mut self, order: &StepOrder) {
+        self.step_runs.push(StepRun {
             step: order.echo.step,
             repeatable: order.repeatable,
         });
     }
 
-    /// One send: the fault of the cell if it is the cell's step, a good answer else.
-    fn serve(&mut self, attempt: AttemptId, order: &StepOrder) {
+    /// Handles one send: injects the cell's fault if it belongs to the cell's step, otherwise answers it.
+    fn handle_send(&mut self, attempt: AttemptId, order: &StepOrder) {
         self.bench.pass(ms(5));
         let fault = if order.echo.step != self.cell.step {
             None
@@ -209,15 +209,15 @@
                 _ => None,
             }
         };
-        self.fault(fault, attempt, order);
+        self.inject(fault, attempt, order);
     }
 
-    fn good(&mut self, attempt: AttemptId, order: &StepOrder) {
-        self.ran(order);
+    fn run_and_answer(&mut self, attempt: AttemptId, order: &StepOrder) {
+        self.record_run(order);
         self.bench.answer(attempt, order);
     }
 
-    fn half(&mut self, attempt: AttemptId, order: &StepOrder) {
+    fn send_half(&mut self, attempt: AttemptId, order: &StepOrder) {
         let output = output_of(order);
         let from = order.so_far.len().min(output.len());
         let middle = from + (output.len() - from) / 2;
@@ -232,10 +232,10 @@
         }
     }
 
-    fn fault(&mut self, fault: Fault, attempt: AttemptId, order: &StepOrder) {
+    fn inject(&mut self, fault: Fault, attempt: AttemptId, order: &StepOrder) {
         let echo = Some(order.echo);
         match fault {
-            None => self.good(attempt, order),
+            None => self.run_and_answer(attempt, order),
             Refused => self.bench.end(
                 attempt,
                 echo,
@@ -258,18 +258,18 @@
                 });
             }
             Unreachable => self.bench.end(attempt, Option::None, AttemptEnd::Unreachable),
-            BrokenRan => {
-                self.ran(order);
+            BrokenAfterRun => {
+                self.record_run(order);
                 self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff);
             }
-            BrokenNotRun => self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff),
-            BrokenHalfway => {
-                self.ran(order);
-                self.half(attempt, order);
+            BrokenBeforeRun => self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff),
+            BrokenMidStream => {
+                self.record_run(order);
+                self.send_half(attempt, order);
                 self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff);
             }
-            Gap => {
-                self.ran(order);
+            StreamGap => {
+                self.record_run(order);
                 let output = output_of(order);
                 let offset = (order.so_far.len() + 2).min(output.len()) as u64;
                 let data = Arc::from(&output[offset as usize..]);
@@ -282,65 +282,65 @@
                 self.bench.end(attempt, echo, done(output.len() as u64));
             }
             EarlyEnd => {
-                self.ran(order);
-                self.half(attempt, order);
+                self.record_run(order);
+                self.send_half(attempt, order);
                 self.bench.end(attempt, echo, done(output_of(order).len() as u64));
             }
-            AlienAnswer => {
-                self.ran(order);
-                let alien = Echo {
+            ForeignAnswer => {
+                self.record_run(order);
+                let foreign = Echo {
                     request: order.echo.request + 1,
                     ..order.echo
                 };
                 let output: Payload = Arc::from(b"alien".as_slice());
                 self.bench
-                    .end(attempt, Some(alien), AttemptEnd::Done { output, length: 5 });
+                    .end(attempt, Some(foreign), AttemptEnd::Done { output, length: 5 });
             }
-            AlienPart => {
-                self.ran(order);
-                let alien = Echo {
+            ForeignPart => {
+                self.record_run(order);
+                let foreign = Echo {
                     attempt: order.echo.attempt + 7,
                     ..order.echo
                 };
                 let (offset, data) = (order.so_far.len() as u64, Arc::from(b"alien".as_slice()));
                 self.bench.step(TrafficEvent::Part {
                     attempt,
-                    echo: alien,
+                    echo: foreign,
                     offset,
                     data,
                 });
                 self.bench.end(attempt, echo, done(offset + 5));
             }
-            Twice => {
-                self.good(attempt, order);
+            DuplicateAnswer => {
+                self.run_and_answer(attempt, order);
                 self.bench.answer(attempt, order);
             }
-            Hang => self.ran(order),
-            Late => {
-                self.ran(order);
-                let left = self.call.deadline.since(self.bench.now);
-                self.bench.pass(left + ms(50));
+            Hang => self.record_run(order),
+            LateAnswer => {
+                self.record_run(order);
+                let time_left = self.call.deadline.since(self.bench.now);
+                self.bench.pass(time_left + ms(50));
                 self.bench.answer(attempt, order);
             }
-            ShortSleep => {
+            ShortPause => {
                 self.bench.sleep(ms(100));
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
                 self.bench.refresh_plan();
             }
-            LongSleep => {
+            LongPause => {
                 self.bench.sleep(ms(4000));
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
                 self.bench.refresh_plan();
             }
             StalePlan => {
-                // The answer comes in when the plan has not been vouched for for too long.
+                // The answer arrives when the plan has not been refreshed for too long.
                 let plan = Plan {
                     made: self.bench.now - ms(10_000),
                     ..Plan::clone(self.bench.router.plan())
                 };
                 self.bench.take_plan(plan);
                 let before = self.bench.sent.len();
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
                 assert!(
                     self.bench.sent.len() == before || !self.bench.router.plan().fresh(self.bench.now, ms(0))
                 );
@@ -355,45 +355,45 @@
                     config: Some(Arc::new(config)),
                     ..plan
                 });
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
             }
-            OffList => {
+            Unlisted => {
                 let plan = Plan::clone(self.bench.router.plan());
-                let rest = plan
+                let remaining = plan
                     .targets
                     .iter()
                     .filter(|target| target.id != order.target)
                     .cloned()
                     .collect();
                 self.bench.take_plan(Plan {
-                    targets: Arc::new(rest),
+                    targets: Arc::new(remaining),
                     ..plan
                 });
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
             }
-            Stop => {
+            PlannedStop => {
                 let plan = Plan {
                     serving: Serving::Stopping,
                     ..Plan::clone(self.bench.router.plan())
                 };
                 self.bench.take_plan(plan);
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
             }
-            Repeat => {
+            Resend => {
                 let again = Call {
                     earlier: Earlier::Uncertain,
                     ..self.call.clone()
                 };
                 let caller = self.bench.arrive(again);
                 self.callers.push(caller);
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
             }
-            CallerLeaves => {
+            CallerDisconnects => {
                 let caller = self.callers[0];
                 self.bench.step(TrafficEvent::CallerLeft { caller });
-                // Nobody listens: the outcome is the caller's own doing, and only the books must balance.
-                let heard = self.bench.callers.get_mut(&caller).unwrap();
-                if heard.outcomes.is_empty() {
+                // No caller is left to receive an outcome, so only the accounting of the router is checked.
+                let received = self.bench.callers.get_mut(&caller).unwrap();
+                if received.outcomes.is_empty() {
                     let refusal = Refusal {
                         reason: Reason::CallerLeft,
                         verdict: Verdict::Unknown,
@@ -401,98 +401,99 @@
                         peer: Option::None,
                         come_back: Span::ZERO,
                     };
-                    heard.outcomes.push(Outcome::Refused(refusal));
-                    heard.at = self.bench.now;
+                    received.outcomes.push(Outcome::Refused(refusal));
+                    received.at = self.bench.now;
                 }
-                self.good(attempt, order);
+                self.run_and_answer(attempt, order);
             }
         }
     }
 
     // ------------------------------------------------------------------------
-    // Judging
+    // Checks
 
-    fn judge(&mut self) -> Result<(), String> {
+    fn check(&mut self) -> Result<(), String> {
         for caller in self.callers.clone() {
-            self.judge_caller(caller)?;
+            self.check_caller(caller)?;
         }
-        self.judge_runs()?;
+        self.check_step_runs()?;
         if self.cell.kind != Kind::Repeatable {
-            self.judge_repeat()?;
+            self.check_resend()?;
         }
-        // Nothing is left over once the callers are gone.
+        // All state is released once the callers have their outcomes.
         self.bench.pass(ms(4000));
         let router = &self.bench.router;
         let in_flight: u32 = router.targets().map(|target| target.in_flight).sum();
-        let left = (
+        let remaining = (
             router.live_requests(),
             router.waiting_steps(),
             in_flight,
             router.active_organisations(),
         );
-        if left != (0, 0, 0, 0) {
-            return Err(format!("left over: {left:?}"));
+        if remaining != (0, 0, 0, 0) {
+            return Err(format!("not released: {remaining:?}"));
         }
         if router.counters().get(Counter::Wasted(ServiceIx(0)))
             > router.counters().get(Counter::Spent(ServiceIx(0)))
         {
-            return Err("more was wasted than spent".into());
+            return Err("more time was wasted than spent".into());
         }
         Ok(())
     }
 
-    fn judge_caller(&self, caller: CallerId) -> Result<(), String> {
-        let heard = &self.bench.callers[&caller];
-        let [outcome] = heard.outcomes.as_slice() else {
-            return Err(format!("{} outcomes", heard.outcomes.len()));
+    fn check_caller(&self, caller: CallerId) -> Result<(), String> {
+        let received = &self.bench.callers[&caller];
+        let [outcome] = received.outcomes.as_slice() else {
+            return Err(format!("{} outcomes", received.outcomes.len()));
         };
-        let slept = [self.cell.first, self.cell.second].contains(&LongSleep);
-        if heard.at > self.call.deadline + ms(100) && !slept {
-            return Err("the outcome came long after the deadline".into());
+        let paused = [self.cell.first, self.cell.second].contains(&LongPause);
+        if received.at > self.call.deadline + ms(100) && !paused {
+            return Err("the outcome arrived long after the deadline".into());
         }
-        if heard.gap {
-            return Err("a part left a gap".into());
+        if received.gap {
+            return Err("the answer stream has a gap".into());
         }
-        let whole = whole_answer(&self.stages(), "mine");
+        let expected = whole_answer(&self.stages(), "mine");
         match outcome.verdict() {
-            Verdict::Complete if heard.bytes != whole => Err(format!(
-                "not its own answer: {}",
-                String::from_utf8_lossy(&heard.bytes)
+            Verdict::Complete if received.bytes != expected => Err(format!(
+                "the answer is not that of the request: {}",
+                String::from_utf8_lossy(&received.bytes)
             )),
-            Verdict::NotRun if !self.truth.is_empty() => Err("said not run, and it ran".into()),
-            // The truth of an earlier send is not known here: nobody but the settled home may say it.
+            Verdict::NotRun if !self.step_runs.is_empty() => Err("not run, but a step ran".into()),
+            // This router cannot know whether an earlier send ran: only the home node can, once its takeover
+            // wait is over.
             Verdict::NotRun
                 if self.cell.kind == Kind::Repeatable && self.cell.earlier == Earlier::Uncertain =>
             {
-                Err("said not run to a caller that was unsure".into())
+                Err("the verdict is not run for a caller with an uncertain earlier send".into())
             }
             Verdict::Complete | Verdict::NotRun => Ok(()),
-            Verdict::Unknown if whole.starts_with(&heard.bytes) => Ok(()),
-            Verdict::Unknown => Err("passed on what is not its own".into()),
+            Verdict::Unknown if expected.starts_with(&received.bytes) => Ok(()),
+            Verdict::Unknown => Err("a part is not of the answer to the request".into()),
         }
     }
 
-    fn judge_runs(&self) -> Result<(), String> {
+    fn check_step_runs(&self) -> Result<(), String> {
         for step in 0..STEPS {
-            let once = self
-                .truth
+            let count = self
+                .step_runs
                 .iter()
                 .filter(|run| run.step == step && !run.repeatable)
                 .count();
-            if once > 1 {
-                return Err(format!("unrepeatable step {step} ran {once} times"));
+            if count > 1 {
+                return Err(format!("unrepeatable step {step} ran {count} times"));
             }
         }
         Ok(())
     }
 
-    /// A repeat of an unrepeatable key is never run beside the first: it hears what the first heard.
-    fn judge_repeat(&mut self) -> Result<(), String> {
+    /// A resent unrepeatable request never runs beside the first: it receives the outcome of the first.
+    fn check_resend(&mut self) -> Result<(), String> {
         if self.bench.now >= self.call.deadline {
             return Ok(());
         }
         let first = self.callers[0];
-        let left = [self.cell.first, self.cell.second].contains(&CallerLeaves);
+        let disconnected = [self.cell.first, self.cell.second].contains(&CallerDisconnects);
         let again = Call {
             earlier: Earlier::Uncertain,
             ..self.call.clone()
@@ -500,48 +501,48 @@
         let caller = self.bench.arrive(again);
         self.callers.push(caller);
         self.play();
-        self.judge_runs()?;
-        let heard = |caller| {
+        self.check_step_runs()?;
+        let received = |caller| {
             (
                 &self.bench.callers[&caller].bytes,
                 self.bench.outcome(caller).map(Outcome::verdict),
             )
         };
-        let (bytes, verdict) = heard(first);
+        let (bytes, verdict) = received(first);
         match verdict {
-            Some(Verdict::Complete) if heard(caller) != (bytes, verdict) => {
-                Err("a repeat heard something else than the first".into())
+            Some(Verdict::Complete) if received(caller) != (bytes, verdict) => {
+                Err("the resent request received another answer than the first".into())
             }
-            Some(Verdict::Unknown) if !left && heard(caller).1 != verdict => {
-                Err("a repeat was not told that the first may have run".into())
+            Some(Verdict::Unknown) if !disconnected && received(caller).1 != verdict => {
+                Err("the resent request was not notified that the first may have run".into())
             }
-            _ => self.judge_caller(caller),
+            _ => self.check_caller(caller),
         }
     }
 }
 
-fn run(cell: Cell, guards: Guards) -> Result<(), String> {
-    let mut run = Run::new(cell, guards);
+fn run_cell(cell: MatrixCell, guards: Guards) -> Result<(), String> {
+    let mut run = CellRun::new(cell, guards);
     run.play();
-    run.judge()
+    run.check()
 }
 
-/// The first cell that fails, with why, and how many there are.
-fn search(guards: Guards) -> (usize, Vec<(Cell, String)>) {
+/// Runs all cells; returns their number and the cells that failed, with the error.
+fn run_all(guards: Guards) -> (usize, Vec<(MatrixCell, String)>) {
     let mut failures = Vec::new();
     let mut count = 0;
     for cell in cells() {
         count += 1;
-        if let Err(why) = run(cell, guards) {
-            failures.push((cell, why));
+        if let Err(error) = run_cell(cell, guards) {
+            failures.push((cell, error));
         }
     }
     (count, failures)
 }
 
 #[test]
-fn every_fault_at_every_step_keeps_the_promises() {
-    let (count, failures) = search(Guards::default());
+fn all_guarantees_hold_for_every_pair_of_faults_at_every_step() {
+    let (count, failures) = run_all(Guards::default());
     println!("fault matrix: {count} cells, {} failed", failures.len());
     assert!(
         failures.is_empty(),
@@ -551,44 +552,44 @@
     );
 }
 
-/// Takes a guard out and demands that the matrix notices.
-fn is_needed(guard: Guard) {
-    let (_, failures) = search(Guards::without(guard));
-    let Some((cell, why)) = failures.first() else {
-        panic!("without {guard:?} no cell fails: the matrix does not show that it is needed");
+/// Disables a guard and asserts that some cell of the matrix fails without it.
+fn assert_guard_is_needed(guard: Guard) {
+    let (_, failures) = run_all(Guards::without(guard));
+    let Some((cell, error)) = failures.first() else {
+        panic!("without {guard:?} no cell fails: the matrix does not cover this guard");
     };
     println!(
-        "without {guard:?}: {} cells fail; the first: {cell:?}: {why}",
+        "without {guard:?}: {} cells fail; the first: {cell:?}: {error}",
         failures.len()
     );
 }
 
 #[test]
-fn the_matrix_needs_answers_matched_to_their_attempt() {
-    is_needed(Guard::EchoMatch);
+fn the_matrix_fails_if_answers_are_not_matched_to_their_attempt() {
+    assert_guard_is_needed(Guard::EchoMatch);
 }
 
 #[test]
-fn the_matrix_needs_unknown_to_be_final_for_unrepeatable_steps() {
-    is_needed(Guard::NoUnsafeRetry);
+fn the_matrix_fails_if_unrepeatable_steps_are_retried_after_an_unknown_outcome() {
+    assert_guard_is_needed(Guard::NoUnsafeRetry);
 }
 
 #[test]
-fn the_matrix_needs_not_run_to_speak_of_the_whole_request() {
-    is_needed(Guard::NotRunProven);
+fn the_matrix_fails_if_not_run_does_not_cover_the_whole_request() {
+    assert_guard_is_needed(Guard::NotRunProven);
 }
 
 #[test]
-fn the_matrix_needs_part_offsets() {
-    is_needed(Guard::NoStreamGap);
+fn the_matrix_fails_without_checks_of_part_offsets() {
+    assert_guard_is_needed(Guard::NoStreamGap);
 }
 
 #[test]
-fn the_matrix_needs_the_length_at_the_end() {
-    is_needed(Guard::StreamLength);
+fn the_matrix_fails_without_checks_of_the_stream_length() {
+    assert_guard_is_needed(Guard::StreamLength);
 }
 
 #[test]
-fn the_matrix_needs_the_memory_of_keys() {
-    is_needed(Guard::KeyMemory);
+fn the_matrix_fails_without_the_key_memory() {
+    assert_guard_is_needed(Guard::KeyMemory);
 }
