--- a/crates/barleyspool_core/tests/rate_limited_targets.rs
+++ b/crates/barleyspool_core/tests/rate_limited_targets.rs
@@ -301,7 +301,7 @@
 /// Guards against a target that gets nothing for two seconds or more after its owner restarts. Requests
 /// that reached the owner in the half second before it knew the other nodes were not recorded. Their
 /// orders waited there and were not requested again, while the owner, without a share of the rate,
-/// refused its own calls with a wait of 993 ms (3 of 10 soak runs of one seed).
+/// refused its own calls with a wait of 993 ms (3 of 10 runs of the first seed of a soak).
 #[test]
 fn requests_to_an_owner_that_has_not_converged_count_once_it_has() {
     let mut plan = owner_plan(&Rates::Limit(4.0), false);
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -13,6 +13,7 @@
 
 /// The number of targets of each fleet.
 pub const ENGINES: usize = 24;
+/// The number of targets of one shard.
 const SHARD_SIZE: usize = 12;
 
 /// The rate limits of the targets of a fleet.
