--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -1,4 +1,4 @@
-//! Sending a call to the target that answers it, again when that may be done.
+//! Sends a call to the target that answers it, and retries the send where that is allowed.
 
 use super::answer_body::{AnswerBody, WholeBody};
 use super::call::Call;
@@ -28,34 +28,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest answer that is held whole, in bytes.
+/// Largest answer that is buffered whole, in bytes.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
-/// A repeatable call goes elsewhere after this many times the expected time.
+/// A repeatable call is sent to another target after this multiple of the expected time to the first output.
 const TIMEOUT_FACTOR: f64 = 5.0;
-/// But never before this.
+/// Lower bound of the timeout of a repeatable call.
 const MIN_TIMEOUT: Span = Span::from_millis(250);
-/// Nor before this share of its objective: a busy target is no silent one.
+/// Lower bound of that timeout as a share of the route's objective: a target that is slow because it is busy
+/// is not unresponsive.
 const MIN_TIMEOUT_SHARE: f64 = 0.5;
 
-/// What became of a call that was sent.
+/// Result of sending a call.
 pub enum Outcome {
-    /// It has its answer, whole or as it comes.
+    /// The call was answered, with a whole body or a stream.
     Answered(Response<AnswerBody>),
-    /// Its inputs are gone; they have to be made anew.
+    /// The inputs of the call are lost and have to be recomputed.
     InputsGone(StageResults),
 }
 
-/// Ends a send in the books, also when its task is dropped.
+/// Tracks one send in the forwarder and in its placement. A send that is dropped before it ended, as when its
+/// task is cancelled, is recorded as abandoned.
 pub struct SendGuard {
     call: Rc<Call>,
-    /// The target of the send.
     pub chosen: TargetChoice,
     key: Option<SendKey>,
     placement: Option<Placement>,
 }
 
 impl SendGuard {
-    /// A send begins.
+    /// Records that a send to the chosen target begins.
     pub fn begin(call: &Rc<Call>, (chosen, placement): (TargetChoice, Option<Placement>)) -> Self {
         let traffic = &call.traffic;
         let key = traffic
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The first output came.
+    /// Records the first output of the send.
     pub fn first_output(&mut self) {
         if let Some(placement) = &mut self.placement {
             placement.first_output();
@@ -81,7 +82,8 @@
         }
     }
 
-    /// The send ended.
+    /// Records how the send ended; only the first call counts. Logs when the target is quarantined because of
+    /// it.
     pub fn end(&mut self, end: SendEnd) {
         if let Some(mut placement) = self.placement.take() {
             placement.end(end);
@@ -111,10 +113,10 @@
     }
 }
 
-/// Sends a call until it has an answer or may not be sent again.
+/// Sends a call until it is answered or may not be sent again.
 ///
 /// # Errors
-/// When no target's answer can be had.
+/// When no target answered and no further send is allowed.
 pub async fn answer(
     call: &Rc<Call>,
     guard: &Rc<CallGuard>,
@@ -194,7 +196,8 @@
     }
 }
 
-/// Waits for an answer; meanwhile frees the call's inputs once its target has had time to fetch them.
+/// Waits for an answer. When `wait`, the time that the target needs to fetch the inputs of the call, is over
+/// before that, the inputs are released.
 async fn await_and_release<T>(
     sent: impl Future<Output = T>,
     results: &mut StageResults,
@@ -210,7 +213,7 @@
     sent.await
 }
 
-/// When to come back after targets refused.
+/// When a caller should retry a call that targets refused.
 const REFUSED_RETRY_AFTER: Span = Span::from_millis(200);
 
 fn unknown_failure(call: &Call, chosen: &TargetChoice) -> CallFailure {
@@ -234,7 +237,8 @@
     )
 }
 
-/// Whether the budget allows another send. A target that was never reached got nothing, so that costs none.
+/// Takes a retry from the budget of the service if there is one left, and counts the result. A target that
+/// could not be reached received nothing, so the retry after that is free.
 pub fn allow_retry(call: &Call, end: SendEnd) -> bool {
     let traffic = &call.traffic;
     let allowed = end == SendEnd::Unreachable
@@ -250,7 +254,7 @@
     allowed
 }
 
-/// Tells the log where a call goes.
+/// Logs that a call is sent. `retry` is the reason of a repeated send, and empty for the first one.
 pub fn log_sent(call: &Call, chosen: &TargetChoice, inputs: &[String], retry: &str) {
     let now = call.traffic.now();
     let plan = call.traffic.plan();
@@ -275,18 +279,18 @@
     }
 }
 
-/// What came back.
+/// Answer of a target that may be passed on to the caller.
 pub enum TargetAnswer {
-    /// A stream begins.
+    /// The header of a stream, whose body is still to be read.
     Stream(Parts, Incoming, Connection, AnswerHead),
-    /// A whole answer, and whether it is a success.
+    /// A whole answer, and whether its status is a success.
     Whole(Parts, Bytes, bool),
 }
 
 /// Sends a call once.
 ///
 /// # Errors
-/// How the send ended, when no answer that may be passed on came back.
+/// How the send ended when it brought no answer that may be passed on.
 pub async fn send_once(
     call: &Call,
     chosen: &TargetChoice,
@@ -318,7 +322,7 @@
         return Err(SendEnd::BrokenOff);
     }
     if head.misdirected || head.not_run {
-        // The answer is small; its connection is of use again when it has been read.
+        // The answer is small, and its connection can be reused once the answer has been read.
         if Limited::new(body, MAX_ANSWER_BYTES).collect().await.is_ok() {
             traffic.connections.put_back(connection, keep_alive(&head));
         }
@@ -347,12 +351,13 @@
     head.keep.map(duration)
 }
 
-/// How long a send may be silent: a repeatable call goes elsewhere when another send is left.
+/// How long a send may take until the header of its answer arrives. A repeatable call with a send left is
+/// sent to another target after that.
 fn response_timeout(call: &Call) -> Duration {
     let time_left = call.deadline.since(call.traffic.now());
     let may_send_again = call.history.get().sends + 1 < call.route.max_sends;
     if !call.route.repeatable() || !may_send_again {
-        // The call's own time ends first, and says what became of it.
+        // The deadline of the call passes before this timeout, and its handling reports how the call ended.
         return duration(time_left + time_left + MIN_TIMEOUT);
     }
     let timeout = call.first_time().scale(TIMEOUT_FACTOR).max(MIN_TIMEOUT);
--- a/crates/barleyspool_gateway/src/traffic/grants.rs
+++ b/crates/barleyspool_gateway/src/traffic/grants.rs
@@ -1,7 +1,9 @@
-//! Asking whether a call may go to a target that takes so many calls a second from all nodes together.
+//! Requests from the owner of a rate-limited target whether a call may be sent to it; the rate is shared by
+//! all nodes.
 //!
-//! Engines and pools have an owner that chooses for all. For other targets each node chooses, and asks the owner of the one that it has
-//! chosen when that has a rate. docs/DESIGN.md, "Rates of targets".
+//! The owner of an engine or a pool chooses the target for all nodes. For other targets each node chooses
+//! itself, and then requests a grant from the owner of the chosen target if that is rate-limited. See
+//! docs/DESIGN.md, "Rates of targets".
 
 use super::Traffic;
 use super::peers::Owner;
@@ -11,15 +13,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the owner may take to answer.
+/// How long an owner may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Nodes that are asked in turn.
+/// How many nodes are tried one after the other: the owner and its fallback.
 const MAX_OWNERS: usize = 2;
-/// How long a target is passed over when none of them answered.
+/// How long a target is excluded from the choice when no owner answered, on top of the longest wait of the
+/// call.
 const UNANSWERED_BACKOFF: Span = Span::from_millis(60);
 
-/// Whether a call may go to the target that was chosen for it, and after which wait; `None` when it may not within `max_wait`, which is
-/// noted for the next choice.
+/// Requests a grant for a call to the target chosen for it. Returns how long the call has to wait before it
+/// is sent, or `None` when it may not be sent within `max_wait`; the missing capacity is then noted for the
+/// next choice.
 pub async fn request_grant(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Span> {
     let wait = match request_from_owners(traffic, chosen, max_wait).await {
         Some(Grant::After(wait)) => return Some(wait),
@@ -32,7 +36,7 @@
     None
 }
 
-/// Asks the owner, and when it does not answer whoever stands in for it.
+/// Requests the grant from the owner, and from the fallback owner when the owner does not answer.
 async fn request_from_owners(traffic: &Rc<Traffic>, chosen: &TargetChoice, max_wait: Span) -> Option<Grant> {
     for _ in 0..MAX_OWNERS {
         let grant = request_from_owner(traffic, chosen, max_wait).await;
@@ -63,7 +67,7 @@
     }
 }
 
-/// Answers for this node.
+/// Decides a request for a grant as the owner of the target.
 pub fn grant_locally(traffic: &Traffic, request: &GrantRequest) -> Grant {
     let now = traffic.now();
     let mut forwarder = traffic.forwarder.borrow_mut();
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -1,4 +1,4 @@
-//! Pieces for and from other nodes.
+//! Sends piece orders, placements and grants to other nodes, and serves those of other nodes.
 
 use super::Traffic;
 use super::grants;
@@ -23,29 +23,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-/// How long a node that did not answer is left out.
+/// How long a node that did not answer is excluded from the choice of owners.
 const EXCLUDED_FOR: Span = Span::from_millis(1500);
-/// How long a connection may take to be made.
+/// How long connecting to a node may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a node with orders may be silent before it is asked whether it is there.
+/// How long a node with open orders may send nothing before it is pinged.
 const PING_AFTER: Duration = Duration::from_millis(150);
-/// How long it may take to answer that.
+/// How long a node may take to answer a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long what a node said of its wait is of use.
+/// How long the expected wait that a node reported is used.
 const MAX_WAIT_AGE: Span = Span::from_millis(1500);
 
-/// An order that came from another node.
+/// A request that another node sent to this one.
 #[derive(Debug)]
 pub enum PeerJob {
-    /// Make pieces.
+    /// Compute the pieces of an order.
     Compute(RemoteOrder, oneshot::Sender<RemoteEnd>),
-    /// Free results.
+    /// Release stage results.
     Release(RemoteRelease),
-    /// Choose an engine.
+    /// Place a call at an engine.
     Place(PlaceRequest, oneshot::Sender<PlaceAnswer>),
-    /// Say whether a call may go to a target.
+    /// Decide whether a call may be sent to a rate-limited target.
     Grant(GrantRequest, oneshot::Sender<Grant>),
-    /// A placed call goes on.
+    /// A call that was placed here reached its next step.
     Placed(String, PlaceStep),
 }
 
@@ -55,42 +55,42 @@
     pinging: Cell<bool>,
 }
 
-/// The other nodes, as far as pieces go.
+/// Connections to the other nodes, and what they reported of their pools and engines.
 #[derive(Default)]
 pub struct Peers {
     links: RefCell<HashMap<String, Rc<Link>>>,
     excluded: RefCell<HashMap<String, Time>>,
     reported_waits: RefCell<HashMap<PoolId, (Span, Time)>>,
-    /// Until when the engines of a shard have no room, by their owner's word, and when that was told.
+    /// Until when the engines of a shard have no capacity, as their owner reported, and when it did.
     no_capacity: RefCell<HashMap<PoolId, (Time, Time)>>,
 }
 
-/// What became of an order at another node.
+/// Result of one attempt to have another node compute an order.
 enum OrderAttempt {
-    /// It ended there.
+    /// The node completed the order with this outcome.
     Ended(OrderOutcome),
-    /// The connection broke.
+    /// The connection broke before the outcome arrived.
     ConnectionLost,
-    /// The node cannot be reached or is silent.
+    /// The node cannot be reached or does not answer pings.
     Unreachable,
 }
 
-/// The owner of a pool.
+/// The owner of a pool or of a shard of targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This node.
     Local,
-    /// Another, at this address.
+    /// Another node, at this address.
     Remote(String),
 }
 
 impl Peers {
-    /// The node that owns a pool, as far as this one can tell; one that did not answer lately is left out.
+    /// The node that owns a pool, as far as this one knows. Nodes that did not answer recently are excluded.
     pub fn owner(&self, traffic: &Traffic, id: &PoolId) -> Owner {
         self.owner_of_key(traffic, id.owner_key())
     }
 
-    /// The same for the key of a shard.
+    /// Same as [`Self::owner`], for the key of a shard.
     pub fn owner_of_key(&self, traffic: &Traffic, shard: u128) -> Owner {
         let plan = traffic.plan();
         let now = traffic.now();
@@ -107,28 +107,31 @@
         }
     }
 
-    /// How long a full call to another node's pool takes by its own last word.
+    /// Expected wait for a full batch call at another node's pool: the wait it reported last, less half of
+    /// the age of that report. `None` when there is no recent report.
     pub fn pool_wait(&self, now: Time, id: &PoolId) -> Option<Span> {
         let (wait, at) = *self.reported_waits.borrow().get(id)?;
         let age = now.since(at);
         (age < MAX_WAIT_AGE).then(|| Span(wait.0.saturating_sub(age.0 / 2)))
     }
 
-    /// How long the engines of a shard have no room yet, by their owner's last word; `None` when they may have.
+    /// How long the engines of a shard will have no capacity, as their owner reported last; `None` when they
+    /// may have some.
     pub fn no_capacity_wait(&self, now: Time, id: &PoolId) -> Option<Span> {
         let (until, reported) = *self.no_capacity.borrow().get(id)?;
         let is_valid = now < until && now.since(reported) < NO_CAPACITY_TTL;
         is_valid.then(|| until.since(now))
     }
 
-    /// The owner of a shard of engines says that there is no room yet.
+    /// Records the report of an owner that its shard of engines has no capacity for the time `wait`.
     pub fn note_no_capacity(&self, now: Time, id: &PoolId, wait: Span) {
         self.no_capacity
             .borrow_mut()
             .insert(id.clone(), (now + wait, now));
     }
 
-    /// Lets another node make pieces; `None` when it cannot be reached or falls silent.
+    /// Has another node compute an order. Returns `None` when that node cannot be reached or stops
+    /// responding.
     pub async fn compute(
         &self,
         traffic: &Traffic,
@@ -138,7 +141,7 @@
     ) -> Option<OrderOutcome> {
         let mut attempt = self.try_compute(traffic, address, id, order).await;
         if matches!(attempt, OrderAttempt::ConnectionLost) {
-            // A connection that was reset says nothing of the node: it gets another one at once.
+            // A reset connection does not mean that the node failed, so one new connection is tried at once.
             self.links.borrow_mut().remove(address);
             attempt = self.try_compute(traffic, address, id, order).await;
         }
@@ -165,7 +168,8 @@
             shard: id.shard,
             from: traffic.plan().me,
             order: PieceOrder {
-                // Counted from now: the other node adds its own clock.
+                // Sent as the time left, since the clocks of the nodes differ; the other node adds its own
+                // clock.
                 deadline: Time(order.deadline.since(now).0),
                 due: Time(order.due.since(now).0),
                 ..order.clone()
@@ -209,7 +213,8 @@
         Some(link)
     }
 
-    /// Frees results at another node. When it does not get there they go by themselves after their time.
+    /// Releases results at another node. When the message is lost, the results expire after their time to
+    /// live.
     pub async fn release(&self, address: &str, id: PoolId, handles: Vec<String>) {
         let Some(link) = self.link(address).await else {
             return;
@@ -224,21 +229,22 @@
 }
 
 impl Peers {
-    /// Lets another node choose an engine; `None` when it does not answer.
+    /// Requests the placement of a call from another node; `None` when it does not answer.
     pub async fn request_placement(&self, address: &str, request: PlaceRequest) -> Option<PlaceAnswer> {
         let link = self.link(address).await?;
         let answer = link.client.place(context::current(), request).await;
         self.check_answer(address, answer)
     }
 
-    /// Asks another node whether a call may go to a target; `None` when it does not answer.
+    /// Requests a grant for a call to a target from another node; `None` when it does not answer.
     pub async fn request_grant(&self, address: &str, request: GrantRequest) -> Option<Grant> {
         let link = self.link(address).await?;
         let answer = link.client.grant(context::current(), request).await;
         self.check_answer(address, answer)
     }
 
-    /// A connection that has ended is not asked again.
+    /// Unwraps an answer, and drops the connection to the node when it has ended, so that it is not used
+    /// again.
     fn check_answer<T>(&self, address: &str, answer: Result<Option<T>, RpcError>) -> Option<T> {
         if matches!(answer, Err(RpcError::Shutdown)) {
             self.links.borrow_mut().remove(address);
@@ -246,7 +252,7 @@
         answer.ok().flatten()
     }
 
-    /// A node does not answer: for a while another one is taken for the owner of what it owns.
+    /// Excludes a node that does not answer: for a while other nodes count as the owners of what it owns.
     pub fn exclude(&self, now: Time, address: &str) {
         self.links.borrow_mut().remove(address);
         self.excluded
@@ -254,7 +260,8 @@
             .insert(address.to_owned(), now + EXCLUDED_FOR);
     }
 
-    /// Tells another node how a call that it placed goes on. What is lost it forgets by itself.
+    /// Reports a step of a placed call to the node that placed it. When the message is lost, that node drops
+    /// the placement after its time to live.
     pub async fn report_step(&self, address: &str, call: String, step: PlaceStep) {
         if let Some(link) = self.link(address).await {
             let _ = link.client.placed(context::current(), call, step).await;
@@ -262,7 +269,8 @@
     }
 }
 
-/// Waits a while, then makes sure that the node answers; orders that share a link share the question.
+/// Waits, then checks that the node responds: `true` when it sent something recently, answers a ping, or a
+/// ping of another order on the same link is under way.
 async fn is_responsive(link: &Link) -> bool {
     timer::sleep(PING_AFTER).await;
     if link.last_answer.get().elapsed() < PING_AFTER || link.pinging.get() {
@@ -277,8 +285,8 @@
     responsive
 }
 
-/// A question whether a node is there. It ends when this is dropped, also with an order that ended in the same moment: a question
-/// that counted as under way for ever would be the last one, and the node taken for there whatever it does.
+/// Marks a ping as under way until dropped, also when the order that sent it ends meanwhile. A mark that
+/// stayed set would suppress all later pings, and the node would count as responsive for ever.
 struct PingGuard<'a>(&'a Link);
 
 impl<'a> PingGuard<'a> {
@@ -358,7 +366,7 @@
                 spawn_local(compute_for_peer(Rc::clone(&traffic), order, reply));
             }
             PeerJob::Place(request, reply) => {
-                // When the other node does not wait any more it has chosen alone.
+                // The requesting node may have timed out, and has then chosen a target itself.
                 let _ = reply.send(placement::place_locally(&traffic, &request));
             }
             PeerJob::Grant(request, reply) => {
@@ -393,7 +401,8 @@
         wait: Span::ZERO,
     };
     if !id.is_current(&traffic.plan()) {
-        // The pool is split in another way by now; the other node will hear of it too.
+        // The pool is sharded differently in the current plan; the requesting node will receive that plan
+        // too.
         let _ = reply.send(ended(OrderOutcome::Moved));
         return;
     }
@@ -403,10 +412,10 @@
     };
     let end = tokio::select! {
         end = pool.compute(&traffic, order, from) => end,
-        // The other node does not wait any more.
+        // The requesting node has given the order up.
         () = reply.closed() => return,
     };
     let wait = pool.expected_wait(&traffic);
-    // A node that has gone in the same moment cannot free the results; they go after their time.
+    // A node that has disconnected just now cannot release the results; they expire after their time to live.
     let _ = reply.send(RemoteEnd { end, wait });
 }
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -1,8 +1,9 @@
-//! Choosing engines for the calls of all nodes at one place.
+//! Places the calls of all nodes at engines, by one node for each shard of engines.
 //!
-//! A node that sees a part of the calls only sends long prompts to engines that others keep busy. So the owner
-//! of a service of engines (or of a shard of a large one) chooses for all, and hears when a prompt has been
-//! read and when a call ends. When it does not answer soon the asking node chooses alone.
+//! A node that sees only a part of the calls would send long prompts to engines that other nodes keep busy.
+//! So the owner of an engine service (or of a shard of a large one) chooses the engine for all nodes, and is
+//! notified when the prompt of a call has been read and when the call ends. When the owner does not answer in
+//! time, the requesting node chooses itself.
 
 use super::Traffic;
 use super::call::Call;
@@ -20,19 +21,19 @@
 
 /// How long the owner may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// A placement of which nothing was heard for this long is forgotten, in microseconds.
+/// Placements without an update for this time are dropped, in microseconds.
 const PLACEMENT_TTL_US: u64 = 30_000_000;
 
-/// Forgotten placements are looked for whenever their number is a multiple of this.
+/// Expired placements are removed whenever the number of placements is a multiple of this.
 const SWEEP_EVERY: usize = 64;
 
-/// The calls that this node has placed for others and for itself.
+/// The calls that this node has placed as the owner, for itself and for others, by the key of the placement.
 #[derive(Debug, Default)]
 pub struct Placements {
     sends: HashMap<String, (SendKey, Time)>,
 }
 
-/// A call that an owner placed; tells the owner how it goes on.
+/// A call that an owner placed; reports its steps to the owner.
 pub struct Placement {
     traffic: Rc<Traffic>,
     owner: Owner,
@@ -42,14 +43,14 @@
 }
 
 impl Placement {
-    /// The first output came.
+    /// Reports the first output, once.
     pub fn first_output(&mut self) {
         if !std::mem::replace(&mut self.first_output, true) {
             self.report(PlaceStep::FirstOutput);
         }
     }
 
-    /// The send ended.
+    /// Reports how the send ended.
     pub fn end(&mut self, end: SendEnd) {
         let good = matches!(
             end,
@@ -82,18 +83,18 @@
     }
 }
 
-/// What came of asking the owners of engines.
+/// Result of requesting a placement from the owners of engines.
 pub enum PlaceResult {
-    /// The call goes there.
+    /// The call goes to this engine.
     Placed(TargetChoice, Placement),
-    /// All usable engines have been given all that they take; when there is room again.
+    /// All usable engines have been granted their whole rate; the time until one has capacity again.
     NoCapacity(Span),
-    /// Nobody chose one that this node can use.
+    /// No owner chose an engine that this node can use.
     NotPlaced,
 }
 
-/// Lets the owner of the call's shard of engines choose one. When all of the shard have been given what they take, the owners of the
-/// other shards are asked.
+/// Has the owner of the call's shard of engines choose one. When that shard has no capacity, the owners of
+/// the other shards are asked one after the other.
 pub async fn place(call: &Call, max_wait: Span) -> PlaceResult {
     let traffic = &call.traffic;
     let query = call.need();
@@ -101,7 +102,8 @@
         return PlaceResult::NotPlaced;
     }
     let first = engine_shard(call, &query);
-    // What was told holds while all engines have a rate: one that has none any more has room, whatever was told before.
+    // A report of no capacity is valid only while all engines are rate-limited: an engine whose rate limit
+    // was removed has capacity, whatever was reported before.
     let all_rate_limited = traffic
         .forwarder
         .borrow()
@@ -128,7 +130,7 @@
     shortest_wait.map_or(PlaceResult::NotPlaced, PlaceResult::NoCapacity)
 }
 
-/// Lets the owner of one shard choose.
+/// Has the owner of one shard choose an engine.
 async fn place_in_shard(call: &Call, id: &PoolId, max_wait: Span) -> PlaceResult {
     let traffic = &call.traffic;
     let Some(request) = place_request(call, id, max_wait) else {
@@ -147,7 +149,7 @@
                     .borrow()
                     .has_rate_limits(traffic.now(), &id.service)
             {
-                // Nobody else gives out what such engines take; the next time another node is asked.
+                // Only the owner grants the rate of such engines; the next request goes to another node.
                 traffic.peers.exclude(traffic.now(), address);
             }
             answer
@@ -184,7 +186,7 @@
     PlaceResult::Placed(chosen, placement)
 }
 
-/// The shard of its engines at which a call is placed: calls with the same shared prefix meet at one.
+/// The shard of engines at which a call is placed. Calls with the same shared prefix go to the same shard.
 pub fn engine_shard(call: &Call, query: &TargetQuery) -> Shard {
     let key = match query.prefix {
         0 => rendezvous::text_key(&call.head.id),
@@ -196,7 +198,7 @@
 fn place_request(call: &Call, id: &PoolId, max_wait: Span) -> Option<PlaceRequest> {
     let query = call.need();
     let forwarder = call.traffic.forwarder.borrow();
-    // What rests for this node does not rest for the owner.
+    // The owner does not know the cooldowns that were requested from this node.
     let cooling_down = forwarder.in_cooldown(call.traffic.now(), &query.service);
     let avoid = query.avoid.iter().copied().chain(cooling_down);
     let avoid = avoid.filter_map(|key| forwarder.target(key));
@@ -219,9 +221,9 @@
 }
 
 // ----------------------------------------------------------------------------
-// As the owner
+// Placing calls as the owner
 
-/// Chooses an engine for a call of any node.
+/// Chooses an engine for a call of any node, as the owner of the shard.
 pub fn place_locally(traffic: &Traffic, request: &PlaceRequest) -> PlaceAnswer {
     let now = traffic.now();
     let shard = Shard {
@@ -271,7 +273,7 @@
     })
 }
 
-/// A call that was placed here goes on.
+/// Applies a step of a call that was placed here.
 pub fn apply_step(traffic: &Traffic, call: &str, step: PlaceStep) {
     let now = traffic.now();
     let mut placements = traffic.placements.borrow_mut();
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -1,4 +1,4 @@
-//! One pool that this node owns: its queue, and the calls to its targets.
+//! A pool that this node owns: its queue of pieces, and the batch calls to its targets.
 
 use super::Traffic;
 use super::callers::duration;
@@ -22,33 +22,33 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 
-/// The largest answer of a call, in bytes.
+/// Largest answer of a batch call, in bytes.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
-/// A call without an answer is given up after this time.
+/// A batch call, or a request to release results, without an answer is given up after this time.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long results wait to be freed together with others.
+/// How long results wait to be released together with others.
 const RELEASE_DELAY: Duration = Duration::from_millis(10);
-/// How long a pool without work sleeps.
+/// Longest time that the driver of a pool waits when its queue has no timer.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 
 /// A pool that this node owns.
 pub struct Pool {
-    /// The key by which its owner is picked.
+    /// Key from which the owner of the pool is derived.
     key: u128,
-    /// The waiting pieces.
+    /// The queued and running pieces.
     pub queue: RefCell<PieceQueue>,
     waiters: RefCell<HashMap<OrderKey, oneshot::Sender<OrderOutcome>>>,
-    /// The nodes whose orders wait here, and how many of each.
+    /// Number of open orders by the key of the node that requested them.
     requesters: RefCell<HashMap<u64, usize>>,
     changed: Notify,
     releasable: Notify,
 }
 
-/// Withdraws an order whose request does not wait for it any more.
+/// Cancels an order when its request is dropped before the order has ended.
 struct OrderGuard<'a> {
     pool: &'a Pool,
     key: Option<OrderKey>,
-    /// The node that wants it.
+    /// Key of the node that requested the order.
     requester: u64,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Pool {
-    /// A pool with nothing to do, and the tasks that drive it.
+    /// Creates an empty pool and spawns the tasks that drive it.
     pub fn start(traffic: &Rc<Traffic>, id: &PoolId, spec: PoolSpec) -> Rc<Self> {
         let pool = Rc::new(Self {
             key: id.owner_key(),
@@ -79,12 +79,12 @@
         pool
     }
 
-    /// Something changed that the driver should look at.
+    /// Wakes the driver, because the state of the pool has changed.
     pub fn wake(&self) {
         self.changed.notify_one();
     }
 
-    /// Makes the pieces of an order of the node `asker`.
+    /// Computes the pieces of an order that the node `requester` sent.
     pub async fn compute(&self, traffic: &Traffic, order: PieceOrder, requester: u64) -> OrderOutcome {
         let submitted = self.queue.borrow_mut().submit(traffic.now(), order);
         let key = match submitted {
@@ -115,30 +115,32 @@
         }
     }
 
-    /// Another node owns the pool now: what was not begun goes there.
+    /// Hands the pool over after its owner has changed: orders that were not started end, and go to the new
+    /// owner.
     pub fn hand_over(&self) {
         self.queue.borrow_mut().hand_over();
         self.notify_ended();
     }
 
-    /// Frees results that nobody needs any more.
+    /// Releases results that are not needed any more.
     pub fn release(&self, handles: Vec<String>) {
         self.queue.borrow_mut().release(handles);
         self.releasable.notify_one();
     }
 
-    /// How long a full call that came now would take.
+    /// How long a full batch call that is submitted now is expected to take.
     pub fn expected_wait(&self, traffic: &Traffic) -> Span {
         self.queue.borrow().expected_wait(traffic.now(), 1)
     }
 
-    /// Tells those who wait for orders that have ended.
+    /// Notifies the waiters of orders that have ended.
     pub fn notify_ended(&self) {
         let ended = self.queue.borrow_mut().take_ended();
         let mut waiters = self.waiters.borrow_mut();
         for (key, end) in ended {
             if let Some(waiter) = waiters.remove(&key) {
-                // The request may have gone in the same moment; then its guard frees the results.
+                // The request may have been dropped just now; its guard then cancels the order, which
+                // releases the results.
                 let _ = waiter.send(end);
             }
         }
@@ -152,7 +154,8 @@
             let mut queue = pool.queue.borrow_mut();
             queue.tick(now);
             apply_reports(&traffic, &pool, &mut queue);
-            // Until it is clear who owns the pool, orders gather: most of them go to another node.
+            // Until the membership has converged, this node may not be the owner. Orders are only queued
+            // then, since most of them will go to another node.
             let calls = if traffic.plan().converged {
                 queue.next_calls(now)
             } else {
@@ -167,17 +170,18 @@
         let wait = wake.map_or(IDLE_WAIT, |at| {
             Duration::from_micros(at.since(traffic.now()).0.max(1000))
         });
-        // Whatever ends or comes notifies; the time is for what is overdue.
+        // Calls that end and orders that arrive notify the driver; the timeout is for timers of the queue.
         let _ = tokio::time::timeout(wait, pool.changed.notified()).await;
-        // Orders that come in the same moment share a call.
+        // Lets orders that arrive at the same moment share a batch call.
         tokio::task::yield_now().await;
     }
 }
 
-/// Takes what targets said of their limits and of rest since the last look, and what this node may give out of their rates.
+/// Applies to the queue the rate limits and cooldowns that targets reported since the last time, and the
+/// share of the rates that this node may grant.
 ///
-/// A node asks for as long as an order of it waits here, and this one always does: without a part of the rate it would refuse its own callers,
-/// and ask nobody for one.
+/// A node counts as a requester while an order of it is open here, and this node always does: without a share
+/// of the rate it would refuse the orders of its own callers and never request a share.
 fn apply_reports(traffic: &Traffic, pool: &Pool, queue: &mut PieceQueue) {
     let (now, me) = (traffic.now(), traffic.plan().me);
     let mut forwarder = traffic.forwarder.borrow_mut();
@@ -218,7 +222,8 @@
     finish_batch(&traffic, &pool, key, answer);
 }
 
-/// Whether the target of a call that was broken off has ended, which is noted for all requests that had pieces there.
+/// Whether the target of an interrupted batch call has crashed. A crash is recorded for every request that
+/// had pieces in the call.
 async fn has_crashed(traffic: &Traffic, call: &BatchCall) -> bool {
     if !traffic.ends.has_crashed(traffic, &call.id, &call.address).await {
         return false;
@@ -233,7 +238,8 @@
     true
 }
 
-/// The bytes of inputs that a call's target has to fetch from another zone; each piece fetches its own.
+/// Bytes of inputs that the target of a batch call has to fetch from other zones. Each piece fetches its own
+/// inputs.
 fn cross_zone_bytes(traffic: &Traffic, call: &BatchCall) -> u64 {
     let plan = traffic.plan();
     let Some(zone) = plan.targets.get(&call.id).map(|target| &target.zone) else {
@@ -284,7 +290,7 @@
     }
 }
 
-/// What came of a call, and its connection when a whole answer was read from it.
+/// Outcome of a batch call, and its connection if a whole answer was read from it.
 struct BatchAnswer {
     outcome: BatchOutcome,
     connection: Option<(Connection, Option<Duration>)>,
@@ -364,7 +370,7 @@
     Some(request)
 }
 
-/// Frees results, many at a time.
+/// Releases results in batches.
 async fn release_results(traffic: Rc<Traffic>, pool: Rc<Pool>) {
     loop {
         pool.releasable.notified().await;
@@ -386,7 +392,7 @@
     }
 }
 
-/// Results that cannot be freed go by themselves after their time.
+/// Sends a request to release results. Results that cannot be released expire after their time to live.
 async fn send_release(
     traffic: Rc<Traffic>,
     pool: Rc<Pool>,
@@ -407,7 +413,7 @@
         }
         if freed {
             pool.queue.borrow_mut().mark_freed(&handles);
-            // Room has come free.
+            // The released results make capacity available.
             pool.wake();
         }
     };
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -1,4 +1,4 @@
-//! Which node owns which pool, and the pools that this one owns.
+//! The pools that this node owns, and how pools are identified.
 
 use super::Traffic;
 use super::pool::Pool;
@@ -8,38 +8,36 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A pool's service and which shard of it.
+/// Identifies a pool: a shard of the targets of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PoolId {
-    /// The service.
     pub service: String,
-    /// The shard.
     pub shard: u32,
 }
 
 impl PoolId {
-    /// Whether the plan still splits the pool so.
+    /// Whether the plan still has this shard of the service.
     pub fn is_current(&self, plan: &ForwardPlan) -> bool {
         let shards = plan.pool_shards(&self.service);
         shards.is_none_or(|shards| shards.contains(self.shard))
     }
 
-    /// The key by which the owner is picked.
+    /// Key from which the owner of the pool is derived.
     pub fn owner_key(&self) -> u128 {
         shard_key(&self.service, self.shard)
     }
 }
 
-/// The pools that this node owns, or has owned.
+/// The pools that this node owns or has owned.
 #[derive(Default)]
 pub struct Pools {
     pools: RefCell<HashMap<PoolId, Rc<Pool>>>,
-    /// The list and the configuration that the pools have taken.
+    /// The list of targets and the catalog that were applied to the pools last.
     applied: RefCell<(Arc<TargetTable>, Option<Arc<Catalog>>)>,
 }
 
 impl Pools {
-    /// The pool, started when it is new here; `None` when the configuration does not know it.
+    /// Returns the pool, and starts it if it does not run here yet; `None` when the catalog has no such pool.
     pub fn get_or_start(&self, traffic: &Rc<Traffic>, id: &PoolId) -> Option<Rc<Pool>> {
         if let Some(pool) = self.pools.borrow().get(id) {
             return Some(Rc::clone(pool));
@@ -52,12 +50,11 @@
         Some(pool)
     }
 
-    /// The pool, when it was started here.
+    /// Returns the pool if it was started here.
     pub fn find(&self, id: &PoolId) -> Option<Rc<Pool>> {
         self.pools.borrow().get(id).cloned()
     }
 
-    /// The pools that were started here.
     pub fn all(&self) -> Vec<(PoolId, Rc<Pool>)> {
         let pools = self.pools.borrow();
         pools
@@ -66,7 +63,7 @@
             .collect()
     }
 
-    /// Takes what a newer plan says of the pools.
+    /// Applies a newer plan to all pools.
     pub fn apply_plan(&self, plan: &ForwardPlan) {
         let new = (Arc::clone(&plan.targets), plan.catalog.clone());
         let before = self.applied.replace(new);
@@ -76,13 +73,13 @@
             _ => false,
         };
         if same_catalog && Arc::ptr_eq(&before.0, &plan.targets) {
-            // Only members have changed; a pool may be converged now.
+            // Only the members have changed. Pools may start calls if the membership has converged now.
             self.pools.borrow().values().for_each(|pool| pool.wake());
             return;
         }
         for (id, pool) in self.pools.borrow().iter() {
             update(pool, id, plan);
-            // Orders whose inputs went with a run of their maker.
+            // The orders whose inputs were lost with an incarnation of their holder have ended.
             pool.notify_ended();
             pool.wake();
         }
--- a/crates/barleyspool_gateway/src/traffic/stage_results.rs
+++ b/crates/barleyspool_gateway/src/traffic/stage_results.rs
@@ -1,4 +1,5 @@
-//! The stage results that a call keeps at their makers, freed when they are not needed or the call ends.
+//! The stage results that a call keeps at their holders; they are released when they are not needed any more
+//! or the call ends.
 
 use super::Traffic;
 use super::peers::Owner;
@@ -8,15 +9,14 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The results of one call. Dropping it frees them.
+/// The stage results of one call. Dropping it releases them.
 pub struct StageResults {
     traffic: Rc<Traffic>,
-    /// The pool that made each result, and when it was known here.
+    /// The pool that computed each result, and when this node received its handle.
     origins: HashMap<String, (PoolId, Time)>,
 }
 
 impl StageResults {
-    /// No results yet.
     pub fn new(traffic: &Rc<Traffic>) -> Self {
         Self {
             traffic: Rc::clone(traffic),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Notes results of a pool.
+    /// Adds results that a pool computed.
     pub fn add(&mut self, pool: &PoolId, handles: &[String]) {
         let now = self.traffic.now();
         for handle in handles {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether one of some results went with a run of its maker that has ended since.
+    /// Whether any of these results was lost with an incarnation of its holder that has ended since.
     pub fn is_any_lost(&self, handles: &[String]) -> bool {
         let plan = self.traffic.plan();
         let is_lost = |handle: &String| {
@@ -42,7 +42,7 @@
         !plan.restarts.is_empty() && handles.iter().any(is_lost)
     }
 
-    /// Frees some.
+    /// Releases these results.
     pub fn release(&mut self, handles: Vec<String>) {
         let mut by_pool: BTreeMap<PoolId, Vec<String>> = BTreeMap::new();
         for handle in handles {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Frees all.
+    /// Releases all results.
     pub fn release_all(&mut self) {
         let all = self.origins.keys().cloned().collect();
         self.release(all);
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -1,4 +1,4 @@
-//! Running the stages before a call.
+//! Runs the stages that precede a call.
 
 use super::call::Call;
 use super::peers::Owner;
@@ -12,11 +12,11 @@
 use futures::stream::FuturesUnordered;
 use std::time::Duration;
 
-/// Results smaller than this, in bytes, may be made in any zone.
+/// Results below this size, in bytes, may be computed in any zone.
 const MIN_ZONE_BYTES: u64 = 100_000;
-/// Owners that cannot be reached before a stage is given up.
+/// Number of unreachable owners after which a stage fails.
 const MAX_UNREACHABLE_OWNERS: usize = 4;
-/// How long to wait before the same owner is asked again after it said that another one owns the pool.
+/// Delay before the same owner is asked again after it answered that another node owns the pool.
 const MOVED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 struct StageOutcome {
@@ -28,7 +28,7 @@
 /// Runs all stages of a call that are not complete.
 ///
 /// # Errors
-/// When they cannot be completed in time. Nothing of the call itself has run then.
+/// When they cannot be completed in time. The call itself has not run then.
 pub async fn run(
     call: &Call,
     stages: &mut StageProgress,
@@ -83,15 +83,16 @@
     }
 }
 
-/// Has what a stage rests on made anew; what the call itself rests on when no stage is named.
+/// Has the lost inputs of a stage recomputed, or those of the call itself when `stage` is `None`. Fails when
+/// the stages were recomputed too often.
 fn recompute(stages: &mut StageProgress, stage: Option<usize>, service: &str) -> Result<(), CallFailure> {
     let allowed = stages.recompute(stage);
     let failure = || CallFailure::not_run(Reason::StepFailed).at(service, "");
     allowed.then_some(()).ok_or_else(failure)
 }
 
-/// The pool, or the shard of a large one, that makes a stage of a call whose inputs lie in `zone`, or whose next step
-/// does; an empty one when neither matters.
+/// The pool, or the shard of a large one, that computes a stage of a call. `zone` is where the inputs are
+/// held or where the next step runs, and empty when neither matters.
 fn pool_id(call: &Call, stage: usize, zone: &str) -> PoolId {
     let plan = call.traffic.plan();
     let spec = &call.route.stages[stage];
@@ -101,7 +102,7 @@
     } else {
         (zone.to_owned(), upstream_service(call, stage))
     };
-    // Requests of all nodes come from a zone in proportion to the targets there that they were at before.
+    // The requests of all nodes are spread over the zones in proportion to the targets of the step before.
     let zone_share = plan.zone_share(upstream, &source_zone);
     let shards = plan.pool_shards(&spec.service);
     PoolId {
@@ -110,7 +111,8 @@
     }
 }
 
-/// The service whose targets are spread over zones as the calls at a stage are: that of the stage before, or of the call itself.
+/// The service whose targets are spread over zones like the calls at a stage: that of the stage before it, or
+/// of the call itself when the stage has no inputs.
 fn upstream_service(call: &Call, stage: usize) -> &str {
     let stages = &call.route.stages;
     let needs = &stages[stage].needs;
@@ -119,7 +121,7 @@
         .map_or(call.service.as_str(), |needed| &stages[*needed].service)
 }
 
-/// The pool of a stage of a call that has not begun, as far as can be said.
+/// The pool that will most likely compute a stage that has not started.
 pub fn likely_pool(call: &Call, stage: usize) -> PoolId {
     pool_id(call, stage, &call.home_zone())
 }
@@ -159,11 +161,11 @@
     }
 }
 
-/// Lets the owner of the pool make an order. Owners that cannot be reached are replaced a few times; one that says
-/// that the pool has moved is asked who owns it for as long as the call has time.
+/// Has the owner of the pool compute an order. Unreachable owners are replaced up to a limit; an owner that
+/// answers that the pool has moved is followed by the new owner for as long as the call has time.
 async fn compute_at_owner(call: &Call, order: &PieceOrder) -> (PoolId, Owner, OrderOutcome) {
     let traffic = &call.traffic;
-    // The pool may be split in another way when it is asked again.
+    // The sharding of the pool may change between two attempts.
     let locate = || {
         let pool = pool_id(call, order.stage as usize, &order.zone);
         let owner = traffic.peers.owner(traffic, &pool);
@@ -184,7 +186,7 @@
             Some(OrderOutcome::Moved) => {
                 (pool, owner) = locate();
                 if (&pool, &owner) == (&previous.0, &previous.1) {
-                    // This node will hear of the other owner too.
+                    // This node will receive the plan with the new owner too.
                     tokio::time::sleep(MOVED_RETRY_DELAY).await;
                     (pool, owner) = locate();
                 }
@@ -202,7 +204,7 @@
 fn order(call: &Call, ready: &ReadyStage, depth: usize) -> PieceOrder {
     let spec = &call.route.stages[ready.stage];
     let first = ready.inputs.is_empty() && spec.needs.is_empty();
-    // The stages after this one and the call itself need their time too.
+    // Leaves time for the later stages and for the call itself.
     let later_time = Span(call.stage_time().0 * depth as u64) + call.first_time();
     PieceOrder {
         request: call.head.id.clone(),
@@ -224,14 +226,14 @@
     }
 }
 
-/// The size of all inputs of one piece. Each piece of a stage fetches all of them.
+/// Bytes of all inputs of one piece. Each piece of a stage fetches all of them.
 fn piece_input_bytes(call: &Call, ready: &ReadyStage) -> u64 {
     let spec = &call.route.stages[ready.stage];
     spec.needs.iter().map(|needed| call.result_bytes(*needed)).sum()
 }
 
-/// The zone in which pieces should be made: where their inputs lie, or where the call that reads them will run.
-/// Empty when so little is moved that it does not matter.
+/// The zone in which the pieces of a stage should be computed: where their inputs are held, or where the call
+/// that reads their results will run. Empty when too little data is moved for the zone to matter.
 fn preferred_zone(call: &Call, ready: &ReadyStage) -> String {
     let stages = &call.route.stages;
     let input_bytes = piece_input_bytes(call, ready) * u64::from(ready.pieces);
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -1,4 +1,4 @@
-//! Choosing the target that answers a call, with what owners give out of the rates of targets.
+//! Chooses the target that answers a call, within the rates that owners grant.
 
 use super::call::Call;
 use super::callers::duration;
@@ -10,43 +10,46 @@
 use barleyspool_wire::timer;
 use std::time::Duration;
 
-/// How long a call may wait for a target that is full, as a share of its objective.
+/// How long a call may wait for a target while all are full, as a share of its objective.
 const FULL_WAIT_SHARE: f64 = 0.15;
-/// How often it looks meanwhile.
+/// How often a waiting call tries again.
 const FULL_POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// How often it asks the owner of its engines meanwhile: an owner has 60 ms to answer, and with a question at each look a shortage
-/// of engines would bring each owner some ten questions for each call.
+/// How often a waiting call asks the owner of its engines: an owner has 60 ms to answer, and with a request
+/// at each try a shortage of engines would bring each owner some ten requests for each call.
 const OWNER_POLL_INTERVAL: Span = Span::from_millis(60);
-/// How much later than it was told a call may be sent. Later ones could meet those that were told a later time: with
-/// half a second more in each span a target still gets less than one and a half times its rate and five calls.
+/// How much later than granted a call may be sent. A later one could coincide with calls that were granted a
+/// later time: with half a second more in each span, a target still receives less than one and a half times
+/// its rate and five calls.
 const MAX_SEND_DELAY: Span = Span::from_millis(500);
 
-/// A target, and the placement when its owner chose it.
+/// The chosen target, and the placement when the owner chose it.
 pub type Selection = (TargetChoice, Option<Placement>);
 
-/// A target that was given out to a call before its stages are made.
+/// A target that was granted to a call before its stages run.
 pub struct ReservedTarget {
     selection: Selection,
     due: Time,
 }
 
-/// What one look for a target came to.
+/// Result of one attempt to choose a target.
 enum Attempt {
-    /// The call goes there.
+    /// The call goes to this target.
     Selected(Box<Selection>),
-    /// All usable targets have been given all that they take; when there is room again.
+    /// All usable targets have been granted their whole rate; the time until one has capacity again.
     NoCapacity(Span),
-    /// All that may get work have asked this node for rest; when the first one's is over.
+    /// All targets that may receive work have requested a cooldown from this node; the time until the first
+    /// one ends.
     CoolingDown(Span),
-    /// None is usable; when to come back.
+    /// No target is usable; when to retry.
     Busy(Span),
 }
 
-/// Chooses a target; waits a little when all are full. Engines are chosen by their owner when it answers, and only by it while
-/// they take so many calls a second and no more. When that is so of all targets, and none has room within the little while, the call ends at once.
+/// Chooses a target, and waits for a short time while all are full. The owner of engines chooses among them
+/// when it answers, and is the only one to do so while they are rate-limited. When all targets are
+/// rate-limited and none has capacity within that time, the call ends at once.
 ///
 /// # Errors
-/// When no target can be had.
+/// When there is no target for the call.
 pub async fn choose(call: &Call) -> Result<Selection, CallFailure> {
     let traffic = &call.traffic;
     if let Some(selection) = use_reserved(call).await {
@@ -77,11 +80,12 @@
     }
 }
 
-/// Has a target given out to a call whose stages take `ahead`, when every target of its service takes so many calls a second and no more. A
-/// call that would find no room after its stages, or only targets at rest, is refused before they are made.
+/// Reserves a target for a call whose stages take `stage_time`, if all targets of its service are
+/// rate-limited. A call that would find no capacity after its stages, or only targets in cooldown, is refused
+/// before the stages run.
 ///
 /// # Errors
-/// When there will be no room.
+/// When there will be no capacity.
 pub async fn reserve(call: &Call, stage_time: Span) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let max_wait = stage_time + call.route.objective.scale(FULL_WAIT_SHARE);
@@ -92,7 +96,7 @@
     if cooldown > max_wait {
         return Err(cooling_down(call, Span(cooldown.0.saturating_sub(stage_time.0))));
     }
-    // A target that is warm by then is not bounded any more.
+    // A target that has warmed up by then is not rate-limited any more.
     let rate_limited = traffic
         .forwarder
         .borrow()
@@ -109,21 +113,21 @@
             });
             Ok(())
         }
-        // The stages of a call that comes back take their time again.
+        // A retried call runs its stages again, which takes the same time.
         Attempt::NoCapacity(wait) => Err(no_capacity(call, Span(wait.0.saturating_sub(stage_time.0)))),
         Attempt::CoolingDown(wait) => Err(cooling_down(call, Span(wait.0.saturating_sub(stage_time.0)))),
         Attempt::Busy(_) => Ok(()),
     }
 }
 
-/// The target that was given out to a call, when it can still be used.
+/// The target that was reserved for a call, if it can still be used.
 async fn use_reserved(call: &Call) -> Option<Selection> {
     let ReservedTarget { selection, due } = call.reserved.borrow_mut().take()?;
     let usable = !call.avoid.borrow().contains(&selection.0.target);
     (usable && wait_until(call, &selection.0, due).await).then_some(selection)
 }
 
-/// Looks for a target once; with `ask` the owner of its engines chooses.
+/// Tries once to choose a target; with `ask_owner` the owner of its engines chooses first.
 async fn try_choose(call: &Call, max_wait: Span, ask_owner: bool) -> Attempt {
     let traffic = &call.traffic;
     if ask_owner {
@@ -142,7 +146,7 @@
     loop {
         let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &query);
         match choice {
-            // Each question that is answered with no takes a target out of the choice.
+            // Each refused request for a grant removes a target from the next choice.
             ChooseResult::Send(mut chosen) if chosen.rate_limited => {
                 if let Some(wait) = grants::request_grant(traffic, &chosen, max_wait).await {
                     chosen.wait = wait;
@@ -157,8 +161,8 @@
     }
 }
 
-/// Waits until the call may be sent; false when its target cannot be used then, or when it is too late for that, as after a pause of
-/// this process.
+/// Waits until the call may be sent. Returns `false` when its target is not usable then, or when it is too
+/// late to send it, as after a pause of this process.
 async fn wait_until(call: &Call, chosen: &TargetChoice, due: Time) -> bool {
     let traffic = &call.traffic;
     let wait = due.since(traffic.now());
@@ -194,7 +198,8 @@
     no_target(call, Reason::TargetsRest, wait)
 }
 
-/// The end of a call that gets no target now, with when to come back unless an earlier send of it may have run.
+/// The failure of a call without a target. It names when to retry, unless an earlier send of the call may
+/// have run.
 fn no_target(call: &Call, reason: Reason, retry_after: Span) -> CallFailure {
     let failure = if call.history.get().may_have_run {
         CallFailure::unknown(reason)
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -1,7 +1,8 @@
-//! Seeing that a target has ended under a call, and keeping calls that end targets from them.
+//! Detects targets that crash during a call, and blocks calls that crash targets.
 //!
-//! A connection that breaks says little: it may have been reset, or its target may break off one answer in fifty. So the
-//! target's port is asked: where nobody listens any more the target has ended. docs/DESIGN.md, "Calls that end targets".
+//! A broken connection alone is no sign of a crash: it may have been reset, or the target may interrupt one
+//! answer in fifty. So this node connects to the target's port: if nothing listens there any more, the target
+//! has crashed. See docs/DESIGN.md, "Calls that end targets".
 
 use super::Traffic;
 use super::call::Call;
@@ -18,20 +19,20 @@
 use tokio::sync::{OnceCell, mpsc};
 use tokio::task::spawn_local;
 
-/// How long an answer of a target's port counts for all calls at that target: they break within milliseconds of each other, and
-/// a target that has ended is away for seconds.
+/// How long the result of a port check is shared by all calls at that target. Their connections break within
+/// milliseconds of each other, and a crashed target is away for seconds.
 const PORT_CHECK_TTL: Span = Span::from_millis(200);
-/// Looks that are kept; older ones go when there are more.
+/// Number of port checks from which on expired ones are removed.
 const MAX_PORT_CHECKS: usize = 256;
 
-/// A look at a target's port that several calls share.
+/// A check of a target's port that several calls share.
 #[derive(Clone, Debug)]
 struct PortCheck {
     started_at: Time,
     presence: Rc<OnceCell<Presence>>,
 }
 
-/// Which calls targets end under, as far as this node sees.
+/// Detects which calls crash targets, as far as this node observes.
 #[derive(Debug)]
 pub struct TargetCrashes {
     sightings: mpsc::UnboundedSender<Sighting>,
@@ -40,7 +41,7 @@
 }
 
 impl TargetCrashes {
-    /// Tells `sightings` what it sees.
+    /// Creates a detector that sends the crashes it sees to `sightings`.
     pub fn new(sightings: mpsc::UnboundedSender<Sighting>) -> Self {
         Self {
             sightings,
@@ -49,12 +50,13 @@
         }
     }
 
-    /// A target gave a call a whole answer: it does not end targets.
+    /// Records that a target answered a call completely: the call does not crash targets.
     pub fn record_answered(&self, now: Time, fingerprint: CallFingerprint) {
         self.answered_calls.borrow_mut().insert(now, fingerprint);
     }
 
-    /// Looks whether a target that broke a connection off has ended. One that was on its way out ends as it should.
+    /// Whether a target that broke a connection has crashed. The end of a target that is leaving is expected
+    /// and does not count.
     pub async fn has_crashed(&self, traffic: &Traffic, target: &str, address: &str) -> bool {
         let plan = traffic.plan();
         let leaving = plan.targets.get(target).is_none_or(|entry| entry.leaving);
@@ -66,7 +68,8 @@
         *presence.await == Presence::Gone
     }
 
-    /// A target has ended while it had a call, or a piece of one.
+    /// Records that a target crashed while it processed a call or a piece of one. It is passed on to the
+    /// control thread unless a target has answered the call before.
     pub fn record_crash(&self, traffic: &Traffic, target: &str, (id, fingerprint): (&str, CallFingerprint)) {
         let now = traffic.now();
         traffic.count(Counter::TargetEnded);
@@ -84,7 +87,7 @@
         let plan = traffic.plan();
         let incarnation = plan.targets.get(target).map_or(0, |entry| entry.incarnation.0);
         let incarnation = IncarnationId::of(target, incarnation);
-        // The control thread is gone only when the process ends.
+        // The receiver, the control thread, is gone only when the process ends.
         let _ = self.sightings.send(Sighting::Ended {
             print: fingerprint,
             run: incarnation,
@@ -108,13 +111,13 @@
     }
 }
 
-/// Notes that a target ended under a call, when that is why a send of it broke off. Nobody waits for it: the call goes on
-/// elsewhere, where it may.
+/// Starts a check whether a target crashed when a send of a call to it was interrupted. It runs in the
+/// background: the call is retried elsewhere meanwhile, where that is allowed.
 pub fn check_target(call: &Call, chosen: &TargetChoice, end: SendEnd) {
     if end != SendEnd::BrokenOff {
         return;
     }
-    // Not the call itself, whose body would be held meanwhile.
+    // Moves only the fields it needs: the call would keep its body in memory meanwhile.
     let (traffic, id, fingerprint) = (Rc::clone(&call.traffic), call.head.id.clone(), call.print);
     let chosen = chosen.clone();
     spawn_local(async move {
@@ -127,10 +130,10 @@
     });
 }
 
-/// Turns a call away that targets have ended under.
+/// Refuses a call that has crashed targets.
 ///
 /// # Errors
-/// When it gets no target for a while. Nothing of it ran unless a send of this very try did.
+/// When the call is blocked for a while. Nothing of it has run unless an earlier send of this try may have.
 pub fn check_blocked(call: &Call) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let now = traffic.now();
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in the heads of their answers.
+//! Reads what targets report of themselves in the headers of their answers.
 
 use super::Traffic;
 use crate::edges::AnswerHead;
@@ -8,40 +8,41 @@
 use hyper::http::response::Parts;
 use tokio::sync::mpsc;
 
-/// Hands what answers say of their targets to the control thread.
+/// Sends what targets report in their answers to the control thread.
 #[derive(Debug)]
 pub struct TargetReports {
     sightings: mpsc::UnboundedSender<Sighting>,
 }
 
 impl TargetReports {
-    /// Hands `sightings` what it reads.
+    /// Creates a reporter that sends to `sightings`.
     pub fn new(sightings: mpsc::UnboundedSender<Sighting>) -> Self {
         Self { sightings }
     }
 
     fn send(&self, sighting: Sighting) {
-        // The control thread is gone only when the process ends.
+        // The receiver, the control thread, is gone only when the process ends.
         let _ = self.sightings.send(sighting);
     }
 }
 
-/// A request to a target whose answer is read.
+/// A request to a target whose answer is being read.
 #[derive(Copy, Clone, Debug)]
 pub struct SentRequest<'a> {
-    /// The target's id.
+    /// Id of the target.
     pub target: &'a str,
-    /// The call's id; empty for pieces.
+    /// Id of the call; empty for a batch call or a release of results.
     pub call: &'a str,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Time,
 }
 
-/// Reads the head of an answer, and notes what it says of its target. All answers of targets are read here.
+/// Reads the header of an answer, and records what it reports of its target. All answers of targets are read
+/// here.
 pub fn read_head(traffic: &Traffic, request: SentRequest, parts: &Parts) -> AnswerHead {
     let head = (traffic.edges.target.answer)(parts);
     if head.misdirected {
-        // Another target has the address now.
+        // Another target uses the address now.
         return head;
     }
     if head.leaving {
@@ -51,7 +52,7 @@
     let id = head.id.as_deref();
     let another_call = id.is_some_and(|id| !request.call.is_empty() && id != request.call);
     if !another_call {
-        // A late answer to another call names a limit of before.
+        // A late answer to another call reports an outdated limit.
         note_limit(traffic, request, head.limit);
     }
     head
@@ -125,7 +126,7 @@
     }
 }
 
-/// The service of a target, for log lines; empty when it is not listed any more.
+/// The service of a target, for log lines; empty when the target is not listed any more.
 fn service(traffic: &Traffic, target: &str) -> String {
     let plan = traffic.plan();
     let entry = plan.targets.get(target);
