--- a/crates/barleyspool_core/src/control/counters.rs
+++ b/crates/barleyspool_core/src/control/counters.rs
@@ -15,11 +15,11 @@
     pub invalid_fleet_lists: u64,
     /// Failed reads of the configuration or the fleet list.
     pub failed_reads: u64,
-    /// Starts that timed out waiting for a majority of the cell.
+    /// Starts whose startup timeout expired before the node had caught up with its cell.
     pub starts_without_peers: u64,
     /// Gossip messages and replies of peers whose lease rules differ.
     pub mismatched_rules: u64,
-    /// Reads by a node that keeps no watch, since no read of its peers was recent enough.
+    /// Reads by a node without watches, because it knew of no recent read by another node.
     pub fallback_reads: u64,
     /// Gossip messages sent to peers.
     pub gossip_sent: u64,
--- a/crates/barleyspool_core/src/control/gossip.rs
+++ b/crates/barleyspool_core/src/control/gossip.rs
@@ -53,12 +53,11 @@
     }
 
     /// Merges a peer's reply, applies its lease vote, and fetches what the peer has newer.
-    pub(super) fn handle_reply(&mut self, now: Time, asked_at: Time, reply: &PeerReply) {
+    pub(super) fn handle_reply(&mut self, now: Time, sent_at: Time, reply: &PeerReply) {
         self.counters.replies_received += 1;
         self.apply_gossip(now, &reply.gossip);
         if reply.gossip.rules == self.settings.rules {
-            self.lease
-                .apply_vote(now, reply.gossip.from, asked_at, reply.vote);
+            self.lease.apply_vote(now, reply.gossip.from, sent_at, reply.vote);
         } else {
             self.counters.mismatched_rules += 1;
         }
@@ -135,12 +134,12 @@
             .filter(in_zone)
             .map(|entry| u64::from(entry.id.0));
         let ranked = rendezvous::rank(rendezvous::text_key("readers"), nodes);
-        let me = u64::from(self.settings.node.0);
+        let own_id = u64::from(self.settings.node.0);
         if ranked.is_empty() {
             // Before the first fleet list a node waits for one from a peer: when a whole zone restarts, the
             // first node that reads the platform passes its list on to the others.
             return now >= self.first_read_at;
         }
-        ranked.iter().take(READERS_PER_ZONE).any(|node| *node == me)
+        ranked.iter().take(READERS_PER_ZONE).any(|node| *node == own_id)
     }
 }
--- a/crates/barleyspool_core/src/control/message.rs
+++ b/crates/barleyspool_core/src/control/message.rs
@@ -26,7 +26,7 @@
     /// A peer replied to a gossip message.
     PeerReplied {
         /// When the gossip message was sent.
-        asked_at: Time,
+        sent_at: Time,
         /// The reply.
         reply: Box<PeerReply>,
     },
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -140,7 +140,7 @@
             ControlEvent::ConfigUnchanged => self.read_at = now,
             ControlEvent::FleetRead { fleet } => self.apply_fleet(now, *fleet),
             ControlEvent::ConfigFailed | ControlEvent::FleetFailed => self.counters.failed_reads += 1,
-            ControlEvent::PeerReplied { asked_at, reply } => self.handle_reply(now, asked_at, &reply),
+            ControlEvent::PeerReplied { sent_at, reply } => self.handle_reply(now, sent_at, &reply),
             ControlEvent::SnapshotReceived { snapshot } => self.handle_snapshot(now, *snapshot),
             ControlEvent::ReportedLeaving(target) => self.handle_leaving(now, target),
             ControlEvent::CooldownRequested(cooldown) => self.handle_cooldown(now, cooldown),
--- a/crates/barleyspool_core/src/control/peers.rs
+++ b/crates/barleyspool_core/src/control/peers.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Merges a gossip message of a peer; messages of unlisted nodes and of older incarnations are ignored.
+    /// Records a gossip message of a peer; messages of unlisted nodes and of older incarnations are ignored.
     pub fn apply_gossip(&mut self, now: Time, gossip: &Gossip) {
         let Some(peer) = self.peers.get_mut(&gossip.from) else {
             return;
--- a/crates/barleyspool_core/src/control/planning.rs
+++ b/crates/barleyspool_core/src/control/planning.rs
@@ -58,14 +58,14 @@
             .iter()
             .filter(|entry| entry.region == self.settings.region);
         let peer = |entry: &crate::EntryNode| {
-            let me = entry.id == self.settings.node;
-            let stopping = if me {
+            let is_self = entry.id == self.settings.node;
+            let stopping = if is_self {
                 self.stop_at.is_some()
             } else {
                 self.peers.is_leaving(entry.id)
             };
             let state = if stopping { ListState::Leaving } else { entry.state };
-            let reachable = me || !self.peers.is_unresponsive(entry.id);
+            let reachable = is_self || !self.peers.is_unresponsive(entry.id);
             PlanPeer {
                 id: entry.id,
                 address: entry.address.clone(),
--- a/crates/barleyspool_core/src/control/settings.rs
+++ b/crates/barleyspool_core/src/control/settings.rs
@@ -25,7 +25,7 @@
     pub subset: SubsetSize,
     /// The interval between two gossip messages to a peer.
     pub heartbeat_interval: Span,
-    /// How long a starting node waits for a majority of its cell before it serves without one.
+    /// How long a starting node waits to catch up with a majority of its cell before it serves anyway.
     pub startup_timeout: Span,
     /// The age of the last known read of the configuration service after which a node without watches reads
     /// it itself.
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Gossips at once after a caller sent a newer revision, and reads the platform if `next_read_at` has passed.
+    /// After a caller sent a newer revision: gossips at once, and reads the platform if a read is allowed.
     pub(super) fn handle_newer_revision(&mut self, now: Time) {
         self.next_heartbeat_at = now;
         if now >= self.next_read_at {
--- a/crates/barleyspool_core/tests/control.rs
+++ b/crates/barleyspool_core/tests/control.rs
@@ -99,7 +99,7 @@
     a.step(
         now,
         ControlEvent::PeerReplied {
-            asked_at: now,
+            sent_at: now,
             reply: Box::new(reply),
         },
     );
--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -20,9 +20,13 @@
 /// The fault that one send of a step meets.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 enum Fault {
+    /// No fault: the step runs and its answer arrives.
     None,
+    /// The target refuses the send.
     Refused,
+    /// The target refuses the send, since it is leaving.
     RefusedLeaving,
+    /// The target cannot be reached.
     Unreachable,
     /// The connection breaks after the step ran.
     BrokenAfterRun,
@@ -93,7 +97,7 @@
 enum Kind {
     Repeatable,
     Unrepeatable,
-    /// The last stage is unrepeatable.
+    /// Repeatable except for its last stage.
     UnrepeatableStage,
 }
 
@@ -136,6 +140,7 @@
     repeatable: bool,
 }
 
+/// One cell while it runs, with the steps that the scripted targets ran.
 struct CellRun {
     bench: Bench,
     cell: MatrixCell,
@@ -179,7 +184,7 @@
     }
 
     /// Runs the cell until every caller has its outcome, at most until 3 s after the deadline.
-    fn play(&mut self) {
+    fn run_to_outcomes(&mut self) {
         let end = self.call.deadline + ms(3000);
         while !self.all_ended() && self.bench.now < end {
             match self.bench.sent.pop() {
@@ -212,11 +217,13 @@
         self.inject(fault, attempt, order);
     }
 
+    /// Runs the step and answers it correctly.
     fn run_and_answer(&mut self, attempt: AttemptId, order: &StepOrder) {
         self.record_run(order);
         self.bench.answer(attempt, order);
     }
 
+    /// Streams the first half of the remaining output.
     fn send_half(&mut self, attempt: AttemptId, order: &StepOrder) {
         let output = output_of(order);
         let from = order.so_far.len().min(output.len());
@@ -380,11 +387,11 @@
                 self.run_and_answer(attempt, order);
             }
             Resend => {
-                let again = Call {
+                let resent = Call {
                     earlier: Earlier::Uncertain,
                     ..self.call.clone()
                 };
-                let caller = self.bench.arrive(again);
+                let caller = self.bench.arrive(resent);
                 self.callers.push(caller);
                 self.run_and_answer(attempt, order);
             }
@@ -412,6 +419,7 @@
     // ------------------------------------------------------------------------
     // Checks
 
+    /// Checks the outcomes of all callers, the steps that ran and the accounting of the router.
     fn check(&mut self) -> Result<(), String> {
         for caller in self.callers.clone() {
             self.check_caller(caller)?;
@@ -441,6 +449,7 @@
         Ok(())
     }
 
+    /// Checks that a caller received one outcome in time, with a correct verdict and only its own output.
     fn check_caller(&self, caller: CallerId) -> Result<(), String> {
         let received = &self.bench.callers[&caller];
         let [outcome] = received.outcomes.as_slice() else {
@@ -473,6 +482,7 @@
         }
     }
 
+    /// Checks that no unrepeatable step ran more than once.
     fn check_step_runs(&self) -> Result<(), String> {
         for step in 0..STEPS {
             let count = self
@@ -494,13 +504,13 @@
         }
         let first = self.callers[0];
         let disconnected = [self.cell.first, self.cell.second].contains(&CallerDisconnects);
-        let again = Call {
+        let resent = Call {
             earlier: Earlier::Uncertain,
             ..self.call.clone()
         };
-        let caller = self.bench.arrive(again);
+        let caller = self.bench.arrive(resent);
         self.callers.push(caller);
-        self.play();
+        self.run_to_outcomes();
         self.check_step_runs()?;
         let received = |caller| {
             (
@@ -523,7 +533,7 @@
 
 fn run_cell(cell: MatrixCell, guards: Guards) -> Result<(), String> {
     let mut run = CellRun::new(cell, guards);
-    run.play();
+    run.run_to_outcomes();
     run.check()
 }
 
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -225,7 +225,7 @@
                 Ok(reply) => {
                     clients.lock().await.insert(address, client);
                     let event = ControlEvent::PeerReplied {
-                        asked_at: asked,
+                        sent_at: asked,
                         reply: Box::new(reply),
                     };
                     let _ = inbox.send(ControlMessage::Event(event));
