--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -128,7 +128,7 @@
         changed
     }
 
-    /// The calls per second that a target accepts from all nodes together, and at least [`MIN_RATE`];
+    /// The calls per second that a target accepts from all nodes together, and at least `MIN_RATE`;
     /// `None` if it has no limit.
     pub fn per_s(&self, run: IncarnationId) -> Option<f64> {
         let named = self.reports.get(&run)?.per_s?;
