--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -47,7 +47,7 @@
 }
 
 /// Tracks one send in the forwarder and in its placement. A send that is dropped before it ended, as when its
-/// task is cancelled, is recorded as abandoned.
+/// task is cancelled, is counted as cancelled and abandoned in the forwarder.
 pub struct SendGuard {
     call: Rc<Call>,
     pub chosen: TargetChoice,
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -269,8 +269,8 @@
     }
 }
 
-/// Waits, then checks that the node responds: `true` when it sent something recently, answers a ping, or a
-/// ping of another order on the same link is under way.
+/// Waits, then checks that the node responds: `true` when it has answered something recently, answers a ping,
+/// or a ping of another order on the same link is under way.
 async fn is_responsive(link: &Link) -> bool {
     timer::sleep(PING_AFTER).await;
     if link.last_answer.get().elapsed() < PING_AFTER || link.pinging.get() {
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -21,7 +21,7 @@
 
 /// How long the owner may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Placements without an update for this time are dropped, in microseconds.
+/// Placements older than this are dropped, in microseconds: the message that ends one may have been lost.
 const PLACEMENT_TTL_US: u64 = 30_000_000;
 
 /// Expired placements are removed whenever the number of placements is a multiple of this.
@@ -52,7 +52,7 @@
 
     /// Reports how the send ended.
     pub fn end(&mut self, end: SendEnd) {
-        let good = matches!(
+        let success = matches!(
             end,
             SendEnd::Answered { .. }
                 | SendEnd::Refused {
@@ -61,7 +61,11 @@
                 }
         );
         self.ended = true;
-        self.report(if good { PlaceStep::Ended } else { PlaceStep::Failed });
+        self.report(if success {
+            PlaceStep::Ended
+        } else {
+            PlaceStep::Failed
+        });
     }
 
     fn report(&self, step: PlaceStep) {
@@ -101,7 +105,7 @@
     if query.engine_memory.is_none() {
         return PlaceResult::NotPlaced;
     }
-    let first = engine_shard(call, &query);
+    let first_shard = engine_shard(call, &query);
     // A report of no capacity is valid only while all engines are rate-limited: an engine whose rate limit
     // was removed has capacity, whatever was reported before.
     let all_rate_limited = traffic
@@ -109,10 +113,10 @@
         .borrow()
         .all_rate_limited(traffic.now(), &query.service);
     let mut shortest_wait: Option<Span> = None;
-    for step in 0..first.of {
+    for offset in 0..first_shard.of {
         let id = PoolId {
             service: query.service.clone(),
-            shard: (first.number + step) % first.of,
+            shard: (first_shard.number + offset) % first_shard.of,
         };
         let place = traffic
             .peers
@@ -125,7 +129,7 @@
         let PlaceResult::NoCapacity(wait) = place else {
             return place;
         };
-        shortest_wait = Some(shortest_wait.map_or(wait, |shortest_wait| shortest_wait.min(wait)));
+        shortest_wait = Some(shortest_wait.map_or(wait, |shortest| shortest.min(wait)));
     }
     shortest_wait.map_or(PlaceResult::NotPlaced, PlaceResult::NoCapacity)
 }
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -91,7 +91,7 @@
             Ok(key) => key,
             Err(retry_after) => return OrderOutcome::TooLate(retry_after),
         };
-        let (sender, ended) = oneshot::channel();
+        let (sender, outcome) = oneshot::channel();
         self.waiters.borrow_mut().insert(key, sender);
         let mut guard = OrderGuard {
             pool: self,
@@ -100,9 +100,9 @@
         };
         *self.requesters.borrow_mut().entry(requester).or_default() += 1;
         self.wake();
-        let end = ended.await.unwrap_or(OrderOutcome::Failed);
+        let outcome = outcome.await.unwrap_or(OrderOutcome::Failed);
         guard.key = None;
-        end
+        outcome
     }
 
     fn requester_done(&self, requester: u64) {
@@ -334,12 +334,12 @@
         return BatchAnswer::without_connection(BatchOutcome::BrokenOff);
     };
     BatchAnswer {
-        outcome: outcome(traffic, &head, parts.status, &body.to_bytes()),
+        outcome: read_outcome(traffic, &head, parts.status, &body.to_bytes()),
         connection: Some((connection, head.keep.map(duration))),
     }
 }
 
-fn outcome(traffic: &Traffic, head: &AnswerHead, status: StatusCode, body: &[u8]) -> BatchOutcome {
+fn read_outcome(traffic: &Traffic, head: &AnswerHead, status: StatusCode, body: &[u8]) -> BatchOutcome {
     if head.not_run || head.misdirected {
         return BatchOutcome::Refused {
             misdirected: head.misdirected,
@@ -379,11 +379,11 @@
         for (address, target, handles) in releasable {
             let (path, body) = (traffic.edges.pool.free)(&handles);
             if let Some(request) = request(&traffic, path, &address, &target, body) {
-                let to = (address, target);
+                let destination = (address, target);
                 spawn_local(send_release(
                     Rc::clone(&traffic),
                     Rc::clone(&pool),
-                    to,
+                    destination,
                     handles,
                     request,
                 ));
@@ -407,8 +407,8 @@
         let (parts, body) = response.into_parts();
         target_reports::read_head(&traffic, batch_request(&target, sent_at), &parts);
         let freed = parts.status.is_success();
-        let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        if whole.is_ok() {
+        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        if body.is_ok() {
             traffic.connections.put_back(connection, None);
         }
         if freed {
