--- a/crates/barleyspool_core/src/backlog.rs
+++ b/crates/barleyspool_core/src/backlog.rs
@@ -1,4 +1,5 @@
-//! What has been admitted and will still need a service, to tell a newcomer how long it would wait.
+//! Outstanding work per service: the steps that admitted requests have yet to send. Admission control
+//! estimates the queueing delay of a new request from it.
 
 use crate::{OrgKey, Span, Time};
 use std::collections::{BTreeMap, HashMap};
@@ -11,54 +12,60 @@
 
 #[derive(Debug, Default)]
 struct RankBacklog {
-    /// Steps that arrived lately, each counting less the longer ago it was.
-    recent: f64,
-    counted: Time,
+    /// Exponentially decayed count of arrivals, as of `rate_updated`.
+    recent_arrivals: f64,
+    rate_updated: Time,
     steps: u32,
     weight: u64,
     orgs: HashMap<OrgKey, OrgBacklog>,
 }
 
-/// An organisation of little weight is overtaken by what others send after it. Its wait is reckoned as if it
-/// came after this many times the steps there are now, but never as more than its fair share would make it.
-const OVERTAKEN: f64 = 1.5;
-/// Over how long arrivals are averaged into a rate.
-const RATE_OVER: Span = Span::from_secs(1);
+/// Later arrivals of other organisations overtake an organisation of low weight. The steps ahead of it are
+/// therefore estimated as its fair share implies, limited to this multiple of the queued steps of its class.
+const OVERTAKE_FACTOR: f64 = 1.5;
+/// Time constant of the exponential moving average of the arrival rate.
+const RATE_TIME_CONSTANT: Span = Span::from_secs(1);
 
-/// The steps that admitted requests will still send to one service, by class and organisation.
+/// The steps that admitted requests have yet to send to one service, by class and organisation.
 ///
-/// Only organisations with such steps are kept, so its size follows the work and not the 47,000.
+/// Only organisations with outstanding steps have an entry, so memory grows with the work in progress and
+/// not with the 47,000 configured organisations.
 #[derive(Debug, Default)]
 pub struct Backlog {
     ranks: BTreeMap<u8, RankBacklog>,
 }
 
 impl RankBacklog {
-    /// Arrivals a second, as they were lately.
-    fn rate(&self, now: Time) -> f64 {
-        self.recent * (-now.since(self.counted).as_secs() / RATE_OVER.as_secs()).exp() / RATE_OVER.as_secs()
+    /// Recent arrivals per second.
+    fn arrival_rate(&self, now: Time) -> f64 {
+        self.recent_arrivals * (-now.since(self.rate_updated).as_secs() / RATE_TIME_CONSTANT.as_secs()).exp()
+            / RATE_TIME_CONSTANT.as_secs()
     }
 
-    fn arrived(&mut self, now: Time) {
-        self.recent = self.rate(now) * RATE_OVER.as_secs() + 1.0;
-        self.counted = now;
+    fn record_arrival(&mut self, now: Time) {
+        self.recent_arrivals = self.arrival_rate(now) * RATE_TIME_CONSTANT.as_secs() + 1.0;
+        self.rate_updated = now;
     }
 }
 
 impl Backlog {
-    /// A request was admitted that will need the service.
-    pub fn arrived(&mut self, now: Time, rank: u8, org: OrgKey, weight: u32) {
+    /// Adds a step of a newly admitted request and counts it in the arrival rate of its class.
+    pub fn record_arrival(&mut self, now: Time, rank: u8, org: OrgKey, weight: u32) {
         self.add(rank, org, weight);
         if let Some(class) = self.ranks.get_mut(&rank) {
-            class.arrived(now);
+            class.record_arrival(now);
         }
     }
 
-    /// Steps a second that classes above `rank` have lately brought: they will go first when they come.
-    pub fn rate_above(&self, now: Time, rank: u8) -> f64 {
-        self.ranks.range(..rank).map(|(_, class)| class.rate(now)).sum()
+    /// Recent arrival rate, in steps per second, of the classes that take precedence over `rank`.
+    pub fn arrival_rate_above(&self, now: Time, rank: u8) -> f64 {
+        self.ranks
+            .range(..rank)
+            .map(|(_, class)| class.arrival_rate(now))
+            .sum()
     }
-    /// A step has to be sent again.
+
+    /// Adds a step without counting an arrival, for example one that has to be retried.
     pub fn add(&mut self, rank: u8, org: OrgKey, weight: u32) {
         let class = self.ranks.entry(rank).or_default();
         let entry = class.orgs.entry(org).or_insert_with(|| {
@@ -72,7 +79,7 @@
         class.steps += 1;
     }
 
-    /// A step was sent, or will not be needed any more.
+    /// Removes a step that was dispatched or is no longer needed.
     pub fn remove(&mut self, rank: u8, org: OrgKey) {
         let Some(class) = self.ranks.get_mut(&rank) else {
             return;
@@ -88,29 +95,30 @@
         }
     }
 
-    /// How many steps there are.
+    /// Number of outstanding steps.
     pub fn len(&self) -> u32 {
         self.ranks.values().map(|class| class.steps).sum()
     }
 
-    /// Whether there are none.
+    /// Whether no step is outstanding.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many organisations are kept.
-    pub fn active(&self) -> usize {
+    /// Number of entries: organisations with outstanding steps, summed over the classes.
+    pub fn organisation_count(&self) -> usize {
         self.ranks.values().map(|class| class.orgs.len()).sum()
     }
 
-    /// How many steps of `org` there are.
-    pub fn owned(&self, rank: u8, org: OrgKey) -> f64 {
+    /// Number of outstanding steps of `org`.
+    pub fn steps_of(&self, rank: u8, org: OrgKey) -> f64 {
         let entry = self.ranks.get(&rank).and_then(|class| class.orgs.get(&org));
         entry.map_or(0.0, |entry| f64::from(entry.steps))
     }
 
-    /// The share that `org` is due of its class, among the organisations that have steps.
-    pub fn share(&self, rank: u8, org: OrgKey, weight: u32) -> f64 {
+    /// The fair share of its class that `org` is entitled to among the organisations with outstanding steps,
+    /// between 0 and 1.
+    pub fn fair_share(&self, rank: u8, org: OrgKey, weight: u32) -> f64 {
         let weight = f64::from(weight.max(1));
         let Some(class) = self.ranks.get(&rank) else {
             return 1.0;
@@ -123,12 +131,12 @@
         weight / (class.weight as f64 + own)
     }
 
-    /// About how many steps would be sent before a new one of `org`.
+    /// Estimates how many steps are dispatched before a new one of `org`.
     ///
-    /// All of the classes above, and of its own class what fair shares let pass first: an organisation
-    /// that waits little is not held up by one that has flooded the queue. The cost does not depend on
-    /// how many organisations there are.
-    pub fn ahead(&self, rank: u8, org: OrgKey, weight: u32) -> f64 {
+    /// This includes all steps of more important classes and, of its own class, those that fair queueing
+    /// serves first: an organisation with few outstanding steps is not delayed by one that floods the
+    /// queue. The cost is independent of the number of organisations.
+    pub fn steps_ahead(&self, rank: u8, org: OrgKey, weight: u32) -> f64 {
         let above: u32 = self.ranks.range(..rank).map(|(_, class)| class.steps).sum();
         let Some(class) = self.ranks.get(&rank) else {
             return f64::from(above);
@@ -139,6 +147,6 @@
             None => (0.0, class.weight as f64 + weight),
         };
         let fair = (own + 1.0) * total / weight - 1.0;
-        f64::from(above) + fair.min(f64::from(class.steps) * OVERTAKEN)
+        f64::from(above) + fair.min(f64::from(class.steps) * OVERTAKE_FACTOR)
     }
 }
--- a/crates/barleyspool_core/src/chart.rs
+++ b/crates/barleyspool_core/src/chart.rs
@@ -1,20 +1,21 @@
-//! State charts that are read from files and interpreted.
+//! State machines that are loaded from chart files and interpreted.
 //!
-//! A chart lists, for every state, what each event does: move to a state, or be ignored. Loading a chart
-//! checks that every state and event is known, that each state handles or ignores every event, and that
-//! every state can be reached. The files are in `charts/`; docs/DESIGN.md, "State charts", says why.
+//! A chart lists the effect of each event in every state: a transition to another state, or none. Loading
+//! a chart checks that every state and event exists in the code, that each state handles or ignores every
+//! event, and that every state is reachable. The files are in `charts/`; docs/DESIGN.md, "State charts",
+//! gives the reasons.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
 
-/// A state or an event of a chart: a small enum with stable names.
+/// A state or an event of a chart: an enum with stable names.
 pub trait Symbol: Copy + Eq + 'static {
-    /// Every value, in order; `index` counts along it.
+    /// Every value, in the order of [`Symbol::index`].
     const ALL: &'static [Self];
-    /// The name that the chart file uses.
+    /// The name in the chart file.
     fn name(self) -> &'static str;
-    /// The place in [`Symbol::ALL`].
+    /// The position in [`Symbol::ALL`].
     fn index(self) -> usize;
 }
 
@@ -38,24 +39,24 @@
 }
 pub(crate) use symbol;
 
-/// What is wrong with a chart file.
+/// Why a chart file is invalid.
 #[derive(Debug, displaydoc::Display)]
 pub enum ChartError {
-    /// chart {chart}: not readable: {cause}
+    /// chart {chart}: cannot be parsed: {cause}
     Syntax {
         /// The chart's name.
         chart: &'static str,
-        /// What the parser said.
+        /// The error message of the parser.
         cause: String,
     },
-    /// chart {chart}: "{name}" is not a state or event of the code
+    /// chart {chart}: unknown state or event "{name}"
     Unknown {
         /// The chart's name.
         chart: &'static str,
-        /// The name that the code does not have.
+        /// The name that the code does not define.
         name: String,
     },
-    /// chart {chart}: state "{state}" says nothing of event "{event}"
+    /// chart {chart}: state "{state}" neither handles nor ignores event "{event}"
     Unhandled {
         /// The chart's name.
         chart: &'static str,
@@ -73,7 +74,7 @@
         /// The event.
         event: String,
     },
-    /// chart {chart}: state "{state}" cannot be reached
+    /// chart {chart}: state "{state}" is unreachable
     Unreachable {
         /// The chart's name.
         chart: &'static str,
@@ -102,7 +103,7 @@
     ignore: Vec<String>,
 }
 
-/// A checked chart over the states `S` and the events `E`.
+/// A validated chart over the states `S` and the events `E`.
 #[derive(Clone, Debug)]
 pub struct Chart<S, E> {
     name: &'static str,
@@ -112,28 +113,28 @@
 }
 
 impl<S: Symbol, E: Symbol> Chart<S, E> {
-    /// Reads and checks the chart `name` from the text of its file.
+    /// Parses and validates the chart `name` from the text of its file.
     ///
     /// # Errors
-    /// Says what is wrong with the file; see [`ChartError`].
+    /// The first problem found in the file; see [`ChartError`].
     pub fn load(name: &'static str, text: &str) -> Result<Self, ChartError> {
         let file: ChartFile = serde_json::from_str(text).map_err(|error| ChartError::Syntax {
             chart: name,
             cause: error.to_string(),
         })?;
         let initial = find::<S>(name, &file.initial)?;
-        let mut said = vec![false; S::ALL.len() * E::ALL.len()];
-        let mut table = vec![None; said.len()];
+        let mut specified = vec![false; S::ALL.len() * E::ALL.len()];
+        let mut table = vec![None; specified.len()];
         for (state_name, state_file) in &file.states {
             let state = find::<S>(name, state_name)?;
             for (event_name, next_name) in &state_file.on {
-                let cell = state.index() * E::ALL.len() + find::<E>(name, event_name)?.index();
-                table[cell] = Some(find::<S>(name, next_name)?);
-                said[cell] = true;
+                let index = state.index() * E::ALL.len() + find::<E>(name, event_name)?.index();
+                table[index] = Some(find::<S>(name, next_name)?);
+                specified[index] = true;
             }
             for event_name in &state_file.ignore {
-                let cell = state.index() * E::ALL.len() + find::<E>(name, event_name)?.index();
-                if said[cell] {
+                let index = state.index() * E::ALL.len() + find::<E>(name, event_name)?.index();
+                if specified[index] {
                     let (state, event) = (state_name.clone(), event_name.clone());
                     return Err(ChartError::Ambiguous {
                         chart: name,
@@ -141,7 +142,7 @@
                         event,
                     });
                 }
-                said[cell] = true;
+                specified[index] = true;
             }
         }
         let chart = Self {
@@ -150,22 +151,22 @@
             table,
             events: PhantomData,
         };
-        chart.check_handled(&said)?;
+        chart.check_handled(&specified)?;
         chart.check_reachable()?;
         Ok(chart)
     }
 
-    /// The state in which everything starts.
+    /// The initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// Where `event` leads from `state`; `None` when the chart ignores it there.
+    /// The state that `event` leads to from `state`; `None` if `state` ignores the event.
     pub fn next(&self, state: S, event: E) -> Option<S> {
         self.table[state.index() * E::ALL.len() + event.index()]
     }
 
-    /// Moves `state` along, and says whether the chart handled the event.
+    /// Applies `event` to `state`; returns false if the chart ignores the event in that state.
     pub fn step(&self, state: &mut S, event: E) -> bool {
         let next = self.next(*state, event);
         if let Some(next) = next {
@@ -174,10 +175,10 @@
         next.is_some()
     }
 
-    fn check_handled(&self, said: &[bool]) -> Result<(), ChartError> {
+    fn check_handled(&self, specified: &[bool]) -> Result<(), ChartError> {
         for &state in S::ALL {
             for &event in E::ALL {
-                if !said[state.index() * E::ALL.len() + event.index()] {
+                if !specified[state.index() * E::ALL.len() + event.index()] {
                     let (state, event) = (state.name(), event.name());
                     return Err(ChartError::Unhandled {
                         chart: self.name,
@@ -191,15 +192,15 @@
     }
 
     fn check_reachable(&self) -> Result<(), ChartError> {
-        let mut seen = vec![false; S::ALL.len()];
-        let mut todo = vec![self.initial];
-        while let Some(state) = todo.pop() {
-            if std::mem::replace(&mut seen[state.index()], true) {
+        let mut reached = vec![false; S::ALL.len()];
+        let mut pending = vec![self.initial];
+        while let Some(state) = pending.pop() {
+            if std::mem::replace(&mut reached[state.index()], true) {
                 continue;
             }
-            todo.extend(E::ALL.iter().filter_map(|&event| self.next(state, event)));
+            pending.extend(E::ALL.iter().filter_map(|&event| self.next(state, event)));
         }
-        match S::ALL.iter().find(|state| !seen[state.index()]) {
+        match S::ALL.iter().find(|state| !reached[state.index()]) {
             Some(state) => Err(ChartError::Unreachable {
                 chart: self.name,
                 state: state.name(),
--- a/crates/barleyspool_core/src/control/gossip.rs
+++ b/crates/barleyspool_core/src/control/gossip.rs
@@ -15,12 +15,12 @@
     pub(super) fn own_gossip(&self, now: Time) -> Gossip {
         Gossip {
             from: self.settings.node,
-            run: self.settings.incarnation,
+            incarnation: self.settings.incarnation,
             rules: self.settings.rules,
             epoch: self.lease.epoch(),
             config: self.store.revision(),
             fleet: self.fleet.revision,
-            read_age: now.since(self.read_at).as_millis().min(u64::from(u32::MAX)) as u32,
+            read_age_ms: now.since(self.read_at).as_millis().min(u64::from(u32::MAX)) as u32,
             stopping: self.phase == NodePhase::Stopping,
             leaving: self.leaving_targets(),
             bulk: self.settings.bulk_address.clone(),
@@ -38,7 +38,7 @@
     /// Merges the gossip of a peer, from a request or a reply.
     pub(super) fn apply_gossip(&mut self, now: Time, gossip: &Gossip) {
         self.peers.apply_gossip(now, gossip);
-        let read_at = now - Span::from_millis(gossip.read_age.into());
+        let read_at = now - Span::from_millis(gossip.read_age_ms.into());
         self.read_at = self.read_at.max(read_at);
         for target in &gossip.leaving {
             let listed = self
--- a/crates/barleyspool_core/src/control/message.rs
+++ b/crates/barleyspool_core/src/control/message.rs
@@ -1,7 +1,7 @@
 //! Events and actions of the control state.
 
 use crate::{
-    ConfigDocument, Fleet, Gossip, LeavingTarget, PeerReply, Plan, Revision, Snapshot, TargetRest, Time,
+    ConfigDocument, Fleet, Gossip, LeavingTarget, PeerReply, Plan, Revision, Snapshot, TargetCooldown, Time,
 };
 
 /// An event that the control thread reports to the control state.
@@ -38,7 +38,7 @@
     /// A target reported that it is leaving.
     ReportedLeaving(LeavingTarget),
     /// A target requested a cooldown from this node.
-    CooldownRequested(TargetRest),
+    CooldownRequested(TargetCooldown),
     /// A caller sent a revision that is newer than the one in force.
     NewerRevisionSeen,
     /// A planned stop was requested.
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -159,7 +159,7 @@
     pub fn answer_gossip(&mut self, now: Time, gossip: &Gossip) -> PeerReply {
         self.apply_gossip(now, gossip);
         let vote = if gossip.rules == self.settings.rules {
-            self.lease.vote_for(gossip.from, gossip.run)
+            self.lease.vote_for(gossip.from, gossip.incarnation)
         } else {
             self.counters.mismatched_rules += 1;
             LeaseVote::default()
--- a/crates/barleyspool_core/src/control/peers.rs
+++ b/crates/barleyspool_core/src/control/peers.rs
@@ -98,11 +98,11 @@
         let Some(peer) = self.peers.get_mut(&gossip.from) else {
             return;
         };
-        if gossip.run < peer.incarnation {
+        if gossip.incarnation < peer.incarnation {
             return;
         }
-        if gossip.run > peer.incarnation {
-            peer.incarnation = gossip.run;
+        if gossip.incarnation > peer.incarnation {
+            peer.incarnation = gossip.incarnation;
             self.chart.step(&mut peer.phase, PeerEvent::Restarted);
         }
         let event = if gossip.stopping {
--- a/crates/barleyspool_core/src/control/planning.rs
+++ b/crates/barleyspool_core/src/control/planning.rs
@@ -37,7 +37,7 @@
             NodePhase::Stopping => Serving::Stopping,
         };
         Plan {
-            made: now,
+            refreshed_at: now,
             serving,
             config: self.store.config().cloned(),
             fleet: Arc::clone(&self.fleet),
--- a/crates/barleyspool_core/src/control/updates.rs
+++ b/crates/barleyspool_core/src/control/updates.rs
@@ -2,7 +2,7 @@
 
 use super::{Control, ControlAction, NodeEvent, NodePhase};
 use crate::{
-    ConfigDocument, Fleet, Guard, LeavingTarget, ListState, PlanTarget, Snapshot, Span, TargetRest, Time,
+    ConfigDocument, Fleet, Guard, LeavingTarget, ListState, PlanTarget, Snapshot, Span, TargetCooldown, Time,
     sharers, subset,
 };
 use rand::Rng;
@@ -25,7 +25,7 @@
             self.counters.stale_fleet_lists += u64::from(fleet.revision < self.fleet.revision);
             return;
         }
-        if fleet.fault().is_some() {
+        if fleet.validation_error().is_some() {
             self.counters.invalid_fleet_lists += 1;
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Extends the cooldown of a target; a request that ends earlier than the current one changes nothing.
-    pub(super) fn handle_cooldown(&mut self, now: Time, cooldown: TargetRest) {
+    pub(super) fn handle_cooldown(&mut self, now: Time, cooldown: TargetCooldown) {
         self.cooldowns.retain(|_, until| *until > now);
         let until = self
             .cooldowns
@@ -111,12 +111,12 @@
                 incarnation: target.incarnation,
                 address: target.address.clone(),
                 zone: target.zone.clone(),
-                near: target.zone == self.settings.zone,
+                same_zone: target.zone == self.settings.zone,
                 service,
                 slots: target.slots,
                 share: f64::from(target.slots) / *count as f64,
                 leaving: leaving(target),
-                rest_until: cooldown_until(target),
+                cooldown_until: cooldown_until(target),
             });
         }
         self.targets = Arc::new(targets);
--- a/crates/barleyspool_core/src/counters.rs
+++ b/crates/barleyspool_core/src/counters.rs
@@ -1,64 +1,70 @@
-//! What happened, counted. Logs say only when a state changed; these say how often.
+//! Event counters. The log records only state changes; the counters record how often each event occurred.
 
 use crate::{Reason, RetryReason, ServiceIx};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One thing that is counted.
+/// A counted event or amount.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Counter {
-    /// Requests that arrived.
+    /// Requests received.
     Arrived,
     /// Requests of a class, by rank, that were answered completely before their deadline.
     Complete(u8),
-    /// Requests refused as not run.
+    /// Requests refused with the verdict "not run".
     RefusedNotRun(Reason),
-    /// Requests given up when some of them ran or may have run.
+    /// Requests that failed after a part of them ran or may have run.
     RefusedUnknown(Reason),
-    /// Steps sent to a target.
+    /// Steps sent to a target, retries included.
     Dispatched(ServiceIx),
-    /// Steps sent again.
+    /// Retried steps, by the reason for the retry.
     Retried(RetryReason),
-    /// Retries that the budget did not allow.
+    /// Retries that the retry budget denied.
     RetryDenied,
-    /// Answers that did not name their own request, step and attempt.
+    /// Responses whose [`Echo`](crate::Echo) did not match the request, step and attempt they came for.
     Misdirected,
-    /// Connections that were closed because the head of a call came too slowly.
-    SlowHead,
-    /// A caller's connection that ended while the kernel had not taken all of an answer.
+    /// Connections closed because the header of a call arrived too slowly.
+    #[serde(rename = "SlowHead")]
+    SlowHeader,
+    /// Caller connections that ended before the kernel had accepted all bytes of a response.
     Undelivered,
-    /// Answers that came after their attempt had been given up.
-    Late,
-    /// Streams whose offsets left a gap.
-    Gap,
-    /// Repeats of an unrepeatable key that joined the one run of it.
+    /// Responses that arrived after their attempt had been cancelled.
+    #[serde(rename = "Late")]
+    LateAnswer,
+    /// Streams whose offsets had a gap.
+    #[serde(rename = "Gap")]
+    StreamGap,
+    /// Repeated unrepeatable requests that joined the execution already in progress.
     Joined,
-    /// Repeats of an unrepeatable key that were answered from memory.
+    /// Repeated unrepeatable requests that were answered from the remembered outcome of their key.
     Remembered,
     /// Attempts cancelled at their target.
     Cancelled,
-    /// Targets put into quarantine by this node.
+    /// Targets that this node put into quarantine.
     Quarantined,
-    /// Quarantines that were not made because too many targets were in it.
+    /// Targets not put into quarantine because too many already were.
     QuarantineCapped,
-    /// Targets that said they were leaving.
+    /// Targets that reported that they are leaving.
     ReportedLeaving,
-    /// Sends under which a target ended.
-    TargetEnded,
-    /// Refusals in which a target asked for rest.
-    AskedRest,
-    /// Refusals that named a time of rest which cannot be read.
-    RestUnreadable,
-    /// Answers whose target named a limit that cannot be read.
+    /// Sends during which the target crashed.
+    #[serde(rename = "TargetEnded")]
+    TargetCrashed,
+    /// Refusals in which a target requested a cooldown.
+    #[serde(rename = "AskedRest")]
+    CooldownRequested,
+    /// Refusals whose cooldown time could not be parsed.
+    #[serde(rename = "RestUnreadable")]
+    CooldownUnreadable,
+    /// Responses whose rate limit could not be parsed.
     LimitUnreadable,
-    /// Microseconds of a service spent on requests, all in all.
+    /// Total service time spent on requests, in microseconds.
     Spent(ServiceIx),
-    /// Microseconds of a service spent on requests that were not completed in time.
+    /// Service time spent on requests that were not completed by their deadline, in microseconds.
     Wasted(ServiceIx),
 }
 
 impl Counter {
-    /// The name under which the counter is published.
+    /// The published name of the counter, without its labels.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Arrived => "arrived",
@@ -69,19 +75,19 @@
             Self::Retried(_) => "retried",
             Self::RetryDenied => "retry_denied",
             Self::Misdirected => "misdirected",
-            Self::SlowHead => "slow_head",
+            Self::SlowHeader => "slow_head",
             Self::Undelivered => "undelivered",
-            Self::Late => "late",
-            Self::Gap => "gap",
+            Self::LateAnswer => "late",
+            Self::StreamGap => "gap",
             Self::Joined => "joined",
             Self::Remembered => "remembered",
             Self::Cancelled => "cancelled",
             Self::Quarantined => "quarantined",
             Self::QuarantineCapped => "quarantine_capped",
             Self::ReportedLeaving => "reported_leaving",
-            Self::TargetEnded => "target_ended",
-            Self::AskedRest => "asked_rest",
-            Self::RestUnreadable => "rest_unreadable",
+            Self::TargetCrashed => "target_ended",
+            Self::CooldownRequested => "asked_rest",
+            Self::CooldownUnreadable => "rest_unreadable",
             Self::LimitUnreadable => "limit_unreadable",
             Self::Spent(_) => "spent_us",
             Self::Wasted(_) => "wasted_us",
@@ -89,20 +95,20 @@
     }
 }
 
-/// Every counter that is not zero.
+/// The values of all counters that are not zero.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
-    /// The values.
+    /// The values by counter; a missing counter is zero.
     pub values: BTreeMap<Counter, u64>,
 }
 
 impl Counters {
-    /// Counts one.
+    /// Increments `counter` by one.
     pub fn count(&mut self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts `amount`.
+    /// Increments `counter` by `amount`.
     pub fn add(&mut self, counter: Counter, amount: u64) {
         *self.values.entry(counter).or_default() += amount;
     }
@@ -112,7 +118,7 @@
         self.values.get(&counter).copied().unwrap_or_default()
     }
 
-    /// The sum over all counters that `wanted` picks.
+    /// The sum of all counters for which `wanted` returns true.
     pub fn sum(&self, wanted: impl Fn(Counter) -> bool) -> u64 {
         self.values
             .iter()
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -43,7 +43,7 @@
 impl IncarnationId {
     /// Returns the hash for incarnation `incarnation` of the target `id`.
     pub fn of(id: &str, incarnation: u64) -> Self {
-        Self(rendezvous::place(rendezvous::text_key(id), incarnation) as u32)
+        Self(rendezvous::order(rendezvous::text_key(id), incarnation) as u32)
     }
 }
 
--- a/crates/barleyspool_core/src/fair_queue.rs
+++ b/crates/barleyspool_core/src/fair_queue.rs
@@ -1,60 +1,61 @@
-//! The queue before a service: classes by rank, organisations by weight, then least slack.
+//! The queue of a service: strict priority between classes, weighted fair queueing between the organisations
+//! of a class, and least slack first within an organisation.
 
 use crate::{RequestId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// An organisation in the queues: a hash of its name, so that it outlives configuration changes.
+/// Key of an organisation in the queues: a hash of its name, which is stable across configuration changes.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrgKey(pub u64);
 
-/// A waiting step of a request. Its order among those of one organisation is the order of these fields:
-/// what has begun goes first, so that work already paid for is not wasted, then what must start soonest.
+/// A queued step of a request. The derived order over the fields is the queue order within an organisation:
+/// requests in progress go first, so that completed work is not wasted, then the earliest latest start time.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Waiting {
+pub struct WaitingStep {
     /// Whether no step of the request has run yet.
-    pub fresh: bool,
-    /// The latest time at which it can start and still make its deadline.
+    pub not_started: bool,
+    /// The latest time at which the step can start for the request to meet its deadline.
     pub start_by: Time,
     /// The request.
     pub request: RequestId,
 }
 
-/// Where a waiting step stands, to take it out again.
+/// A queued step with its class and organisation: its full position in a [`FairQueue`].
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct QueueEntry {
     /// The class's rank.
     pub rank: u8,
     /// The organisation.
     pub org: OrgKey,
     /// The step.
-    pub waiting: Waiting,
+    pub step: WaitingStep,
 }
 
 #[derive(Debug, Default)]
 struct OrgQueue {
     tag: u64,
     weight: u32,
-    waiting: BTreeSet<Waiting>,
+    waiting: BTreeSet<WaitingStep>,
 }
 
-/// The queue of one class: start-time fair queueing over the organisations that wait.
+/// The queue of one class: start-time fair queueing over the organisations that have queued steps.
 #[derive(Debug, Default)]
 struct ClassQueue {
-    /// The virtual time: the tag of the organisation that was served last.
-    clock: u64,
+    /// Start tag of the organisation that was served last.
+    virtual_time: u64,
     orgs: HashMap<OrgKey, OrgQueue>,
     order: BTreeSet<(u64, OrgKey)>,
     len: u32,
 }
 
-/// One step of virtual time for an organisation of weight 1.
+/// Virtual time that one step costs an organisation of weight 1.
 const TAG_STEP: u64 = 1 << 20;
 
 impl ClassQueue {
-    fn push(&mut self, org: OrgKey, weight: u32, waiting: Waiting) {
+    fn push(&mut self, org: OrgKey, weight: u32, waiting: WaitingStep) {
         let idle = OrgQueue {
-            tag: self.clock,
+            tag: self.virtual_time,
             weight: weight.max(1),
             waiting: BTreeSet::new(),
         };
@@ -65,7 +66,7 @@
         }
     }
 
-    fn remove(&mut self, org: OrgKey, waiting: Waiting) -> bool {
+    fn remove(&mut self, org: OrgKey, waiting: WaitingStep) -> bool {
         let Some(queue) = self.orgs.get_mut(&org) else {
             return false;
         };
@@ -73,12 +74,12 @@
             return false;
         }
         self.len -= 1;
-        self.forget_idle(org);
+        self.remove_idle(org);
         true
     }
 
-    /// Takes the next step, leaving out those for which `skip` says so.
-    fn pop(&mut self, skip: &dyn Fn(RequestId) -> bool) -> Option<(OrgKey, Waiting)> {
+    /// Removes and returns the next step, passing over those for which `skip` returns true.
+    fn pop(&mut self, skip: &dyn Fn(RequestId) -> bool) -> Option<(OrgKey, WaitingStep)> {
         let (tag, org, waiting) = self.order.iter().find_map(|&(tag, org)| {
             let waiting = self
                 .orgs
@@ -88,19 +89,20 @@
                 .find(|waiting| !skip(waiting.request))?;
             Some((tag, org, *waiting))
         })?;
-        self.clock = self.clock.max(tag);
+        self.virtual_time = self.virtual_time.max(tag);
         let queue = self.orgs.get_mut(&org)?;
         queue.waiting.remove(&waiting);
         self.order.remove(&(queue.tag, org));
         queue.tag += TAG_STEP / u64::from(queue.weight);
         self.order.insert((queue.tag, org));
         self.len -= 1;
-        self.forget_idle(org);
+        self.remove_idle(org);
         Some((org, waiting))
     }
 
-    /// Only organisations that wait are kept. One that comes back starts at the clock, not at zero.
-    fn forget_idle(&mut self, org: OrgKey) {
+    /// Removes an organisation without queued steps. When it queues again it starts at the current virtual
+    /// time, not at zero, so that idle time earns no credit.
+    fn remove_idle(&mut self, org: OrgKey) {
         if let Some(queue) = self.orgs.get(&org)
             && queue.waiting.is_empty()
         {
@@ -110,46 +112,50 @@
     }
 }
 
-/// The queue before one service.
+/// The queue of one service.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     classes: BTreeMap<u8, ClassQueue>,
 }
 
 impl FairQueue {
-    /// Adds a step.
-    pub fn push(&mut self, place: Place, weight: u32) {
+    /// Adds a step for an organisation of `weight`.
+    pub fn push(&mut self, place: QueueEntry, weight: u32) {
         self.classes
             .entry(place.rank)
             .or_default()
-            .push(place.org, weight, place.waiting);
+            .push(place.org, weight, place.step);
     }
 
-    /// Takes a step out; false when it was not there.
-    pub fn remove(&mut self, place: Place) -> bool {
+    /// Removes a step; returns false if it was not queued.
+    pub fn remove(&mut self, place: QueueEntry) -> bool {
         let class = self.classes.get_mut(&place.rank);
-        class.is_some_and(|class| class.remove(place.org, place.waiting))
+        class.is_some_and(|class| class.remove(place.org, place.step))
     }
 
-    /// Takes the step that goes next, leaving out those for which `skip` says so.
-    pub fn pop(&mut self, skip: &dyn Fn(RequestId) -> bool) -> Option<Place> {
+    /// Removes and returns the next step, passing over those for which `skip` returns true.
+    pub fn pop(&mut self, skip: &dyn Fn(RequestId) -> bool) -> Option<QueueEntry> {
         self.classes.iter_mut().find_map(|(&rank, class)| {
             let (org, waiting) = class.pop(skip)?;
-            Some(Place { rank, org, waiting })
+            Some(QueueEntry {
+                rank,
+                org,
+                step: waiting,
+            })
         })
     }
 
-    /// How many steps of class `rank` wait.
+    /// Number of queued steps of the class `rank`.
     pub fn len_of(&self, rank: u8) -> u32 {
         self.classes.get(&rank).map_or(0, |class| class.len)
     }
 
-    /// How many steps wait.
+    /// Number of queued steps.
     pub fn len(&self) -> u32 {
         self.classes.values().map(|class| class.len).sum()
     }
 
-    /// Whether nothing waits.
+    /// Whether no step is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/barleyspool_core/src/fleet.rs
+++ b/crates/barleyspool_core/src/fleet.rs
@@ -1,20 +1,20 @@
-//! The fleet list: which entry nodes and targets there are, as the platform publishes it.
+//! The fleet list: the entry nodes, cells and targets, as the platform publishes them.
 
 use crate::{CellId, Epoch, Incarnation, NodeId, RequestKey, Revision, TargetId, rendezvous};
 use serde::{Deserialize, Serialize};
 
-/// Whether something on the list takes new work.
+/// Whether a listed node or target accepts new work.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListState {
-    /// It does.
+    /// It accepts new work.
     #[default]
     Live,
-    /// It is on its way out.
+    /// It is shutting down and accepts no new work.
     Leaving,
 }
 
-/// An entry node as listed.
+/// An entry node on the fleet list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryNode {
     /// Its number.
@@ -36,12 +36,12 @@
     pub state: ListState,
 }
 
-/// A target as listed.
+/// A target on the fleet list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetNode {
     /// Its number.
     pub id: TargetId,
-    /// Which run of it this is; a replaced target has a higher one.
+    /// Its incarnation; a target that was replaced has a higher one.
     pub incarnation: Incarnation,
     /// IP number and port.
     pub address: String,
@@ -51,9 +51,9 @@
     pub region: String,
     /// The service it is part of.
     pub service: String,
-    /// How many calls it works on at once.
+    /// Number of calls that it processes concurrently.
     pub slots: u32,
-    /// Whether it checks the fence of an order.
+    /// Whether it checks the [`Fence`](crate::Fence) of an order.
     #[serde(default)]
     pub fences: bool,
     /// Whether it takes new work.
@@ -64,54 +64,55 @@
 /// The set of a cell's entry nodes from one epoch until the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Era {
-    /// The list revision that made this set.
+    /// The fleet list revision that established this set.
     pub epoch: Epoch,
-    /// The set, in order of number.
+    /// The nodes, in ascending order.
     pub members: Vec<NodeId>,
 }
 
 impl Era {
-    /// The least number of members that is more than half of them.
+    /// The smallest number of members that is more than half of them.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// How many *other* members must confirm one of them: more than half of the others.
+    /// How many *other* members must vote for the lease of a member: more than half of the others.
     ///
-    /// A node's word to itself does not count, since an old run of the same node would give it too. So two
-    /// runs of one node never both find enough, and either of them shares a member with any majority.
-    pub fn confirming(&self) -> usize {
+    /// A node's vote for itself does not count, since an earlier incarnation of the node would cast it too.
+    /// So two incarnations of one node never both have enough votes, and the voters of either
+    /// have a member in common with every majority.
+    pub fn required_votes(&self) -> usize {
         match self.members.len() {
             0 | 1 => 0,
             members => (members - 1) / 2 + 1,
         }
     }
 
-    /// The home of `key` in this era.
+    /// The home node of `key` among these members.
     pub fn home(&self, key: RequestKey) -> Option<NodeId> {
         rendezvous::pick(key.0, self.members.iter().map(|node| u64::from(node.0))).map(|id| NodeId(id as u32))
     }
 }
 
-/// A cell with the eras it went through.
+/// A cell with the history of its member sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
     /// Its number.
     pub id: CellId,
     /// Its region.
     pub region: String,
-    /// Its eras, oldest first; the last is the present one.
+    /// Its eras, oldest first; the last is the current one.
     pub eras: Vec<Era>,
-    /// Whether eras older than the first have been left out. Then at least two must be listed.
+    /// Whether eras older than the first listed one were left out. At least two must then be listed.
     #[serde(default)]
     pub truncated: bool,
-    /// The platform's own word that every node which was in the cell only up to this epoch is switched
-    /// off. Without it a cell that loses more than half of its nodes at once takes no unrepeatable work.
+    /// The platform's guarantee that every node which was in the cell only up to this epoch is switched off.
+    /// Without it, a cell that loses more than half of its nodes at once accepts no unrepeatable work.
     #[serde(rename = "sealed", default)]
     pub closed: Epoch,
 }
 
-/// The whole list at one revision.
+/// The complete fleet list at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
     /// Its revision.
@@ -125,12 +126,12 @@
 }
 
 impl Fleet {
-    /// The entry node of that number.
+    /// The entry node `id`, if it is listed.
     pub fn entry(&self, id: NodeId) -> Option<&EntryNode> {
         self.entries.iter().find(|entry| entry.id == id)
     }
 
-    /// The cell of that number.
+    /// The cell `id`, if it is listed.
     pub fn cell(&self, id: CellId) -> Option<&Cell> {
         self.cells.iter().find(|cell| cell.id == id)
     }
@@ -142,13 +143,13 @@
         self.cell(CellId(owner as u16))
     }
 
-    /// The entry node of `region` that is the home of `key` by this list.
+    /// The home node of `key` in `region` according to this list.
     pub fn home(&self, region: &str, key: RequestKey) -> Option<NodeId> {
         self.cell_of(region, key)?.eras.last()?.home(key)
     }
 
-    /// What is wrong with this list, if anything: a list is taken whole or not at all.
-    pub fn fault(&self) -> Option<&'static str> {
+    /// Why this list is invalid, or `None` if it is valid. A list is applied as a whole or not at all.
+    pub fn validation_error(&self) -> Option<&'static str> {
         let ordered = |cell: &Cell| cell.eras.windows(2).all(|pair| pair[0].epoch < pair[1].epoch);
         if !self.cells.iter().all(ordered) {
             return Some("cells: epochs must rise");
--- a/crates/barleyspool_core/src/forward/piece_plan_update.rs
+++ b/crates/barleyspool_core/src/forward/piece_plan_update.rs
@@ -60,9 +60,9 @@
     }
 
     /// Applies the time until which each target is in cooldown.
-    pub fn apply_cooldowns(&mut self, rest_until: impl Fn(&str) -> Time) {
+    pub fn apply_cooldowns(&mut self, cooldown_until: impl Fn(&str) -> Time) {
         for (id, target) in &mut self.targets {
-            target.cooldown_until = rest_until(id);
+            target.cooldown_until = cooldown_until(id);
         }
     }
 
--- a/crates/barleyspool_core/src/forward/pool_shards.rs
+++ b/crates/barleyspool_core/src/forward/pool_shards.rs
@@ -121,7 +121,8 @@
     /// waiting while the others were idle for a quarter of the time.
     pub fn pick(&self, key: u128, near: &str, arrival_share: f64) -> u32 {
         let local_share = self.target_share(near);
-        let stays = local_share > 0.0 && rendezvous::even(key ^ STAY_SALT, 0) * arrival_share <= local_share;
+        let stays =
+            local_share > 0.0 && rendezvous::uniform(key ^ STAY_SALT, 0) * arrival_share <= local_share;
         let elsewhere = self
             .shards
             .iter()
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -1,6 +1,6 @@
 //! How an attempt to send a forwarded call ended, and what may follow.
 
-use crate::{Fate, RetryReason, Time};
+use crate::{ExecutionStatus, RetryReason, Time};
 
 /// How an attempt ended, as seen by the code that does the I/O.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
@@ -27,18 +27,18 @@
 
 impl SendEnd {
     /// Whether the call ran at that target, as far as this end tells.
-    pub const fn fate(self) -> Fate {
+    pub const fn fate(self) -> ExecutionStatus {
         match self {
-            Self::Answered { .. } => Fate::Ran,
-            Self::Refused { .. } | Self::Unreachable => Fate::NotRun,
-            Self::BrokenOff | Self::TimedOut => Fate::Unknown,
+            Self::Answered { .. } => ExecutionStatus::Ran,
+            Self::Refused { .. } | Self::Unreachable => ExecutionStatus::NotRun,
+            Self::BrokenOff | Self::TimedOut => ExecutionStatus::Unknown,
         }
     }
 
     /// The reason to count if the call is retried.
     pub const fn retry_reason(self) -> RetryReason {
         match self {
-            Self::Answered { .. } | Self::BrokenOff => RetryReason::BrokenOff,
+            Self::Answered { .. } | Self::BrokenOff => RetryReason::Interrupted,
             Self::Refused { .. } => RetryReason::Refused,
             Self::Unreachable => RetryReason::Unreachable,
             Self::TimedOut => RetryReason::TimedOut,
@@ -64,7 +64,7 @@
             SendEnd::Unreachable => self.unreached += 1,
             _ => self.sends += 1,
         }
-        self.may_have_run |= end.fate() != Fate::NotRun;
+        self.may_have_run |= end.fate() != ExecutionStatus::NotRun;
     }
 }
 
--- a/crates/barleyspool_core/src/forward/source_role.rs
+++ b/crates/barleyspool_core/src/forward/source_role.rs
@@ -56,7 +56,7 @@
     let readers = readers(members);
     let reads = readers.iter().any(|reader| reader.key == me);
     let mut watchers = readers;
-    watchers.sort_by_key(|reader| (reader.failing, rendezvous::place(SHORT_WATCHER_KEY, reader.key)));
+    watchers.sort_by_key(|reader| (reader.failing, rendezvous::order(SHORT_WATCHER_KEY, reader.key)));
     let mut watchers = watchers.iter().take(SHORT_WATCHERS);
     SourceRole {
         reads,
@@ -86,7 +86,7 @@
     for mut zone in zones.into_values() {
         zone.sort_by_key(|member| {
             let slow_link = member.link_mbps < PREFERRED_READER_MBPS;
-            (slow_link, rendezvous::place(READER_KEY, member.key))
+            (slow_link, rendezvous::order(READER_KEY, member.key))
         });
         let mut answering = 0;
         for member in zone.into_iter().take(MAX_READERS_PER_ZONE) {
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -342,7 +342,7 @@
         }
         let place = |key: &&TargetKey| {
             let member = self.targets[**key].hash as u64;
-            rendezvous::place(u128::from(prefix), member)
+            rendezvous::order(u128::from(prefix), member)
         };
         usable.iter().min_by_key(place).copied()
     }
--- a/crates/barleyspool_core/src/ids.rs
+++ b/crates/barleyspool_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys for the things that the core keeps in arenas or hears of from outside.
+//! Identifiers: small `Copy` keys of nodes, targets, revisions and the entries of arenas.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -18,30 +18,30 @@
 }
 
 id!(
-    /// An entry node, as the fleet list numbers it.
+    /// Number of an entry node on the fleet list.
     NodeId(u32)
 );
 id!(
-    /// A target, as the fleet list numbers it.
+    /// Number of a target on the fleet list.
     TargetId(u32)
 );
 id!(
-    /// A cell: the entry nodes that confirm each other's leases. See docs/DESIGN.md, "Cells".
+    /// Number of a cell: the entry nodes that vote for each other's leases. See docs/DESIGN.md, "Cells".
     CellId(u16)
 );
 id!(
-    /// A revision of the configuration service or of the fleet list. It only moves up.
+    /// A revision of the configuration service or of the fleet list. It only increases.
     ///
-    /// A source that comes back from an older copy of itself gives out its numbers again; each time it enters a later era, and every revision of a
-    /// later era is newer than all of the eras before.
+    /// A source that is restored from a backup assigns the same numbers again. Each restore therefore starts a
+    /// new era, and every revision of an era is newer than all revisions of earlier eras.
     Revision(u64)
 );
 
-/// The bits of a [`Revision`] that hold its number in its era.
+/// Number of low bits of a [`Revision`] that hold its number within its era.
 const NUMBER_BITS: u32 = 48;
 
 impl Revision {
-    /// The revision of that number in an era.
+    /// The revision `number` of `era`.
     pub const fn in_era(era: u16, number: u64) -> Self {
         Self((era as u64) << NUMBER_BITS | number & ((1 << NUMBER_BITS) - 1))
     }
@@ -51,7 +51,7 @@
         (self.0 >> NUMBER_BITS) as u16
     }
 
-    /// Its number in its era.
+    /// Its number within its era.
     pub const fn number(self) -> u64 {
         self.0 & ((1 << NUMBER_BITS) - 1)
     }
@@ -61,38 +61,38 @@
     Epoch(u64)
 );
 id!(
-    /// Tells one run of a process from the next: its start, in microseconds of the Unix epoch.
+    /// Identifies one incarnation of a process by its start time, in microseconds since the Unix epoch.
     Incarnation(u64)
 );
 id!(
-    /// The place of a pipeline in [`crate::Config::pipelines`].
+    /// Index of a pipeline in [`crate::Config::pipelines`].
     PipelineIx(u16)
 );
 id!(
-    /// The place of a service in [`crate::Config::services`].
+    /// Index of a service in [`crate::Config::services`].
     ServiceIx(u16)
 );
 id!(
-    /// The place of an organisation in [`crate::Config::organisations`].
+    /// Index of an organisation in [`crate::Config::organisations`].
     OrgIx(u32)
 );
 id!(
-    /// The place of a class in [`crate::Config::classes`]; 0 is the most important.
+    /// Index of a class in [`crate::Config::classes`]; 0 is the most important.
     ClassIx(u8)
 );
 id!(
-    /// A caller's open `Run` stream on this node.
+    /// An open `Run` stream of a caller on this node.
     CallerId(u64)
 );
 
-/// A request's key: the organisation and the caller's key, hashed.
+/// Identifies a request: a hash of the organisation and the caller's key.
 ///
-/// Two organisations that choose the same key do not meet, and neither can ask for the other's answer.
+/// Equal keys of two organisations do not collide, and neither can request the other's answer.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey(pub u128);
 
 impl RequestKey {
-    /// The key of `key` as `organisation` uses it.
+    /// Hashes the caller's `key` together with its `organisation`.
     ///
     /// ```
     /// use barleyspool_core::RequestKey;
@@ -116,8 +116,8 @@
 }
 
 slotmap::new_key_type! {
-    /// A request that this node is working on.
+    /// A request in progress on this node.
     pub struct RequestId;
-    /// One send of one step of a request to a target.
+    /// One attempt to run a step of a request at a target.
     pub struct AttemptId;
 }
--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -325,7 +325,7 @@
             .collect();
         requested_at.sort_unstable_by(|a, b| b.cmp(a));
         let needed = if self.guards.enforces(Guard::NoSelfVote) {
-            era.confirming()
+            era.required_votes()
         } else {
             era.majority() - 1
         };
--- a/crates/barleyspool_core/src/lib.rs
+++ b/crates/barleyspool_core/src/lib.rs
@@ -1,11 +1,12 @@
-//! Every decision of barleyspool, with no clock, socket or thread.
+//! The decision logic of barleyspool, without a clock, sockets or threads.
 //!
-//! The daemons are thin shells around two state machines of this crate: [`Router`], which runs requests
-//! through their pipelines, and [`Control`], which knows what is in force and who is there. Both are
-//! stepped with the time and an event, and answer with actions. Tests and replays step them the same way.
+//! The daemons are thin I/O shells around two state machines of this crate: [`Router`], which runs requests
+//! through their pipelines, and [`Control`], which tracks the configuration in force, the fleet and the peers.
+//! Both are stepped with the current time and an event and return actions. Tests and replays step them in
+//! the same way.
 //!
-//! Start with [`Router::step`] for what happens to a request, [`Lease`] for why an unrepeatable request runs
-//! at most once, and [`Config::from_document`] for what a configuration is.
+//! Good entry points are [`Router::step`] for the life cycle of a request, [`Lease`] for why an unrepeatable
+//! request runs at most once, and [`Config::from_document`] for what a configuration consists of.
 
 mod backlog;
 pub mod chart;
--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -223,5 +223,5 @@
 /// A short digest of what is known about a node.
 fn digest(member: &Member) -> u32 {
     let state = member.incarnation.0 ^ (member.facts_version << 32) ^ (member.health as u64) << 60;
-    rendezvous::place(member.key, state) as u32
+    rendezvous::order(member.key, state) as u32
 }
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -96,7 +96,7 @@
     fn collectors(&self, fingerprint: CallFingerprint) -> Vec<String> {
         let alive = |member: &&Member| matches!(member.health, MemberHealth::Alive | MemberHealth::Suspect);
         let mut ranked: Vec<&Member> = self.members.values().filter(alive).collect();
-        ranked.sort_unstable_by_key(|member| rendezvous::place(member.key, fingerprint.0));
+        ranked.sort_unstable_by_key(|member| rendezvous::order(member.key, fingerprint.0));
         let mut in_zone: HashMap<&str, u32> = HashMap::new();
         let mut turns: Vec<(u32, &Member)> = Vec::new();
         for member in ranked {
--- a/crates/barleyspool_core/src/orders.rs
+++ b/crates/barleyspool_core/src/orders.rs
@@ -1,30 +1,32 @@
-//! Fenced orders to model engines: what is wanted against what is reported.
+//! Fenced orders to model engines: reconciles the models that an engine reports with its placement.
 //!
-//! The target itself is the arbiter: an order's fence names the counter that the target reported plus one,
-//! so of two keepers that give an order at once only one wins. See docs/DESIGN.md, "Orders".
+//! The target itself arbitrates between keepers: the fence of an order holds the counter that the target
+//! reported plus one, so if two keepers send an order concurrently, only one is accepted. See docs/DESIGN.md,
+//! "Orders".
 
 use crate::{Placement, Revision, Span, TargetId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Orders a target's orders: first by configuration revision, then by counter.
+/// Position of an order in the sequence of a target's orders: by configuration revision, then by counter.
+/// A target rejects an order whose fence is not higher than that of the last order it accepted.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence {
-    /// The configuration under which the order was given.
+    /// The configuration revision that the order implements.
     pub revision: Revision,
-    /// The target's counter of orders.
+    /// The target's order counter.
     pub counter: u64,
 }
 
-/// What an engine reports of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The models it holds.
+    /// The models that are loaded.
     pub models: BTreeSet<String>,
-    /// Models that it is loading.
+    /// The models that are being loaded.
     #[serde(default)]
     pub loading: BTreeSet<String>,
-    /// The last fence it took.
+    /// The fence of the last order that it accepted.
     pub fence: Fence,
 }
 
@@ -37,43 +39,47 @@
     pub fence: Fence,
     /// Models to load.
     pub load: BTreeSet<String>,
-    /// Models to drop.
+    /// Models to unload.
     pub unload: BTreeSet<String>,
 }
 
-/// Why an engine gets no order now.
+/// Why an engine gets no order at present.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderState {
-    /// It holds what it should.
-    Settled,
-    /// Another keeper sees to it.
+    /// It holds exactly the models of its placement.
+    #[serde(rename = "Settled")]
+    Converged,
+    /// Another keeper is responsible for it.
     NotOurs,
-    /// Nothing has been heard from it lately.
-    Unheard,
-    /// It is loading.
+    /// It has sent no report recently enough.
+    #[serde(rename = "Unheard")]
+    NoRecentReport,
+    /// It is loading models under the current configuration.
     Loading,
-    /// It already took an order of a newer configuration than this keeper has.
-    Ahead,
-    /// Loads wait for the weight store.
-    Paced,
-    /// What it would drop is held by no other engine.
+    /// It has accepted an order of a newer configuration than this keeper has.
+    #[serde(rename = "Ahead")]
+    NewerRevision,
+    /// The load rate of the weight store is used up for now.
+    #[serde(rename = "Paced")]
+    RateLimited,
+    /// It is the last engine that holds the models it would unload.
     LastHolder,
-    /// It checks no fences, and this keeper's lease is not confirmed.
+    /// It does not check fences, and this keeper's lease is not confirmed.
     Unconfirmed,
-    /// An order was given and its effect is awaited.
+    /// An order was sent and its effect has not been reported yet.
     Pending,
 }
 
 impl OrderState {
-    /// The name that operators see.
+    /// The stable name shown to operators.
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Settled => "settled",
+            Self::Converged => "settled",
             Self::NotOurs => "not_ours",
-            Self::Unheard => "unheard",
+            Self::NoRecentReport => "unheard",
             Self::Loading => "loading",
-            Self::Ahead => "ahead",
-            Self::Paced => "paced",
+            Self::NewerRevision => "ahead",
+            Self::RateLimited => "paced",
             Self::LastHolder => "last_holder",
             Self::Unconfirmed => "unconfirmed",
             Self::Pending => "pending",
@@ -81,70 +87,73 @@
     }
 }
 
-/// One engine as the keeper sees it.
+/// The keeper's view of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
-    /// What it last reported, and when.
+    /// The last report and when it was received.
     pub report: Option<(EngineReport, Time)>,
     /// Whether it checks fences.
     pub fences: bool,
-    /// Whether this keeper sees to it.
-    pub ours: bool,
-    ordered: Option<(Fence, Time)>,
+    /// Whether this keeper is responsible for it.
+    pub assigned: bool,
+    pending_order: Option<(Fence, Time)>,
 }
 
-/// How the keeper paces itself.
+/// Rate limits and timeouts of a keeper's orders.
 #[derive(Copy, Clone, Debug, PartialEq)]
-pub struct KeeperPace {
-    /// Loads a second that the weight store allows all keepers together.
-    pub loads: f64,
+pub struct OrderLimits {
+    /// Model loads per second that the weight store sustains for all keepers together.
+    pub loads_per_s: f64,
     /// The published number of keepers.
-    pub keepers: u32,
-    /// A report older than this is not acted on.
-    pub report_age: Span,
-    /// How long an order's effect is awaited before it is given again.
-    pub max_wait: Span,
+    pub keeper_count: u32,
+    /// The age beyond which a report is not acted on.
+    pub max_report_age: Span,
+    /// How long to wait for the effect of an order before sending it again.
+    pub effect_timeout: Span,
 }
 
-impl Default for KeeperPace {
+impl Default for OrderLimits {
     fn default() -> Self {
         Self {
-            loads: 1.0,
-            keepers: 1,
-            report_age: Span::from_secs(5),
-            max_wait: Span::from_secs(3),
+            loads_per_s: 1.0,
+            keeper_count: 1,
+            max_report_age: Span::from_secs(5),
+            effect_timeout: Span::from_secs(3),
         }
     }
 }
 
-/// What a keeper knows and has ordered.
+/// The engines that a keeper knows and the orders it has sent.
 #[derive(Debug, Default)]
 pub struct OrderBook {
     /// The engines, by target.
     pub engines: BTreeMap<TargetId, Engine>,
-    /// How it paces itself.
-    pub pace: KeeperPace,
-    /// Models that any engine is meant to hold.
+    /// Rate limits and timeouts.
+    pub limits: OrderLimits,
+    /// Models that the placement assigns to any engine.
     wanted: BTreeSet<String>,
     tokens: f64,
-    refilled: Time,
+    refilled_at: Time,
 }
 
 impl OrderBook {
-    /// Takes what an engine reports.
-    pub fn report(&mut self, now: Time, target: TargetId, report: EngineReport) {
+    /// Records a report of an engine.
+    pub fn apply_report(&mut self, now: Time, target: TargetId, report: EngineReport) {
         let engine = self.engines.entry(target).or_default();
-        // An order that the engine has taken, or that a higher fence has overtaken, is not awaited any more.
-        if engine.ordered.is_some_and(|(fence, _)| report.fence >= fence) {
-            engine.ordered = None;
+        // The pending order was accepted, or superseded by an order with a higher fence.
+        if engine
+            .pending_order
+            .is_some_and(|(fence, _)| report.fence >= fence)
+        {
+            engine.pending_order = None;
         }
         engine.report = Some((report, now));
     }
 
-    /// The orders to give now, the most urgent first.
+    /// The orders to send now, the most urgent first. They are recorded as pending.
     ///
-    /// `confirmed` says whether this keeper's lease holds; only then may engines that check no fences get
-    /// an order.
+    /// `confirmed` says whether this keeper's lease is confirmed; engines that do not check fences get orders
+    /// only then.
     pub fn plan(
         &mut self,
         now: Time,
@@ -161,14 +170,14 @@
         wanted.sort_by_key(|placement| (std::cmp::Reverse(placement.urgency), placement.target));
         let mut orders = Vec::new();
         for placement in wanted {
-            let Ok(order) = self.order(now, revision, placement, confirmed) else {
+            let Ok(order) = self.order_for(now, revision, placement, confirmed) else {
                 continue;
             };
-            let order = self.within_pace(order);
+            let order = self.limit_loads(order);
             if !(order.load.is_empty() && order.unload.is_empty()) {
                 self.tokens -= order.load.len() as f64;
                 if let Some(engine) = self.engines.get_mut(&order.target) {
-                    engine.ordered = Some((order.fence, now));
+                    engine.pending_order = Some((order.fence, now));
                 }
                 orders.push(order);
             }
@@ -176,40 +185,43 @@
         orders
     }
 
-    /// The order that an engine should get now.
+    /// The order that brings an engine to its placement.
     ///
     /// # Errors
-    /// Why it gets none.
-    pub fn order(
+    /// Why the engine gets no order now.
+    pub fn order_for(
         &self,
         now: Time,
         revision: Revision,
         placement: &Placement,
         confirmed: bool,
     ) -> Result<EngineOrder, OrderState> {
-        let engine = self.engines.get(&placement.target).ok_or(OrderState::Unheard)?;
-        if !engine.ours {
+        let engine = self
+            .engines
+            .get(&placement.target)
+            .ok_or(OrderState::NoRecentReport)?;
+        if !engine.assigned {
             return Err(OrderState::NotOurs);
         }
-        let (report, at) = engine.report.as_ref().ok_or(OrderState::Unheard)?;
-        if now.since(*at) > self.pace.report_age {
-            return Err(OrderState::Unheard);
+        let (report, at) = engine.report.as_ref().ok_or(OrderState::NoRecentReport)?;
+        if now.since(*at) > self.limits.max_report_age {
+            return Err(OrderState::NoRecentReport);
         }
         if report.fence.revision > revision {
-            return Err(OrderState::Ahead);
+            return Err(OrderState::NewerRevision);
         }
         let wanted: BTreeSet<String> = placement.models.iter().cloned().collect();
         let load: BTreeSet<String> = wanted.difference(&report.models).cloned().collect();
         let unload: BTreeSet<String> = report.models.difference(&wanted).cloned().collect();
         if load.is_empty() && unload.is_empty() {
-            return Err(OrderState::Settled);
+            return Err(OrderState::Converged);
         }
         if !report.loading.is_empty() && report.fence.revision == revision {
             return Err(OrderState::Loading);
         }
         if engine
-            .ordered
-            .is_some_and(|(_, at)| now.since(at) < self.pace.max_wait)
+            .pending_order
+            .is_some_and(|(_, at)| now.since(at) < self.limits.effect_timeout)
         {
             return Err(OrderState::Pending);
         }
@@ -221,7 +233,7 @@
             return Err(OrderState::LastHolder);
         }
         if !load.is_empty() && self.tokens < 1.0 {
-            return Err(OrderState::Paced);
+            return Err(OrderState::RateLimited);
         }
         let fence = Fence {
             revision,
@@ -235,14 +247,15 @@
         })
     }
 
-    /// What an engine may drop: nothing that no other engine holds and somebody is meant to.
+    /// The models of `unload` that an engine may unload: all but those that some engine is meant to hold and no
+    /// other engine holds yet.
     fn droppable(&self, now: Time, target: TargetId, unload: BTreeSet<String>) -> BTreeSet<String> {
-        let keep = |model: &String| self.wanted.contains(model) && self.last_holder(now, target, model);
+        let keep = |model: &String| self.wanted.contains(model) && self.is_last_holder(now, target, model);
         unload.into_iter().filter(|model| !keep(model)).collect()
     }
 
-    /// Leaves out loads for which the weight store has no room yet; they follow with the next order.
-    fn within_pace(&self, mut order: EngineOrder) -> EngineOrder {
+    /// Removes loads that exceed the available tokens; they follow with the next order.
+    fn limit_loads(&self, mut order: EngineOrder) -> EngineOrder {
         order.load = order
             .load
             .into_iter()
@@ -251,11 +264,11 @@
         order
     }
 
-    /// Whether no other engine, by a recent report, holds `model`.
-    fn last_holder(&self, now: Time, target: TargetId, model: &str) -> bool {
+    /// Whether no other engine holds `model` according to a recent report.
+    fn is_last_holder(&self, now: Time, target: TargetId, model: &str) -> bool {
         let holds = |engine: &Engine| {
             engine.report.as_ref().is_some_and(|(report, at)| {
-                now.since(*at) <= self.pace.report_age && report.models.contains(model)
+                now.since(*at) <= self.limits.max_report_age && report.models.contains(model)
             })
         };
         !self
@@ -264,16 +277,17 @@
             .any(|(id, engine)| *id != target && holds(engine))
     }
 
-    /// Each keeper has its share of the weight store's rate, by the published number of keepers.
+    /// Adds the load tokens for the time since the last refill. Each keeper gets an equal share of the weight
+    /// store's rate, by the published number of keepers.
     fn refill(&mut self, now: Time) {
-        let rate = self.pace.loads / f64::from(self.pace.keepers.max(1));
+        let rate = self.limits.loads_per_s / f64::from(self.limits.keeper_count.max(1));
         let most = rate.max(1.0) * 2.0;
-        let since = if self.refilled == Time(0) {
+        let since = if self.refilled_at == Time(0) {
             Span::from_secs(1)
         } else {
-            now.since(self.refilled)
+            now.since(self.refilled_at)
         };
         self.tokens = (self.tokens + rate * since.as_secs()).min(most);
-        self.refilled = now;
+        self.refilled_at = now;
     }
 }
--- a/crates/barleyspool_core/src/outcome.rs
+++ b/crates/barleyspool_core/src/outcome.rs
@@ -1,22 +1,22 @@
-//! How requests and their attempts end, and why.
+//! Outcomes of requests and attempts, and the reasons for refusals and retries.
 
 use crate::{NodeId, Payload, ServiceIx, Span, TargetId};
 use serde::{Deserialize, Serialize};
 
-/// What became of something that was sent to a target.
+/// Whether a step that was sent to a target ran.
 ///
-/// See docs/DESIGN.md, "Three-valued outcomes": only the first allows an unrepeatable step to be sent again.
+/// Only `NotRun` allows an unrepeatable step to be sent again; see docs/DESIGN.md, "Three-valued outcomes".
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
-    /// It certainly did not run.
+pub enum ExecutionStatus {
+    /// It is certain that it did not run.
     NotRun,
-    /// It ran to its end.
+    /// It ran to completion.
     Ran,
-    /// It may have run, wholly or in part.
+    /// It may have run, completely or in part.
     Unknown,
 }
 
-/// What a refusal or a failed request tells its caller about the whole request.
+/// What an outcome tells the caller about the request as a whole.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The answer is complete.
@@ -27,18 +27,18 @@
     Unknown,
 }
 
-/// Where a refusal arose.
+/// Where a refusal originated.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Peer {
-    /// At a target.
+pub enum RefusalOrigin {
+    /// A target.
     Target(TargetId),
-    /// At an entry node.
+    /// An entry node.
     Node(NodeId),
 }
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $variant:ident => $name:literal,)*) => {
-        /// Why a request was refused or given up. Each has a counter of its own.
+        /// Why a request was refused or failed. Each reason has its own counter.
         #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub enum Reason {
             $($(#[$doc])* $variant,)*
@@ -48,7 +48,7 @@
             /// Every reason, for counters and tests.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// The stable name that callers and operators see.
+            /// The stable name shown to callers and operators.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name,)* }
             }
@@ -64,37 +64,38 @@
     /// The organisation may not use this pipeline.
     PipelineNotAttached => "pipeline_not_attached",
     /// The key or the organisation's name is empty or longer than allowed.
-    BadKey => "bad_key",
+    #[serde(rename = "BadKey")]
+    InvalidKey => "bad_key",
     /// The payload is larger than allowed.
     PayloadTooLarge => "payload_too_large",
     /// The deadline has passed.
     DeadlinePast => "deadline_past",
-    /// The deadline lies further ahead than the horizon.
+    /// The deadline is further in the future than the configured horizon.
     DeadlineBeyondHorizon => "deadline_beyond_horizon",
-    /// The request cannot be finished by its deadline.
+    /// The estimated completion time is after the deadline.
     DeadlineUnreachable => "deadline_unreachable",
-    /// The deadline passed while the request was being worked on.
+    /// The deadline passed while the request was in progress.
     DeadlineMissed => "deadline_missed",
     /// This node has no configuration yet.
     NoConfiguration => "no_configuration",
     /// The caller has seen a newer configuration than this node has.
     ConfigurationBehind => "configuration_behind",
-    /// The control thread has not refreshed the plan for too long.
+    /// The control thread has not refreshed the plan recently enough.
     PlanStale => "plan_stale",
-    /// This node is stopping.
+    /// This node is shutting down.
     Leaving => "leaving",
-    /// Another node is the home of this unrepeatable request.
+    /// Another node is the home node of this unrepeatable request.
     NotHome => "not_home",
-    /// This node is the home, but has not been for long enough.
+    /// This node became the home node only recently, and its takeover wait has not passed yet.
     #[serde(rename = "Settling")]
     TakeoverWait => "settling",
-    /// This node is the home, but a majority has not confirmed it lately.
+    /// This node is the home node, but a majority has not confirmed its lease recently enough.
     Unconfirmed => "unconfirmed",
-    /// The memory of unrepeatable keys is full.
+    /// No further unrepeatable key can be remembered.
     MemoryFull => "memory_full",
-    /// The key was sent again with another deadline or pipeline.
+    /// The key was reused with another deadline or pipeline.
     KeyReused => "key_reused",
-    /// No target of a needed service is usable.
+    /// A required service has no usable target.
     NoTarget => "no_target",
     /// The queue of the class is full.
     QueueFull => "queue_full",
@@ -102,42 +103,47 @@
     TargetRefused => "target_refused",
     /// A step failed and may not be sent again.
     StepFailed => "step_failed",
-    /// A step failed and the retry budget was used up.
+    /// A step failed and the retry budget was exhausted.
     RetryBudget => "retry_budget",
     /// The answer was larger than allowed.
     AnswerTooLarge => "answer_too_large",
-    /// The caller left before the answer was complete.
+    /// The caller disconnected before the answer was complete.
     CallerLeft => "caller_left",
-    /// No route fits the call's host and path.
+    /// No route matches the call's host and path.
     UnknownRoute => "unknown_route",
     /// The call's key belongs to no organisation.
     UnknownKey => "unknown_key",
-    /// The call's head is not what it should be.
-    BadCall => "bad_call",
-    /// The route's longest time was over.
+    /// The call's header is invalid.
+    #[serde(rename = "BadCall")]
+    InvalidCall => "bad_call",
+    /// The route's maximum call duration was exceeded.
     RouteTimeout => "route_timeout",
-    /// A stage pool has no room for the call in time.
+    /// A stage pool has no capacity for the call in time.
     PoolBusy => "pool_busy",
-    /// All targets that are usable have been given the calls a second that they take.
-    AtLimit => "at_limit",
-    /// All targets that may get work have asked this node for rest.
-    TargetsRest => "targets_rest",
-    /// Targets have ended under this call.
-    EndsTargets => "ends_targets",
+    /// All usable targets have reached their rate limits.
+    #[serde(rename = "AtLimit")]
+    TargetsAtLimit => "at_limit",
+    /// All targets that accept work have requested a cooldown from this node.
+    #[serde(rename = "TargetsRest")]
+    TargetsCoolingDown => "targets_rest",
+    /// Targets have crashed while processing this call.
+    #[serde(rename = "EndsTargets")]
+    CrashesTargets => "ends_targets",
 }
 
-/// Why a step was sent again. Each has a counter of its own.
+/// Why a step was retried. Each reason has its own counter.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RetryReason {
     /// The target could not be reached.
     Unreachable,
-    /// The target refused the step as not run.
+    /// The target refused the step without running it.
     Refused,
-    /// The target broke off and the step is repeatable.
-    BrokenOff,
-    /// A stream broke off and is resumed at its offset.
+    /// The connection broke before the response was complete, and the step is repeatable.
+    #[serde(rename = "BrokenOff")]
+    Interrupted,
+    /// A stream was interrupted and is resumed at its offset.
     Resumed,
-    /// The target took far too long and the step is repeatable.
+    /// The attempt timed out and the step is repeatable.
     TimedOut,
 }
 
@@ -146,52 +152,54 @@
     pub const ALL: &[Self] = &[
         Self::Unreachable,
         Self::Refused,
-        Self::BrokenOff,
+        Self::Interrupted,
         Self::Resumed,
         Self::TimedOut,
     ];
 
-    /// The stable name that operators see.
+    /// The stable name shown to operators.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
             Self::Refused => "refused",
-            Self::BrokenOff => "broken_off",
+            Self::Interrupted => "broken_off",
             Self::Resumed => "resumed",
             Self::TimedOut => "timed_out",
         }
     }
 }
 
-/// A refusal, as decided on this node.
+/// A refusal or failure of a request, as decided on this node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Whether any of the request ran.
+    /// Whether any part of the request ran.
     pub verdict: Verdict,
-    /// The service of the step at which it arose; `None` before the first step.
+    /// The service of the step that caused it; `None` before the first step.
     pub step: Option<ServiceIx>,
-    /// The target or node at which it arose.
-    pub peer: Option<Peer>,
-    /// When to come back; zero when coming back does not help.
-    pub come_back: Span,
+    /// The target or node that caused it.
+    #[serde(rename = "peer")]
+    pub origin: Option<RefusalOrigin>,
+    /// How long the caller should wait before a retry; zero if a retry would not help.
+    #[serde(rename = "come_back")]
+    pub retry_after: Span,
 }
 
-/// The final answer to a caller: exactly one per `Run`.
+/// The final result of a `Run` call; each call gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Complete, with the total length in bytes.
+    /// The answer is complete.
     Complete {
-        /// Total length in bytes.
+        /// Total length of the answer in bytes.
         length: u64,
     },
-    /// Refused or given up.
+    /// The request was refused or failed.
     Refused(Refusal),
 }
 
 impl Outcome {
-    /// What this outcome says of the request as a whole.
+    /// The verdict on the request as a whole.
     pub const fn verdict(&self) -> Verdict {
         match self {
             Self::Complete { .. } => Verdict::Complete,
@@ -200,36 +208,38 @@
     }
 }
 
-/// How an attempt ended, as the shell saw it.
+/// How an attempt ended, as observed by the I/O shell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The target's answer is whole. For a stream, `output` is empty and `length` counts from offset 0.
+    /// The target's response is complete. For a stream, `output` is empty and `length` counts from offset 0.
     Done {
         /// The output of a step that does not stream.
         output: Payload,
-        /// The total length in bytes.
+        /// Total length of the output in bytes.
         length: u64,
     },
-    /// The target's own explicit "refused, not run".
+    /// The target explicitly refused the step without running it.
     Refused {
-        /// Whether it refuses because it is leaving.
+        /// Whether the target refused because it is leaving.
         leaving: bool,
-        /// How long it wants nothing from this node.
-        rest: Span,
+        /// Cooldown that the target requested from this node; zero for none.
+        #[serde(rename = "rest")]
+        cooldown: Span,
     },
-    /// The connection could not be made, or nothing of the request was written.
+    /// The connection could not be established, or no byte of the request was written.
     Unreachable,
-    /// Something was written, and no whole answer came back.
-    BrokenOff,
+    /// Some of the request was written, but no complete response was received.
+    #[serde(rename = "BrokenOff")]
+    Interrupted,
 }
 
 impl AttemptEnd {
-    /// What this end says of the step.
-    pub const fn fate(&self) -> Fate {
+    /// Whether the step ran, as far as this end shows.
+    pub const fn execution_status(&self) -> ExecutionStatus {
         match self {
-            Self::Done { .. } => Fate::Ran,
-            Self::Refused { .. } | Self::Unreachable => Fate::NotRun,
-            Self::BrokenOff => Fate::Unknown,
+            Self::Done { .. } => ExecutionStatus::Ran,
+            Self::Refused { .. } | Self::Unreachable => ExecutionStatus::NotRun,
+            Self::Interrupted => ExecutionStatus::Unknown,
         }
     }
 }
--- a/crates/barleyspool_core/src/peer_message.rs
+++ b/crates/barleyspool_core/src/peer_message.rs
@@ -1,57 +1,59 @@
-//! What entry nodes say to each other: small, and the same size however large the fleet is.
+//! Messages between entry nodes. The regular ones are small, and their size does not grow with the fleet.
 
 use crate::{ConfigDocument, Epoch, Fleet, Incarnation, LeaseRules, LeaseVote, NodeId, Revision, TargetId};
 use serde::{Deserialize, Serialize};
 
-/// A run of a target that is on its way out.
+/// An incarnation of a target that is shutting down.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeavingTarget {
     /// The target.
     pub target: TargetId,
-    /// The run of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What a node says of itself with every question and every reply.
+/// A node's state, sent with every heartbeat and every reply.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
     /// The node.
     pub from: NodeId,
-    /// This run of it.
-    pub run: Incarnation,
-    /// The spans on which its lease rests; words between nodes with different ones do not count.
+    /// The node's incarnation.
+    #[serde(rename = "run")]
+    pub incarnation: Incarnation,
+    /// The node's lease timing. Votes between nodes with different rules do not count.
     pub rules: LeaseRules,
-    /// Its epoch.
+    /// The node's epoch.
     pub epoch: Epoch,
-    /// The configuration it has in force.
+    /// The revision of the configuration in force on the node.
     pub config: Revision,
-    /// The fleet list it has.
+    /// The revision of the node's fleet list.
     pub fleet: Revision,
-    /// Milliseconds since the youngest read of the configuration service that it knows of, by anybody.
-    pub read_age: u32,
-    /// Whether it is stopping.
+    /// Milliseconds since the most recent read of the configuration service, by any node, that it knows of.
+    #[serde(rename = "read_age")]
+    pub read_age_ms: u32,
+    /// Whether the node is stopping.
     pub stopping: bool,
-    /// Where it can be fetched from: IP number and port.
+    /// Where its configuration and fleet list can be fetched: IP address and port.
     pub bulk: String,
-    /// Targets that it knows to be leaving and that the list does not show so yet.
+    /// Targets that it knows to be leaving and that the fleet list does not show as leaving yet.
     pub leaving: Vec<LeavingTarget>,
 }
 
-/// The answer of a peer.
+/// A peer's reply to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerReply {
-    /// What it says of itself.
+    /// The peer's state.
     pub gossip: Gossip,
-    /// Its vote for the lease of the asking node.
+    /// The peer's vote for the lease of the requesting node.
     #[serde(rename = "word")]
     pub vote: LeaseVote,
 }
 
-/// What a node that is behind fetches from a peer.
+/// What a node with an outdated configuration or fleet list fetches from a peer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The configuration, without the parts that the asking node has; `None` when it is not behind.
+    /// The configuration without the parts that the requesting node already has; `None` if it is up to date.
     pub document: Option<ConfigDocument>,
-    /// The fleet list; `None` when it is not behind.
+    /// The fleet list; `None` if the requesting node's list is up to date.
     pub fleet: Option<Fleet>,
 }
--- a/crates/barleyspool_core/src/plan.rs
+++ b/crates/barleyspool_core/src/plan.rs
@@ -1,4 +1,5 @@
-//! What the control thread hands to the traffic threads: one immutable value, replaced as a whole.
+//! The plan that the control thread publishes to the traffic threads: an immutable value that is replaced as a
+//! whole.
 
 use crate::{
     Config, Fleet, Incarnation, LeaseRules, LeaseView, ListState, NodeId, RequestKey, ServiceIx, Span,
@@ -7,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Whether this node takes requests.
+/// Whether this node accepts requests.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub enum Serving {
-    /// Not yet: it does not know enough.
+    /// Not yet: it lacks a configuration, a fleet list or replies from its peers.
     #[default]
     CatchingUp,
-    /// It does.
+    /// It accepts requests.
     Serving,
-    /// A planned stop is under way.
+    /// A planned stop is in progress.
     Stopping,
 }
 
@@ -24,34 +25,34 @@
 pub struct PlanTarget {
     /// Its number.
     pub id: TargetId,
-    /// Which run of it this is.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it is in this node's zone.
-    pub near: bool,
+    /// Whether it is in this node's availability zone.
+    pub same_zone: bool,
     /// Its service.
     pub service: ServiceIx,
-    /// How many calls it works on at once.
+    /// Number of calls that it processes concurrently.
     pub slots: u32,
-    /// This node's share of the slots, by the published number of nodes that use it.
+    /// This node's share of the slots: the slots divided by the published number of nodes that use the target.
     pub share: f64,
-    /// Whether it is on its way out, by whatever source said so first.
+    /// Whether it is leaving, according to any source: the fleet list, a peer or the target itself.
     pub leaving: bool,
-    /// Until when it wants nothing from this node.
-    pub rest_until: Time,
+    /// End of the cooldown that it requested from this node.
+    pub cooldown_until: Time,
 }
 
-/// A run of a target wants nothing from this node for a while, as it said in a refusal.
+/// A cooldown that an incarnation of a target requested from this node in a refusal.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetRest {
+pub struct TargetCooldown {
     /// The target.
     pub target: TargetId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Until when.
+    /// End of the cooldown.
     pub until: Time,
 }
 
@@ -64,20 +65,20 @@
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it said or the list says that it is leaving.
+    /// Whether it is leaving, according to its own messages or the fleet list.
     pub state: ListState,
-    /// Whether it answered lately, or is not expected to.
+    /// Whether it replied recently, or is a node from which no replies are expected.
     pub reachable: bool,
 }
 
-/// Everything that a traffic thread acts on.
+/// The state that a traffic thread acts on.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// When the control thread last vouched for this.
-    pub made: Time,
-    /// Whether this node takes requests.
+    /// When the control thread last refreshed this plan.
+    pub refreshed_at: Time,
+    /// Whether this node accepts requests.
     pub serving: Serving,
-    /// The configuration in force; `None` before the first.
+    /// The configuration in force; `None` until the first one is accepted.
     pub config: Option<Arc<Config>>,
     /// The fleet list.
     pub fleet: Arc<Fleet>,
@@ -85,9 +86,9 @@
     pub targets: Arc<Vec<PlanTarget>>,
     /// The lease for unrepeatable requests.
     pub lease: LeaseView,
-    /// The spans on which the lease rests.
+    /// The timing rules of the lease.
     pub rules: LeaseRules,
-    /// The entry nodes of this region, this one included.
+    /// The entry nodes of this region, including this node.
     pub peers: Arc<Vec<PlanPeer>>,
     /// This node.
     pub me: NodeId,
@@ -95,13 +96,13 @@
     pub region: String,
 }
 
-/// The most addresses that one answer to `Ask` names.
+/// Maximum number of addresses in a reply to `Ask`.
 const MAX_ADDRESSES: usize = 6;
 
 impl Plan {
-    /// Whether the control thread has vouched for this plan lately enough to act on it.
-    pub fn fresh(&self, now: Time, age: Span) -> bool {
-        now.since(self.made) <= age
+    /// Whether the plan was refreshed within `age` before `now`, so that it may still be acted on.
+    pub fn is_fresh(&self, now: Time, age: Span) -> bool {
+        now.since(self.refreshed_at) <= age
     }
 
     /// The address of an entry node.
@@ -114,8 +115,8 @@
 
     /// The entry nodes that a caller in `zone` should use, best first.
     ///
-    /// Nodes that are leaving are left out. The home of `key` comes first, then the caller's zone; within
-    /// a zone, `spread` decides, so that callers do not all choose the same node.
+    /// Leaving nodes are omitted. The home node of `key` comes first, then reachable nodes, then nodes in the
+    /// caller's zone. Remaining ties are broken by a hash of `spread`, which distributes callers over the nodes.
     pub fn addresses(&self, zone: &str, key: Option<RequestKey>, spread: u128) -> Vec<&PlanPeer> {
         let home = key.and_then(|key| self.fleet.home(&self.region, key));
         let mut peers: Vec<&PlanPeer> = self
@@ -124,7 +125,7 @@
             .filter(|peer| peer.state == ListState::Live)
             .collect();
         peers.sort_by_cached_key(|peer| {
-            let last = rendezvous::place(spread, u64::from(peer.id.0));
+            let last = rendezvous::order(spread, u64::from(peer.id.0));
             (Some(peer.id) != home, !peer.reachable, peer.zone != zone, last)
         });
         peers.truncate(MAX_ADDRESSES);
--- a/crates/barleyspool_core/src/rate_limits/target_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/target_bucket.rs
@@ -31,7 +31,7 @@
         self.role_since = role_since;
         let used = match share.role {
             RateRole::Owner => OWNER_BURST,
-            RateRole::Fallback => rendezvous::even(target, me),
+            RateRole::Fallback => rendezvous::uniform(target, me),
         };
         self.bucket = TokenBucket::new(now, used);
     }
--- a/crates/barleyspool_core/src/request.rs
+++ b/crates/barleyspool_core/src/request.rs
@@ -2,8 +2,8 @@
 
 use crate::chart::symbol;
 use crate::{
-    AttemptId, CallerId, Echo, OrgKey, Payload, Place, RequestKey, ResolvedStage, Revision, ServiceIx, Span,
-    TargetId, Time,
+    AttemptId, CallerId, Echo, OrgKey, Payload, QueueEntry, RequestKey, ResolvedStage, Revision, ServiceIx,
+    Span, TargetId, Time,
 };
 
 symbol! {
@@ -65,7 +65,8 @@
     /// What became of earlier sends.
     pub earlier: Earlier,
     /// The highest configuration revision that the caller has seen.
-    pub seen: Revision,
+    #[serde(rename = "seen")]
+    pub seen_revision: Revision,
     /// The payload.
     pub payload: Payload,
     /// A shared beginning of prompts; empty for none.
@@ -127,19 +128,19 @@
     pub attempts: u32,
     /// The first step that is still counted in its service's backlog: the present one while it waits,
     /// the next one while it is at a target.
-    pub owed: u8,
+    pub first_undispatched: u8,
     /// The present step's input.
     pub input: Payload,
     /// The answer as far as it has come.
     pub answer: Vec<u8>,
     /// Whether any step ran or may have run.
-    pub touched: bool,
+    pub may_have_run: bool,
     /// Who waits for the answer.
     pub listeners: Vec<Listener>,
     /// The send under way.
     pub attempt: Option<AttemptId>,
     /// Where it waits.
-    pub place: Option<Place>,
+    pub queued: Option<QueueEntry>,
     /// When to look at it again.
     pub wake: Time,
     /// The target that failed it last, which a retry avoids.
@@ -155,12 +156,12 @@
     }
 
     /// The steps from the present one on.
-    pub fn rest(&self) -> &[ResolvedStage] {
+    pub fn remaining_stages(&self) -> &[ResolvedStage] {
         &self.stages[usize::from(self.step)..]
     }
 
     /// Whether the present step is the last.
-    pub fn last(&self) -> bool {
+    pub fn is_last_step(&self) -> bool {
         usize::from(self.step) + 1 == self.stages.len()
     }
 
--- a/crates/barleyspool_core/src/router/admission.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -3,9 +3,9 @@
 use super::Router;
 use crate::{
     Call, CallerId, Config, Counter, Earlier, Guard, KeyState, LeaseRefusal, ListState, Listener, NodeId,
-    OrgIx, OrgKey, Outcome, Peer, PipelineIx, PlanPeer, Reason, Refusal, Request, RequestId, RequestKey,
-    ResolvedStage, Revision, ServiceIx, Serving, Span, TargetId, TargetState, Time, TrafficAction, Verdict,
-    rendezvous,
+    OrgIx, OrgKey, Outcome, PipelineIx, PlanPeer, Reason, Refusal, RefusalOrigin, Request, RequestId,
+    RequestKey, ResolvedStage, Revision, ServiceIx, Serving, Span, TargetId, TargetState, Time,
+    TrafficAction, Verdict, rendezvous,
 };
 use rand::Rng;
 use std::sync::Arc;
@@ -93,7 +93,7 @@
     fn resolve_call(&mut self, now: Time, call: &Call, key: RequestKey) -> Result<ResolvedCall, Rejection> {
         let plan = Arc::clone(&self.plan);
         if !is_valid_name(&call.key) || !is_valid_name(&call.organisation) {
-            return Err(Rejection::new(Reason::BadKey));
+            return Err(Rejection::new(Reason::InvalidKey));
         }
         if call.payload.len() > self.settings.max_payload {
             return Err(Rejection::new(Reason::PayloadTooLarge));
@@ -107,8 +107,8 @@
         if plan.serving == Serving::CatchingUp {
             return Err(Rejection::retry_in(Reason::NoConfiguration, CATCH_UP_DELAY));
         }
-        if call.seen > config.revision && self.enforces(Guard::SeenRevision) {
-            self.actions.push(TrafficAction::NotifyBehind);
+        if call.seen_revision > config.revision && self.enforces(Guard::SeenRevision) {
+            self.actions.push(TrafficAction::NotifyNewerRevision);
             return Err(Rejection::retry_in(Reason::ConfigurationBehind, CATCH_UP_DELAY));
         }
         let org = config
@@ -231,7 +231,7 @@
             if self.capacity(stage.service) == 0 {
                 let cooldown = self.service_cooldown(now, stage.service);
                 return Err(if cooldown > Span::ZERO {
-                    Rejection::retry_in(Reason::TargetsRest, cooldown)
+                    Rejection::retry_in(Reason::TargetsCoolingDown, cooldown)
                 } else {
                     Rejection::retry_in(Reason::NoTarget, UNREADY_DELAY)
                 });
@@ -275,7 +275,7 @@
         }
         let over_share = |stage: &ResolvedStage| {
             let backlog = &self.services[usize::from(stage.service.0)].backlog;
-            backlog.owned(rank, org) >= f64::from(limit) * backlog.share(rank, org, weight)
+            backlog.steps_of(rank, org) >= f64::from(limit) * backlog.fair_share(rank, org, weight)
         };
         stages.iter().any(over_share)
     }
@@ -288,7 +288,7 @@
         let Some(state) = self.services.get(usize::from(service.0)) else {
             return 0;
         };
-        let places = |id| self.targets.get(id).map_or(0, TargetState::places);
+        let places = |id| self.targets.get(id).map_or(0, TargetState::capacity);
         state.targets.iter().map(places).fold(0, u32::saturating_add)
     }
 
@@ -300,10 +300,10 @@
         let mut expected = 0.0_f64;
         for stage in stages {
             let state = &self.services[usize::from(stage.service.0)];
-            let ahead = state.backlog.ahead(rank, org, weight);
-            let above = state.backlog.rate_above(now, rank);
-            let wait = state.wait(ahead, f64::from(self.capacity(stage.service)), above);
-            expected = expected.max(wait) + state.took;
+            let ahead = state.backlog.steps_ahead(rank, org, weight);
+            let above = state.backlog.arrival_rate_above(now, rank);
+            let wait = state.wait_us(ahead, f64::from(self.capacity(stage.service)), above);
+            expected = expected.max(wait) + state.avg_step_us;
         }
         Span(expected as u64)
     }
@@ -373,20 +373,20 @@
             step: 0,
             sends: 0,
             attempts: 0,
-            owed: 0,
+            first_undispatched: 0,
             input: Arc::clone(&call.payload),
             answer: Vec::new(),
-            touched: false,
+            may_have_run: false,
             listeners: Vec::new(),
             attempt: None,
-            place: None,
+            queued: None,
             wake: call.deadline,
             avoid: None,
             spent: Vec::new(),
         };
         for stage in &request.stages {
             let backlog = &mut self.services[usize::from(stage.service.0)].backlog;
-            backlog.arrived(now, request.rank, request.org, request.weight);
+            backlog.record_arrival(now, request.rank, request.org, request.weight);
         }
         let id = self.requests.insert(request);
         if resolved.at_most_once {
@@ -440,8 +440,8 @@
             reason: rejection.reason,
             verdict,
             step: None,
-            peer: Some(Peer::Node(rejection.home.unwrap_or(self.settings.node))),
-            come_back: rejection.retry_after + rejection.retry_after.scale(jitter),
+            origin: Some(RefusalOrigin::Node(rejection.home.unwrap_or(self.settings.node))),
+            retry_after: rejection.retry_after + rejection.retry_after.scale(jitter),
         };
         let outcome = Outcome::Refused(refusal);
         self.actions.push(TrafficAction::Finish {
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -2,9 +2,9 @@
 
 use super::Router;
 use crate::{
-    AttemptEnd, AttemptId, Counter, Echo, Fate, Guard, LoadReport, MAX_COOLDOWN, Payload, Peer, Reason,
-    RequestEvent, RequestId, RetryReason, ServiceIx, Span, TargetEvent, TargetId, TargetPhase, TargetRest,
-    Time, TrafficAction,
+    AttemptEnd, AttemptId, Counter, Echo, ExecutionStatus, Guard, LoadReport, MAX_COOLDOWN, Payload, Reason,
+    RefusalOrigin, RequestEvent, RequestId, RetryReason, ServiceIx, Span, TargetCooldown, TargetEvent,
+    TargetId, TargetPhase, Time, TrafficAction,
 };
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
         data: &Payload,
     ) {
         let Some(state) = self.attempts.get_mut(attempt) else {
-            return self.count(Counter::Late);
+            return self.count(Counter::LateAnswer);
         };
         if state.echo != echo && self.settings.guards.enforces(Guard::EchoMatch) {
             self.count(Counter::Misdirected);
@@ -36,10 +36,10 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.touched = true;
+        request.may_have_run = true;
         let answer_length = request.answer.len() as u64;
         if offset > answer_length && self.settings.guards.enforces(Guard::NoStreamGap) {
-            self.count(Counter::Gap);
+            self.count(Counter::StreamGap);
             return self.abort_attempt(now, attempt);
         }
         let Some(new_data) = data.get(answer_length.saturating_sub(offset) as usize..) else {
@@ -58,7 +58,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if !request.last() {
+        if !request.is_last_step() {
             return;
         }
         let answer_length = request.answer.len() as u64;
@@ -77,7 +77,7 @@
     /// Closes an attempt whose connection can no longer be trusted. Its step counts as broken off.
     fn abort_attempt(&mut self, now: Time, attempt: AttemptId) {
         self.cancel_attempt(attempt);
-        self.handle_attempt_end(now, attempt, None, AttemptEnd::BrokenOff);
+        self.handle_attempt_end(now, attempt, None, AttemptEnd::Interrupted);
     }
 
     /// Applies the load and leaving state that a target reported with an answer.
@@ -128,7 +128,7 @@
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
-        target.probed(now, ok, &self.target_chart);
+        target.record_probe(now, ok, &self.target_chart);
         let service = target.plan.service;
         self.dispatch_waiting(now, service);
     }
@@ -144,14 +144,14 @@
         end: AttemptEnd,
     ) {
         let Some(state) = self.attempts.get(attempt) else {
-            return self.count(Counter::Late);
+            return self.count(Counter::LateAnswer);
         };
         let misdirected = echo.is_some_and(|echo| echo != state.echo) && self.enforces(Guard::EchoMatch);
         if misdirected {
             self.count(Counter::Misdirected);
         }
         let end = if misdirected {
-            AttemptEnd::BrokenOff
+            AttemptEnd::Interrupted
         } else {
             self.verify_length(attempt, end)
         };
@@ -162,29 +162,29 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.touched |= end.fate() != Fate::NotRun;
+        request.may_have_run |= end.execution_status() != ExecutionStatus::NotRun;
         let service = request.stage().service;
         match end {
             AttemptEnd::Done { output, .. } => {
                 request.spent.push((service, took));
-                self.services[usize::from(service.0)].measured(took);
+                self.services[usize::from(service.0)].record_step_time(took);
                 self.retry_budget.record_success();
                 self.complete_step(now, id, &output);
             }
             AttemptEnd::Refused { .. } => self.retry_step(now, id, target, RetryReason::Refused),
             AttemptEnd::Unreachable => self.retry_step(now, id, target, RetryReason::Unreachable),
-            AttemptEnd::BrokenOff => {
+            AttemptEnd::Interrupted => {
                 request.spent.push((service, took));
                 let resumed = !request.answer.is_empty();
                 let reason = if resumed {
                     RetryReason::Resumed
                 } else {
-                    RetryReason::BrokenOff
+                    RetryReason::Interrupted
                 };
                 if request.repeatable() || !self.settings.guards.enforces(Guard::NoUnsafeRetry) {
                     self.retry_step(now, id, target, reason);
                 } else {
-                    self.give_up(now, id, Reason::StepFailed, Some(Peer::Target(target)));
+                    self.give_up(now, id, Reason::StepFailed, Some(RefusalOrigin::Target(target)));
                 }
             }
         }
@@ -204,8 +204,8 @@
         if streamed + output.len() as u64 == *length || !self.enforces(Guard::StreamLength) {
             return end;
         }
-        self.count(Counter::Gap);
-        AttemptEnd::BrokenOff
+        self.count(Counter::StreamGap);
+        AttemptEnd::Interrupted
     }
 
     /// Removes an attempt; returns its request, its target and how long it took.
@@ -234,16 +234,16 @@
                 let full = !target.limit.allows(target.in_flight + 1);
                 let report = target.report.map(|(report, _)| report);
                 target.limit.record_answer(now, took, full, report);
-                target.succeeded(&self.target_chart);
+                target.record_success(&self.target_chart);
             }
             AttemptEnd::Refused { leaving: true, .. } => {
                 self.apply_report(now, id, None, true);
             }
-            AttemptEnd::Refused { rest, .. } => {
+            AttemptEnd::Refused { cooldown: rest, .. } => {
                 target.limit.shrink(now);
                 self.start_cooldown(now, id, *rest);
             }
-            AttemptEnd::Unreachable | AttemptEnd::BrokenOff => self.record_target_failure(now, id),
+            AttemptEnd::Unreachable | AttemptEnd::Interrupted => self.record_target_failure(now, id),
         }
     }
 
@@ -252,14 +252,14 @@
         let Some(target) = self.targets.get_mut(&id).filter(|_| cooldown > Span::ZERO) else {
             return;
         };
-        let cooldown = TargetRest {
+        let cooldown = TargetCooldown {
             target: id,
             incarnation: target.plan.incarnation,
             until: now + cooldown.min(MAX_COOLDOWN),
         };
-        target.rest(cooldown.until, &self.target_chart);
-        self.count(Counter::AskedRest);
-        self.actions.push(TrafficAction::NotifyRest(cooldown));
+        target.start_cooldown(cooldown.until, &self.target_chart);
+        self.count(Counter::CooldownRequested);
+        self.actions.push(TrafficAction::NotifyCooldown(cooldown));
     }
 
     /// The shortest remaining cooldown of a service's targets that are not leaving; zero if one of them
@@ -268,7 +268,7 @@
         let targets = &self.services[usize::from(service.0)].targets;
         let targets = targets.iter().filter_map(|id| self.targets.get(id));
         let remaining = targets.filter(|target| target.phase != TargetPhase::Leaving);
-        let cooldowns = remaining.map(|target| target.rest_until.since(now));
+        let cooldowns = remaining.map(|target| target.cooldown_until.since(now));
         cooldowns.min().unwrap_or_default()
     }
 
@@ -278,12 +278,12 @@
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
-        if !target.failed(now) || target.phase == TargetPhase::Quarantined {
+        if !target.record_failure(now) || target.phase == TargetPhase::Quarantined {
             return;
         }
         let service = usize::from(target.plan.service.0);
         let listed = &self.services[service].targets;
-        let unusable = |id: &&TargetId| self.targets.get(id).is_none_or(|target| !target.usable());
+        let unusable = |id: &&TargetId| self.targets.get(id).is_none_or(|target| !target.is_usable());
         if (listed.iter().filter(unusable).count() + 1) * 2 > listed.len()
             && self.enforces(Guard::QuarantineCap)
         {
@@ -306,7 +306,7 @@
         if request.answer.len() > self.settings.max_answer {
             return self.give_up(now, id, Reason::AnswerTooLarge, None);
         }
-        if request.last() {
+        if request.is_last_step() {
             self.forward_answer(id);
             return self.complete(now, id);
         }
@@ -330,12 +330,17 @@
         let service = self.requests.get(id).map(|request| request.stage().service);
         let cooldown = service.map_or(Span::ZERO, |service| self.service_cooldown(now, service));
         if cooldown > Span::ZERO && start_by.is_some_and(|start_by| start_by < now + cooldown) {
-            return self.give_up(now, id, Reason::TargetsRest, Some(Peer::Target(failed)));
+            return self.give_up(
+                now,
+                id,
+                Reason::TargetsCoolingDown,
+                Some(RefusalOrigin::Target(failed)),
+            );
         }
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let peer = Some(Peer::Target(failed));
+        let peer = Some(RefusalOrigin::Target(failed));
         if late {
             return self.give_up(now, id, Reason::DeadlineMissed, peer);
         }
@@ -353,7 +358,7 @@
         request.avoid = Some(failed);
         self.request_chart.step(&mut request.phase, RequestEvent::Retry);
         let (rank, org, weight) = (request.rank, request.org, request.weight);
-        request.owed = request.step;
+        request.first_undispatched = request.step;
         let service = request.stage().service;
         self.services[usize::from(service.0)]
             .backlog
--- a/crates/barleyspool_core/src/router/completion.rs
+++ b/crates/barleyspool_core/src/router/completion.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::{
-    CallerId, Counter, Earlier, Guard, Outcome, Peer, Reason, Refusal, Request, RequestEvent, RequestId,
-    ResolvedStage, RetryReason, Span, Time, TrafficAction, Verdict,
+    CallerId, Counter, Earlier, Guard, Outcome, Reason, Refusal, RefusalOrigin, Request, RequestEvent,
+    RequestId, ResolvedStage, RetryReason, Span, Time, TrafficAction, Verdict,
 };
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
     }
 
     /// Ends a request without a complete answer. Its callers get the final outcome at once.
-    pub(super) fn give_up(&mut self, now: Time, id: RequestId, reason: Reason, peer: Option<Peer>) {
+    pub(super) fn give_up(&mut self, now: Time, id: RequestId, reason: Reason, peer: Option<RefusalOrigin>) {
         let Some(attempt) = self.requests.get(id).map(|request| request.attempt) else {
             return;
         };
@@ -33,7 +33,7 @@
             if let Some((_, _, took)) = self.release_attempt(now, attempt)
                 && let Some(request) = self.requests.get_mut(id)
             {
-                request.touched = true;
+                request.may_have_run = true;
                 let service = request.stage().service;
                 request.spent.push((service, took));
             }
@@ -43,7 +43,7 @@
             return;
         };
         self.request_chart.step(&mut request.phase, RequestEvent::GivenUp);
-        let touched = request.touched && self.settings.guards.enforces(Guard::NotRunProven);
+        let touched = request.may_have_run && self.settings.guards.enforces(Guard::NotRunProven);
         let may_have_run = touched || request.earlier == Earlier::Uncertain;
         let verdict = if may_have_run {
             Verdict::Unknown
@@ -57,15 +57,15 @@
             Counter::RefusedNotRun(reason)
         };
         self.count(counter);
-        let come_back = self.retry_after(now, id);
+        let retry_after = self.retry_after(now, id);
         self.finish(
             id,
             &Outcome::Refused(Refusal {
                 reason,
                 verdict,
                 step,
-                peer,
-                come_back,
+                origin: peer,
+                retry_after,
             }),
             true,
         );
@@ -79,10 +79,12 @@
         };
         let service = request.stage().service;
         let state = &self.services[usize::from(service.0)];
-        let ahead = state.backlog.ahead(request.rank, request.org, request.weight);
-        let above = state.backlog.rate_above(now, request.rank);
-        let wait = state.wait(ahead, f64::from(self.capacity(service)), above);
-        Span((wait as u64).max(state.took as u64)).max(self.service_cooldown(now, service))
+        let ahead = state
+            .backlog
+            .steps_ahead(request.rank, request.org, request.weight);
+        let above = state.backlog.arrival_rate_above(now, request.rank);
+        let wait = state.wait_us(ahead, f64::from(self.capacity(service)), above);
+        Span((wait as u64).max(state.avg_step_us as u64)).max(self.service_cooldown(now, service))
     }
 
     /// Sends the outcome to every listener, updates counters and remembered keys, and removes the
@@ -120,7 +122,7 @@
 
     /// Removes the steps that will not be sent any more from the backlogs.
     fn drop_backlog(&mut self, request: &Request) {
-        for stage in &request.stages[usize::from(request.owed)..] {
+        for stage in &request.stages[usize::from(request.first_undispatched)..] {
             self.services[usize::from(stage.service.0)]
                 .backlog
                 .remove(request.rank, request.org);
@@ -149,7 +151,7 @@
         };
         let deadline = request.deadline;
         let Some(attempt) = request.attempt else {
-            let started = request.touched;
+            let started = request.may_have_run;
             let reason = if started {
                 Reason::DeadlineMissed
             } else {
@@ -169,7 +171,12 @@
             if last_answer == self.attempts[attempt].started && self.overdue(now, id, last_answer) {
                 self.record_target_failure(now, target);
             }
-            return self.give_up(now, id, Reason::DeadlineMissed, Some(Peer::Target(target)));
+            return self.give_up(
+                now,
+                id,
+                Reason::DeadlineMissed,
+                Some(RefusalOrigin::Target(target)),
+            );
         }
         let check_at = self.next_check(last_answer, id);
         if now < check_at {
@@ -183,7 +190,7 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].took;
+        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].avg_step_us;
         now.since(since).0 as f64 > 2.0 * took(request.stage())
     }
 
@@ -198,13 +205,13 @@
         };
         self.record_target_failure(now, target);
         if let Some(request) = self.requests.get_mut(id) {
-            request.touched = true;
+            request.may_have_run = true;
             let service = request.stage().service;
             request.spent.push((service, took));
             // The attempt would have taken longer still. Without this sample a stage that has become
             // slower would never show it, since no answer is awaited, and every step would time out
             // again.
-            self.services[usize::from(service.0)].measured(took);
+            self.services[usize::from(service.0)].record_step_time(took);
             let resumed = !request.answer.is_empty();
             let reason = if resumed {
                 RetryReason::Resumed
--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -2,8 +2,8 @@
 
 use super::Router;
 use crate::{
-    Attempt, Counter, Echo, LoadBalancing, Place, Reason, RequestEvent, RequestId, ResolvedStage, ServiceIx,
-    Span, StepOrder, TargetId, TargetState, Time, TrafficAction, Waiting, rendezvous,
+    Attempt, Counter, Echo, LoadBalancing, QueueEntry, Reason, RequestEvent, RequestId, ResolvedStage,
+    ServiceIx, Span, StepOrder, TargetId, TargetState, Time, TrafficAction, WaitingStep, rendezvous,
 };
 use rand::Rng;
 use slotmap::Key;
@@ -27,18 +27,18 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let waiting = Waiting {
-            fresh: !request.touched,
+        let waiting = WaitingStep {
+            not_started: !request.may_have_run,
             start_by,
             request: id,
         };
-        let place = Place {
+        let place = QueueEntry {
             rank: request.rank,
             org: request.org,
-            waiting,
+            step: waiting,
         };
         let service = request.stage().service;
-        request.place = Some(place);
+        request.queued = Some(place);
         let weight = request.weight;
         self.services[usize::from(service.0)].queue.push(place, weight);
         *self.waiting_by_rank.entry(place.rank).or_default() += 1;
@@ -51,10 +51,10 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let Some(place) = request.place.take() else { return };
+        let Some(item) = request.queued.take() else { return };
         let service = request.stage().service;
-        self.services[usize::from(service.0)].queue.remove(place);
-        self.count_dequeued(place.rank);
+        self.services[usize::from(service.0)].queue.remove(item);
+        self.count_dequeued(item.rank);
     }
 
     fn count_dequeued(&mut self, rank: u8) {
@@ -71,9 +71,9 @@
             return Some(request.deadline);
         }
         let remaining = request
-            .rest()
+            .remaining_stages()
             .iter()
-            .map(|stage| self.services[usize::from(stage.service.0)].took);
+            .map(|stage| self.services[usize::from(stage.service.0)].avg_step_us);
         Some(request.deadline - Span(remaining.sum::<f64>() as u64).scale(MIN_TIME_SHARE))
     }
 
@@ -88,7 +88,7 @@
             let Some(place) = self.services[usize::from(service.0)].queue.pop(&skip) else {
                 return;
             };
-            let id = place.waiting.request;
+            let id = place.step.request;
             let Some(target) = self.choose_target(now, id) else {
                 // No target with capacity suits this request; others in the queue may have one.
                 let weight = self.requests.get(id).map_or(1, |request| request.weight);
@@ -98,9 +98,9 @@
             };
             self.count_dequeued(place.rank);
             if let Some(request) = self.requests.get_mut(id) {
-                request.place = None;
+                request.queued = None;
             }
-            if now > place.waiting.start_by {
+            if now > place.step.start_by {
                 self.give_up(now, id, Reason::DeadlineUnreachable, None);
             } else {
                 self.dispatch(now, id, target);
@@ -109,7 +109,7 @@
     }
 
     fn any_free(&self, service: ServiceIx) -> bool {
-        let free = |id| self.targets.get(id).is_some_and(TargetState::free);
+        let free = |id| self.targets.get(id).is_some_and(TargetState::has_capacity);
         self.services[usize::from(service.0)].targets.iter().any(free)
     }
 
@@ -150,28 +150,28 @@
                 .min_by_key(|id| self.targets.get(id).map_or(0, |target| target.in_flight)),
             LoadBalancing::RoundRobin => {
                 let state = &mut self.services[usize::from(service.0)];
-                state.turn = state.turn.wrapping_add(1);
-                Some(free[state.turn % free.len()])
+                state.round_robin_next = state.round_robin_next.wrapping_add(1);
+                Some(free[state.round_robin_next % free.len()])
             }
         }
     }
 
     fn is_free(&self, id: TargetId) -> bool {
-        self.targets.get(&id).is_some_and(TargetState::free)
+        self.targets.get(&id).is_some_and(TargetState::has_capacity)
     }
 
     fn has_usable_alternative(&self, service: ServiceIx, avoid: Option<TargetId>) -> bool {
-        let usable = |id: &&TargetId| self.targets.get(id).is_some_and(TargetState::usable);
+        let usable = |id: &&TargetId| self.targets.get(id).is_some_and(TargetState::is_usable);
         let targets = &self.services[usize::from(service.0)].targets;
         targets.iter().filter(usable).any(|id| Some(*id) != avoid)
     }
 
     fn lower_latency(&self, now: Time, service: ServiceIx, a: TargetId, b: TargetId) -> TargetId {
-        let default_latency = self.services[usize::from(service.0)].took;
+        let default_latency = self.services[usize::from(service.0)].avg_step_us;
         let expected = |id| {
             self.targets
                 .get(&id)
-                .map_or(f64::MAX, |target| target.expected(now, default_latency))
+                .map_or(f64::MAX, |target| target.expected_us(now, default_latency))
         };
         if expected(b) < expected(a) { b } else { a }
     }
@@ -203,8 +203,8 @@
             .targets
             .iter()
             .filter_map(|id| self.targets.get(id))
-            .filter(|target| target.usable());
-        let expected = |target: &&TargetState| target.expected(now, state.took) as u64;
+            .filter(|target| target.is_usable());
+        let expected = |target: &&TargetState| target.expected_us(now, state.avg_step_us) as u64;
         usable.min_by_key(expected).map(|target| target.plan.id)
     }
 
@@ -225,7 +225,7 @@
         let stage = request.stage().clone();
         let echo = Echo {
             node: self.settings.node,
-            run: self.settings.incarnation,
+            incarnation: self.settings.incarnation,
             request: id.data().as_ffi(),
             step: request.step,
             attempt: request.attempts,
@@ -242,7 +242,7 @@
         let state = &mut self.services[usize::from(stage.service.0)];
         state.in_flight += 1;
         state.backlog.remove(request.rank, request.org);
-        request.owed = request.step + 1;
+        request.first_undispatched = request.step + 1;
         let stream = self.plan.config.as_ref().is_some_and(|config| {
             config.services[usize::from(stage.service.0)].kind == crate::ServiceKind::Engine
         });
@@ -274,12 +274,12 @@
         if !self.settings.policy.attempt_timeouts || !request.repeatable() {
             return request.deadline;
         }
-        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].took;
+        let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].avg_step_us;
         let timeout_at = from
             + Span(took(request.stage()) as u64)
                 .scale(ATTEMPT_TIMEOUT_FACTOR)
                 .max(MIN_ATTEMPT_TIMEOUT);
-        let remaining: f64 = request.rest().iter().map(took).sum();
+        let remaining: f64 = request.remaining_stages().iter().map(took).sum();
         if timeout_at + Span(remaining as u64) <= request.deadline {
             timeout_at
         } else {
--- a/crates/barleyspool_core/src/router/mod.rs
+++ b/crates/barleyspool_core/src/router/mod.rs
@@ -178,7 +178,7 @@
             for service in config.services.iter().skip(self.services.len()) {
                 let took = Span::from_millis(service.expected_ms).0 as f64;
                 self.services.push(ServiceState {
-                    took,
+                    avg_step_us: took,
                     ..ServiceState::default()
                 });
             }
@@ -221,10 +221,10 @@
         if listed.incarnation > target.plan.incarnation {
             self.target_chart.step(&mut target.phase, TargetEvent::Replaced);
             target.probe_at = None;
-            target.rest_until = Time(0);
+            target.cooldown_until = Time(0);
         }
         target.update(&listed, policy);
-        target.rest(listed.rest_until, &self.target_chart);
+        target.start_cooldown(listed.cooldown_until, &self.target_chart);
         if listed.leaving && self.settings.guards.enforces(Guard::TargetLeaving) {
             self.target_chart
                 .step(&mut target.phase, TargetEvent::ReportedLeaving);
@@ -305,7 +305,7 @@
     pub fn active_organisations(&self) -> usize {
         self.services
             .iter()
-            .map(|service| service.backlog.active())
+            .map(|service| service.backlog.organisation_count())
             .max()
             .unwrap_or_default()
     }
@@ -334,7 +334,7 @@
 
     /// Whether the plan is too old to act on: the control thread hangs, or the process was suspended.
     fn plan_stale(&self, now: Time) -> bool {
-        !self.plan.fresh(now, self.settings.max_plan_age) && self.enforces(Guard::PlanAge)
+        !self.plan.is_fresh(now, self.settings.max_plan_age) && self.enforces(Guard::PlanAge)
     }
 
     fn count(&mut self, counter: Counter) {
--- a/crates/barleyspool_core/src/subset.rs
+++ b/crates/barleyspool_core/src/subset.rs
@@ -12,14 +12,19 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubsetSize {
     /// From the node's own zone.
-    pub near: usize,
+    #[serde(rename = "near")]
+    pub same_zone: usize,
     /// From each other zone of the region.
-    pub far: usize,
+    #[serde(rename = "far")]
+    pub other_zones: usize,
 }
 
 impl Default for SubsetSize {
     fn default() -> Self {
-        Self { near: 16, far: 6 }
+        Self {
+            same_zone: 16,
+            other_zones: 6,
+        }
     }
 }
 
@@ -39,18 +44,18 @@
     for ((service, zone), mut pool) in pools {
         pool.sort_by_key(|target| target.id);
         let near = zone == me.zone;
-        let nodes = dealt_nodes(fleet, me, zone, near);
+        let nodes = sharing_nodes(fleet, me, zone, near);
         let Some(place) = nodes.iter().position(|node| *node == me.id) else {
             continue;
         };
-        let want = if near { size.near } else { size.far };
-        chosen.extend(deal(&pool, place, want, rendezvous::text_key(service)));
+        let want = if near { size.same_zone } else { size.other_zones };
+        chosen.extend(assign(&pool, place, want, rendezvous::text_key(service)));
     }
     chosen
 }
 
 /// The entry nodes that are dealt targets of `zone`, in an order that all nodes agree on.
-fn dealt_nodes(fleet: &Fleet, me: &EntryNode, zone: &str, near: bool) -> Vec<NodeId> {
+fn sharing_nodes(fleet: &Fleet, me: &EntryNode, zone: &str, near: bool) -> Vec<NodeId> {
     let same = |entry: &&EntryNode| entry.region == me.region && (entry.zone == zone) == near;
     let mut nodes: Vec<NodeId> = fleet.entries.iter().filter(same).map(|entry| entry.id).collect();
     if !nodes.contains(&me.id) {
@@ -61,7 +66,7 @@
 }
 
 /// The `want` targets that the node at `place` is dealt.
-fn deal<'a>(pool: &[&'a TargetNode], place: usize, want: usize, salt: u128) -> Vec<&'a TargetNode> {
+fn assign<'a>(pool: &[&'a TargetNode], place: usize, want: usize, salt: u128) -> Vec<&'a TargetNode> {
     if want >= pool.len() {
         return pool.to_vec();
     }
@@ -99,5 +104,5 @@
         .count();
     let far = fleet.entries.iter().filter(live).count() - near;
     let share = |nodes: usize, want: usize| (nodes * want.min(pool)).div_ceil(pool);
-    (share(near, size.near) + share(far, size.far)).max(1)
+    (share(near, size.same_zone) + share(far, size.other_zones)).max(1)
 }
--- a/crates/barleyspool_core/src/target_state.rs
+++ b/crates/barleyspool_core/src/target_state.rs
@@ -25,7 +25,8 @@
         /// It failed too often in a row.
         Failed = "failed",
         /// It refused a call and wants nothing from this node for a while.
-        AskedRest = "asked_rest",
+        #[serde(rename = "AskedRest")]
+        CooldownRequested = "asked_rest",
         /// It answered a probe.
         ProbeOk = "probe_ok",
         /// It did not answer a probe.
@@ -41,13 +42,13 @@
 pub const TARGET_CHART: &str = include_str!("../../../charts/target.json");
 
 /// Failures in a row that put a target into quarantine.
-const STREAK: u32 = 3;
+const QUARANTINE_FAILURES: u32 = 3;
 /// The first wait before a probe.
-const PROBE_FIRST: Span = Span::from_millis(200);
+const MIN_PROBE_WAIT: Span = Span::from_millis(200);
 /// The longest wait before a probe.
-const PROBE_LONGEST: Span = Span::from_secs(5);
+const MAX_PROBE_WAIT: Span = Span::from_secs(5);
 /// A load report counts half after this time.
-const REPORT_HALF: f64 = 1.0;
+const REPORT_HALF_LIFE_S: f64 = 1.0;
 
 /// One target, with what this node has seen of it.
 #[derive(Clone, Debug)]
@@ -65,9 +66,9 @@
     /// When to probe it, while it is in quarantine and no probe is under way.
     pub probe_at: Option<Time>,
     /// Until when it wants nothing from this node, probes included.
-    pub rest_until: Time,
-    streak: u32,
-    wait: Span,
+    pub cooldown_until: Time,
+    failure_streak: u32,
+    probe_wait: Span,
 }
 
 impl TargetState {
@@ -81,9 +82,9 @@
             limit,
             report: None,
             probe_at: None,
-            rest_until: Time(0),
-            streak: 0,
-            wait: PROBE_FIRST,
+            cooldown_until: Time(0),
+            failure_streak: 0,
+            probe_wait: MIN_PROBE_WAIT,
         }
     }
 
@@ -94,12 +95,12 @@
     }
 
     /// Whether it may get new work at all.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         matches!(self.phase, TargetPhase::Live | TargetPhase::Trial)
     }
 
     /// Whether it may get one more call now.
-    pub fn free(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         match self.phase {
             TargetPhase::Live => self.limit.allows(self.in_flight),
             TargetPhase::Trial => self.in_flight == 0,
@@ -108,7 +109,7 @@
     }
 
     /// How many calls this node may have there at once.
-    pub fn places(&self) -> u32 {
+    pub fn capacity(&self) -> u32 {
         match self.phase {
             TargetPhase::Live => self.limit.value as u32,
             TargetPhase::Trial => 1,
@@ -117,7 +118,7 @@
     }
 
     /// The latency to expect of one more call, in microseconds.
-    pub fn expected(&self, now: Time, otherwise: f64) -> f64 {
+    pub fn expected_us(&self, now: Time, otherwise: f64) -> f64 {
         let base = if self.limit.latency_us > 0.0 {
             self.limit.latency_us
         } else {
@@ -126,56 +127,56 @@
         let slots = f64::from(self.plan.slots.max(1));
         let others = self.report.map_or(0.0, |(report, at)| {
             let busy = f64::from((report.running + report.queued).saturating_sub(self.in_flight));
-            busy * 0.5_f64.powf(now.since(at).as_secs() / REPORT_HALF)
+            busy * 0.5_f64.powf(now.since(at).as_secs() / REPORT_HALF_LIFE_S)
         });
         let load = (f64::from(self.in_flight) + others + 1.0) / slots;
-        let far = if self.plan.near { 1.0 } else { 1.05 };
+        let far = if self.plan.same_zone { 1.0 } else { 1.05 };
         base * (0.5 + load) * far
     }
 
     /// Counts a failure; true when the streak is long enough for a quarantine.
-    pub fn failed(&mut self, now: Time) -> bool {
-        self.streak += 1;
+    pub fn record_failure(&mut self, now: Time) -> bool {
+        self.failure_streak += 1;
         self.limit.shrink(now);
-        self.streak >= STREAK || self.phase == TargetPhase::Trial
+        self.failure_streak >= QUARANTINE_FAILURES || self.phase == TargetPhase::Trial
     }
 
     /// An answer or a successful probe came.
-    pub fn succeeded(&mut self, chart: &Chart<TargetPhase, TargetEvent>) {
-        self.streak = 0;
+    pub fn record_success(&mut self, chart: &Chart<TargetPhase, TargetEvent>) {
+        self.failure_streak = 0;
         if chart.step(&mut self.phase, TargetEvent::Answered) {
-            self.wait = PROBE_FIRST;
+            self.probe_wait = MIN_PROBE_WAIT;
         }
     }
 
     /// Goes into quarantine; the first probe comes soon, later ones ever more seldom.
     pub fn quarantine(&mut self, now: Time, chart: &Chart<TargetPhase, TargetEvent>) {
         if chart.step(&mut self.phase, TargetEvent::Failed) {
-            self.probe_at = Some(now + self.wait);
+            self.probe_at = Some(now + self.probe_wait);
         }
     }
 
     /// It wants nothing from this node until `until`; a probe then shows whether it is back.
-    pub fn rest(&mut self, until: Time, chart: &Chart<TargetPhase, TargetEvent>) {
-        if until <= self.rest_until {
+    pub fn start_cooldown(&mut self, until: Time, chart: &Chart<TargetPhase, TargetEvent>) {
+        if until <= self.cooldown_until {
             return;
         }
-        self.rest_until = until;
-        chart.step(&mut self.phase, TargetEvent::AskedRest);
+        self.cooldown_until = until;
+        chart.step(&mut self.phase, TargetEvent::CooldownRequested);
         if self.phase == TargetPhase::Quarantined {
             self.probe_at = Some(self.probe_at.map_or(until, |at| at.max(until)));
         }
     }
 
     /// A probe came back.
-    pub fn probed(&mut self, now: Time, ok: bool, chart: &Chart<TargetPhase, TargetEvent>) {
-        let rests = now < self.rest_until;
+    pub fn record_probe(&mut self, now: Time, ok: bool, chart: &Chart<TargetPhase, TargetEvent>) {
+        let rests = now < self.cooldown_until;
         if ok && !rests && chart.step(&mut self.phase, TargetEvent::ProbeOk) {
-            self.streak = 0;
+            self.failure_streak = 0;
         }
         if self.phase == TargetPhase::Quarantined {
-            self.wait = PROBE_LONGEST.min(self.wait + self.wait);
-            self.probe_at = Some((now + self.wait).max(self.rest_until));
+            self.probe_wait = MAX_PROBE_WAIT.min(self.probe_wait + self.probe_wait);
+            self.probe_at = Some((now + self.probe_wait).max(self.cooldown_until));
         }
     }
 }
--- a/crates/barleyspool_core/src/traffic.rs
+++ b/crates/barleyspool_core/src/traffic.rs
@@ -1,8 +1,8 @@
 //! What goes into and comes out of a [`crate::Router`]: typed, and `serde`, so that a run can be recorded.
 
 use crate::{
-    AttemptEnd, AttemptId, Call, CallerId, Incarnation, LoadReport, NodeId, Outcome, ServiceIx, TargetId,
-    TargetRest, Time,
+    AttemptEnd, AttemptId, Call, CallerId, Incarnation, LoadReport, NodeId, Outcome, ServiceIx,
+    TargetCooldown, TargetId, Time,
 };
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -16,7 +16,8 @@
     /// The node.
     pub node: NodeId,
     /// The run of the node.
-    pub run: Incarnation,
+    #[serde(rename = "run")]
+    pub incarnation: Incarnation,
     /// The request, as the node numbers it.
     pub request: u64,
     /// The step.
@@ -158,7 +159,8 @@
         address: String,
     },
     /// Notify the other lanes that a target wants nothing from this node for a while.
-    NotifyRest(TargetRest),
+    #[serde(rename = "NotifyRest")]
+    NotifyCooldown(TargetCooldown),
     /// Tell the control thread that a target is leaving.
     NotifyLeaving {
         /// The target.
@@ -167,5 +169,6 @@
         incarnation: Incarnation,
     },
     /// Tell the control thread that a caller has seen a newer configuration.
-    NotifyBehind,
+    #[serde(rename = "NotifyBehind")]
+    NotifyNewerRevision,
 }
--- a/crates/barleyspool_core/tests/control.rs
+++ b/crates/barleyspool_core/tests/control.rs
@@ -309,7 +309,7 @@
         node.step(now, ControlEvent::ConfigFailed);
         let plan = node.plan.as_ref().unwrap();
         assert!(
-            plan.fresh(now, ms(100)),
+            plan.is_fresh(now, ms(100)),
             "the plan is refreshed without the service"
         );
         assert_eq!(node.control.revision(), Revision(5));
--- a/crates/barleyspool_core/tests/fault_matrix.rs
+++ b/crates/barleyspool_core/tests/fault_matrix.rs
@@ -142,7 +142,7 @@
 
 /// One cell while it runs, with the steps that the scripted targets ran.
 struct CellRun {
-    bench: Bench,
+    bench: RouterHarness,
     cell: MatrixCell,
     callers: Vec<CallerId>,
     call: Call,
@@ -158,7 +158,7 @@
         if cell.kind == Kind::UnrepeatableStage {
             call.pipeline = "check".into();
         }
-        let mut bench = Bench::guarded(guards);
+        let mut bench = RouterHarness::guarded(guards);
         let caller = bench.arrive(call.clone());
         Self {
             bench,
@@ -248,13 +248,13 @@
                 echo,
                 AttemptEnd::Refused {
                     leaving: false,
-                    rest: Span::ZERO,
+                    cooldown: Span::ZERO,
                 },
             ),
             RefusedLeaving => {
                 let end = AttemptEnd::Refused {
                     leaving: true,
-                    rest: Span::ZERO,
+                    cooldown: Span::ZERO,
                 };
                 self.bench.step(TrafficEvent::Ended {
                     attempt,
@@ -267,13 +267,13 @@
             Unreachable => self.bench.end(attempt, Option::None, AttemptEnd::Unreachable),
             BrokenAfterRun => {
                 self.record_run(order);
-                self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff);
+                self.bench.end(attempt, Option::None, AttemptEnd::Interrupted);
             }
-            BrokenBeforeRun => self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff),
+            BrokenBeforeRun => self.bench.end(attempt, Option::None, AttemptEnd::Interrupted),
             BrokenMidStream => {
                 self.record_run(order);
                 self.send_half(attempt, order);
-                self.bench.end(attempt, Option::None, AttemptEnd::BrokenOff);
+                self.bench.end(attempt, Option::None, AttemptEnd::Interrupted);
             }
             StreamGap => {
                 self.record_run(order);
@@ -342,14 +342,15 @@
             StalePlan => {
                 // The answer arrives when the plan has not been refreshed for too long.
                 let plan = Plan {
-                    made: self.bench.now - ms(10_000),
+                    refreshed_at: self.bench.now - ms(10_000),
                     ..Plan::clone(self.bench.router.plan())
                 };
-                self.bench.take_plan(plan);
+                self.bench.apply_plan(plan);
                 let before = self.bench.sent.len();
                 self.run_and_answer(attempt, order);
                 assert!(
-                    self.bench.sent.len() == before || !self.bench.router.plan().fresh(self.bench.now, ms(0))
+                    self.bench.sent.len() == before
+                        || !self.bench.router.plan().is_fresh(self.bench.now, ms(0))
                 );
                 self.bench.pass(ms(1));
             }
@@ -358,7 +359,7 @@
                 next.head.pipelines.retain(|pipeline| pipeline.name == "single");
                 let plan = Plan::clone(self.bench.router.plan());
                 let config = Config::from_document(&next, plan.config.as_deref()).unwrap();
-                self.bench.take_plan(Plan {
+                self.bench.apply_plan(Plan {
                     config: Some(Arc::new(config)),
                     ..plan
                 });
@@ -372,7 +373,7 @@
                     .filter(|target| target.id != order.target)
                     .cloned()
                     .collect();
-                self.bench.take_plan(Plan {
+                self.bench.apply_plan(Plan {
                     targets: Arc::new(remaining),
                     ..plan
                 });
@@ -383,7 +384,7 @@
                     serving: Serving::Stopping,
                     ..Plan::clone(self.bench.router.plan())
                 };
-                self.bench.take_plan(plan);
+                self.bench.apply_plan(plan);
                 self.run_and_answer(attempt, order);
             }
             Resend => {
@@ -405,8 +406,8 @@
                         reason: Reason::CallerLeft,
                         verdict: Verdict::Unknown,
                         step: Option::None,
-                        peer: Option::None,
-                        come_back: Span::ZERO,
+                        origin: Option::None,
+                        retry_after: Span::ZERO,
                     };
                     received.outcomes.push(Outcome::Refused(refusal));
                     received.at = self.bench.now;
--- a/crates/barleyspool_core/tests/forward_sends.rs
+++ b/crates/barleyspool_core/tests/forward_sends.rs
@@ -1,6 +1,6 @@
 //! Retries of forwarded calls: what may follow each send, and the retry budget.
 
-use barleyspool_core::{Fate, NextStep, RetryWindow, SendEnd, SendHistory, Span, Time, next_step};
+use barleyspool_core::{ExecutionStatus, NextStep, RetryWindow, SendEnd, SendHistory, Span, Time, next_step};
 use quickcheck::quickcheck;
 
 const ENDS: &[SendEnd] = &[
@@ -44,7 +44,7 @@
     let mut may_have_run = 0;
     for end in sequence {
         history.record_end(*end);
-        may_have_run += u32::from(end.fate() != Fate::NotRun);
+        may_have_run += u32::from(end.fate() != ExecutionStatus::NotRun);
         assert!(
             history.sends <= max_sends,
             "more sends than allowed: {sequence:?}"
@@ -69,7 +69,7 @@
                 return;
             }
             NextStep::Deliver => {
-                assert_eq!(end.fate(), Fate::Ran);
+                assert_eq!(end.fate(), ExecutionStatus::Ran);
                 return;
             }
         }
--- a/crates/barleyspool_core/tests/orders.rs
+++ b/crates/barleyspool_core/tests/orders.rs
@@ -63,16 +63,16 @@
 /// A keeper that sees to these engines, with plenty of room in the weight store.
 fn keeper(targets: &[u32], fences: bool) -> OrderBook {
     let mut book = OrderBook::default();
-    book.pace.loads = 100.0;
+    book.limits.loads_per_s = 100.0;
     for target in targets {
         let engine = book.engines.entry(TargetId(*target)).or_default();
-        (engine.ours, engine.fences) = (true, fences);
+        (engine.assigned, engine.fences) = (true, fences);
     }
     book
 }
 
 fn hear(book: &mut OrderBook, now: Time, target: u32, engine: &FakeEngine) {
-    book.report(now, TargetId(target), engine.report.clone());
+    book.apply_report(now, TargetId(target), engine.report.clone());
 }
 
 /// Both sides of a cut believe that the engine is theirs, and one of them knows an older configuration.
@@ -115,14 +115,14 @@
             .is_empty()
     );
     assert_eq!(
-        book.order(START, Revision(7), &wanted, true),
-        Err(OrderState::Ahead)
+        book.order_for(START, Revision(7), &wanted, true),
+        Err(OrderState::NewerRevision)
     );
     // What it last heard is too old to act on: it asks before it orders.
     let late = START + Span::from_secs(60);
     assert_eq!(
-        book.order(late, Revision(9), &wanted, true),
-        Err(OrderState::Unheard)
+        book.order_for(late, Revision(9), &wanted, true),
+        Err(OrderState::NoRecentReport)
     );
 }
 
@@ -190,7 +190,7 @@
     let mut book = keeper(&[1], true);
     hear(&mut book, START, 1, &engine);
     assert_eq!(
-        book.order(START, Revision(2), &placement(1, &["a@1"], 0), false),
+        book.order_for(START, Revision(2), &placement(1, &["a@1"], 0), false),
         Err(OrderState::Loading)
     );
     let order = book
@@ -246,8 +246,8 @@
 #[test]
 fn loads_are_paced_and_the_most_urgent_goes_first() {
     let mut book = keeper(&[1, 2, 3, 4, 5, 6], true);
-    book.pace.loads = 4.0;
-    book.pace.keepers = 4;
+    book.limits.loads_per_s = 4.0;
+    book.limits.keeper_count = 4;
     let wanted: Vec<Placement> = (1..=6).map(|id| placement(id, &["a@1"], id)).collect();
     let (mut first, mut loads) = (None, 0);
     let mut engines: Vec<FakeEngine> = (0..6).map(|_| FakeEngine::new(true, &[])).collect();
@@ -279,7 +279,7 @@
             .is_empty()
     );
     assert_eq!(
-        book.order(START, Revision(2), &wanted, false),
+        book.order_for(START, Revision(2), &wanted, false),
         Err(OrderState::Unconfirmed)
     );
     assert_eq!(book.plan(START, Revision(2), &[wanted], true).len(), 1);
--- a/crates/barleyspool_core/tests/router.rs
+++ b/crates/barleyspool_core/tests/router.rs
@@ -17,13 +17,13 @@
 }
 
 /// A test bench of one router with `count` targets per service, each with `slots` slots.
-fn bench(count: u32, slots: u32, guards: Guards) -> Bench {
+fn bench(count: u32, slots: u32, guards: Guards) -> RouterHarness {
     let settings = RouterSettings {
         node: NodeId(1),
         guards,
         ..RouterSettings::default()
     };
-    Bench::new(settings, plan(START, count, slots))
+    RouterHarness::new(settings, plan(START, count, slots))
 }
 
 // ----------------------------------------------------------------------------
@@ -48,21 +48,21 @@
             },
         ),
         (
-            Reason::BadKey,
+            Reason::InvalidKey,
             Call {
                 key: String::new(),
                 ..good()
             },
         ),
         (
-            Reason::BadKey,
+            Reason::InvalidKey,
             Call {
                 key: "k".repeat(129),
                 ..good()
             },
         ),
         (
-            Reason::BadKey,
+            Reason::InvalidKey,
             Call {
                 organisation: "o".repeat(129),
                 ..good()
@@ -92,7 +92,7 @@
         (
             Reason::ConfigurationBehind,
             Call {
-                seen: Revision(2),
+                seen_revision: Revision(2),
                 ..good()
             },
         ),
@@ -137,7 +137,7 @@
 #[test]
 fn the_home_node_may_answer_not_run_although_earlier_sends_are_uncertain() {
     let mut bench = bench(2, 4, Guards::default());
-    bench.take_plan(Plan {
+    bench.apply_plan(Plan {
         serving: Serving::Stopping,
         ..plan(START, 2, 4)
     });
@@ -185,7 +185,7 @@
         max_keys: 1,
         ..RouterSettings::default()
     };
-    let mut bench = Bench::new(settings, plan(START, 2, 4));
+    let mut bench = RouterHarness::new(settings, plan(START, 2, 4));
     bench.arrive(Call {
         unrepeatable: true,
         ..call("one")
@@ -228,7 +228,7 @@
     ];
     for (lease, reason, retry_after) in cases {
         let mut bench = bench(2, 4, Guards::default());
-        bench.take_plan(Plan {
+        bench.apply_plan(Plan {
             lease,
             ..plan(START, 2, 4)
         });
@@ -238,7 +238,7 @@
         });
         let refusal = bench.refusal(refused).unwrap();
         assert_eq!(
-            (refusal.reason, refusal.verdict, refusal.come_back),
+            (refusal.reason, refusal.verdict, refusal.retry_after),
             (reason, Verdict::NotRun, retry_after)
         );
         let served = bench.arrive(call("other"));
@@ -276,12 +276,12 @@
     let served = |guards| {
         let mut bench = bench(2, 4, guards);
         bench.arrive(Call {
-            seen: Revision(2),
+            seen_revision: Revision(2),
             ..call("k")
         });
         (
             bench.sent.len(),
-            bench.notices.contains(&TrafficAction::NotifyBehind),
+            bench.notices.contains(&TrafficAction::NotifyNewerRevision),
         )
     };
     assert_eq!(
@@ -303,7 +303,7 @@
     next.head.services.reverse();
     let before = Plan::clone(bench.router.plan());
     let config = Config::from_document(&next, before.config.as_deref()).unwrap();
-    bench.take_plan(Plan {
+    bench.apply_plan(Plan {
         config: Some(Arc::new(config)),
         ..before
     });
@@ -373,12 +373,12 @@
 const COOLDOWN: Span = Span::from_secs(2);
 
 /// Has the target of the first send refuse it and request a cooldown; returns that target.
-fn refuse_with_cooldown(bench: &mut Bench) -> TargetId {
+fn refuse_with_cooldown(bench: &mut RouterHarness) -> TargetId {
     bench.arrive(call("refused"));
     let (attempt, order) = bench.sent.pop().unwrap();
     let end = AttemptEnd::Refused {
         leaving: false,
-        rest: COOLDOWN,
+        cooldown: COOLDOWN,
     };
     bench.end(attempt, Some(order.echo), end);
     order.target
@@ -418,9 +418,9 @@
     let Some(Outcome::Refused(refusal)) = bench.callers[&caller].outcomes.first() else {
         panic!("the request was not refused");
     };
-    assert_eq!(refusal.reason, Reason::TargetsRest);
+    assert_eq!(refusal.reason, Reason::TargetsCoolingDown);
     assert_eq!(refusal.verdict, Verdict::NotRun);
-    assert!(refusal.come_back >= COOLDOWN, "{:?}", refusal.come_back);
+    assert!(refusal.retry_after >= COOLDOWN, "{:?}", refusal.retry_after);
 }
 
 /// Guards against a lane that sends to a target whose cooldown was requested from another lane of the same
@@ -430,13 +430,13 @@
     let mut bench = bench(2, 8, Guards::default());
     let plan = Plan::clone(bench.router.plan());
     let mut targets = Vec::clone(&plan.targets);
-    targets[0].rest_until = bench.now + COOLDOWN;
+    targets[0].cooldown_until = bench.now + COOLDOWN;
     let cooling_down = targets[0].id;
     let plan = Plan {
         targets: Arc::new(targets),
         ..plan
     };
-    bench.take_plan(plan);
+    bench.apply_plan(plan);
     for nth in 0..12 {
         bench.arrive(call(&format!("k{nth}")));
     }
@@ -457,18 +457,18 @@
         }
     };
     let plan = Plan::clone(bench.router.plan());
-    bench.take_plan(with_leaving(&plan, true, 1));
+    bench.apply_plan(with_leaving(&plan, true, 1));
     bench.answer_all(ms(5));
     assert_eq!(bench.outcome(caller).unwrap().verdict(), Verdict::Complete);
     let refused = bench.arrive(call("l"));
     assert_eq!(bench.refusal(refused).unwrap().reason, Reason::NoTarget);
-    bench.take_plan(with_leaving(&plan, false, 2));
+    bench.apply_plan(with_leaving(&plan, false, 2));
     bench.arrive(call("m"));
     assert_eq!(bench.sent.len(), 1, "the new incarnation is used");
 }
 
 /// Fails every send to target `id` until it is in quarantine.
-fn fail_until_quarantined(bench: &mut Bench, id: TargetId) {
+fn fail_until_quarantined(bench: &mut RouterHarness, id: TargetId) {
     for nth in 0..400 {
         if phase_of(bench, id) == TargetPhase::Quarantined {
             break;
@@ -488,7 +488,7 @@
     bench.answer_all(ms(1));
 }
 
-fn phase_of(bench: &Bench, id: TargetId) -> TargetPhase {
+fn phase_of(bench: &RouterHarness, id: TargetId) -> TargetPhase {
     bench
         .router
         .targets()
@@ -502,7 +502,7 @@
     let mut bench = bench(4, 8, Guards::default());
     fail_until_quarantined(&mut bench, TargetId(0));
     assert_eq!(phase_of(&bench, TargetId(0)), TargetPhase::Quarantined);
-    let answer_probe = |bench: &mut Bench, ok| {
+    let answer_probe = |bench: &mut RouterHarness, ok| {
         bench.probes.clear();
         bench.pass(ms(20_000));
         assert_eq!(
@@ -632,7 +632,7 @@
                 ..call(&format!("k{nth}"))
             });
             while let Some((attempt, _)) = bench.sent.pop() {
-                bench.end(attempt, None, AttemptEnd::BrokenOff);
+                bench.end(attempt, None, AttemptEnd::Interrupted);
             }
             bench.probes.clear();
         }
@@ -791,8 +791,8 @@
         (Reason::DeadlineUnreachable, Verdict::NotRun)
     );
     assert_eq!(bench.callers[&refused].at, START, "the refusal comes at once");
-    assert!(refusal.come_back > Span::ZERO);
-    let retry_at = bench.now + refusal.come_back;
+    assert!(refusal.retry_after > Span::ZERO);
+    let retry_at = bench.now + refusal.retry_after;
     while bench.now < retry_at {
         bench.pass(ms(10));
         if let Some((attempt, order)) = bench.sent.pop() {
@@ -857,7 +857,7 @@
             if nth % 7 == 0
                 && let Some((attempt, _)) = bench.sent.pop()
             {
-                bench.end(attempt, None, AttemptEnd::BrokenOff);
+                bench.end(attempt, None, AttemptEnd::Interrupted);
             }
         }
         bench.answer_all(ms(7));
--- a/crates/barleyspool_core/tests/source_reading/initial_list.rs
+++ b/crates/barleyspool_core/tests/source_reading/initial_list.rs
@@ -104,7 +104,7 @@
     let entry = |index: usize| TargetEntry {
         id: format!(
             "i-{:010x}",
-            rendezvous::place(7, index as u64) as u64 & 0xff_ffff_ffff
+            rendezvous::order(7, index as u64) as u64 & 0xff_ffff_ffff
         ),
         incarnation: TargetIncarnation(1_700_000_000_000 + index as u64 * 17),
         sequence: 40,
--- a/crates/barleyspool_core/tests/support/mod.rs
+++ b/crates/barleyspool_core/tests/support/mod.rs
@@ -157,16 +157,16 @@
         incarnation: node.incarnation,
         address: node.address.clone(),
         zone: node.zone.clone(),
-        near: node.zone == "z0",
+        same_zone: node.zone == "z0",
         service: config.service(&node.service).unwrap(),
         slots,
         share: f64::from(slots),
         leaving: false,
-        rest_until: Time(0),
+        cooldown_until: Time(0),
     };
     let era = fleet.cells[0].eras[0].clone();
     Plan {
-        made: now,
+        refreshed_at: now,
         serving: Serving::Serving,
         targets: Arc::new(fleet.targets.iter().map(target).collect()),
         config: Some(config),
@@ -198,7 +198,7 @@
 
 /// What a caller has heard.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct CallerRecord {
     pub bytes: Vec<u8>,
     pub gap: bool,
     pub outcomes: Vec<Outcome>,
@@ -207,18 +207,18 @@
 }
 
 /// One router, its clock, what it sent and what its callers heard.
-pub struct Bench {
+pub struct RouterHarness {
     pub router: Router,
     pub now: Time,
     pub sent: Vec<(AttemptId, StepOrder)>,
     pub cancelled: Vec<AttemptId>,
     pub probes: Vec<TargetId>,
     pub notices: Vec<TrafficAction>,
-    pub callers: BTreeMap<CallerId, Heard>,
+    pub callers: BTreeMap<CallerId, CallerRecord>,
     next_caller: u64,
 }
 
-impl Bench {
+impl RouterHarness {
     pub fn new(settings: RouterSettings, plan: Plan) -> Self {
         let mut bench = Self {
             router: Router::new(settings).unwrap(),
@@ -230,7 +230,7 @@
             callers: BTreeMap::new(),
             next_caller: 1,
         };
-        bench.take_plan(plan);
+        bench.apply_plan(plan);
         bench
     }
 
@@ -244,7 +244,7 @@
         Self::new(settings, plan(START, 2, 4))
     }
 
-    pub fn take_plan(&mut self, plan: Plan) {
+    pub fn apply_plan(&mut self, plan: Plan) {
         let actions = self.router.apply_plan(self.now, Arc::new(plan));
         self.execute(actions);
     }
@@ -252,10 +252,10 @@
     /// The present plan, vouched for again.
     pub fn refresh_plan(&mut self) {
         let plan = Plan {
-            made: self.now,
+            refreshed_at: self.now,
             ..Plan::clone(self.router.plan())
         };
-        self.take_plan(plan);
+        self.apply_plan(plan);
     }
 
     pub fn step(&mut self, event: TrafficEvent) {
@@ -266,7 +266,7 @@
     pub fn arrive(&mut self, call: Call) -> CallerId {
         let caller = CallerId(self.next_caller);
         self.next_caller += 1;
-        self.callers.insert(caller, Heard::default());
+        self.callers.insert(caller, CallerRecord::default());
         self.step(TrafficEvent::Arrive { caller, call });
         caller
     }
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -345,7 +345,7 @@
             epoch: self.control.epoch().0,
             lease,
             lease_wait_ms: wait,
-            plan_age_ms: now.since(plan.made).as_millis(),
+            plan_age_ms: now.since(plan.refreshed_at).as_millis(),
             running: self.live() as u64,
             waiting: waiting.into(),
             uptime_ms: now.since(self.shared.clock.started()).as_millis(),
--- a/crates/barleyspool_entry/src/gateway.rs
+++ b/crates/barleyspool_entry/src/gateway.rs
@@ -3,7 +3,7 @@
 use crate::lane::LaneMessage;
 use crate::shared::Shared;
 use barleyspool_core::{
-    CallerId, Outcome, Peer, Reason, Refusal, RequestKey, Revision, Span, Verdict, rendezvous,
+    CallerId, Outcome, Reason, Refusal, RefusalOrigin, RequestKey, Revision, Span, Verdict, rendezvous,
 };
 use barleyspool_wire::{rpc, rpc_convert};
 use futures::Stream;
@@ -40,13 +40,13 @@
         } else {
             Verdict::NotRun
         };
-        let peer = Some(Peer::Node(self.shared.settings.node));
+        let peer = Some(RefusalOrigin::Node(self.shared.settings.node));
         let refusal = Refusal {
             reason: Reason::QueueFull,
             verdict,
             step: None,
-            peer,
-            come_back: LANE_FULL_WAIT,
+            origin: peer,
+            retry_after: LANE_FULL_WAIT,
         };
         let revision = self
             .shared
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -4,7 +4,7 @@
 use crate::target_pool::TargetPool;
 use barleyspool_core::chart::Symbol;
 use barleyspool_core::{
-    AttemptEnd, AttemptId, Call, CallerId, Counter, Forecast, LeavingTarget, Outcome, Router, TargetRest,
+    AttemptEnd, AttemptId, Call, CallerId, Counter, Forecast, LeavingTarget, Outcome, Router, TargetCooldown,
     Time, TrafficAction, TrafficEvent,
 };
 use barleyspool_wire::http::AbortOnDrop;
@@ -58,7 +58,7 @@
     /// A target said that it is leaving.
     Leaving(LeavingTarget),
     /// A target wants nothing from this node for a while.
-    Rest(TargetRest),
+    Rest(TargetCooldown),
     /// A caller has seen a newer configuration.
     Behind,
 }
@@ -196,11 +196,11 @@
                     let events = self.events.clone();
                     tokio::spawn(async move { TargetPool::probe(target, &address, &events).await });
                 }
-                TrafficAction::NotifyRest(rest) => self.notify(LaneNotice::Rest(rest)),
+                TrafficAction::NotifyCooldown(rest) => self.notify(LaneNotice::Rest(rest)),
                 TrafficAction::NotifyLeaving { target, incarnation } => {
                     self.notify(LaneNotice::Leaving(LeavingTarget { target, incarnation }));
                 }
-                TrafficAction::NotifyBehind => self.notify(LaneNotice::Behind),
+                TrafficAction::NotifyNewerRevision => self.notify(LaneNotice::Behind),
             }
         }
     }
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -107,8 +107,8 @@
             keep: ms(r, "keep_ms", 100, 600_000, 5_000),
             fanout: r.number("fanout", 0..=64, "peers", Some(2)) as usize,
             subset: r.object("subset", |r| SubsetSize {
-                near: r.number("near", 1..=10_000, "targets", Some(16)) as usize,
-                far: r.number("far", 0..=10_000, "targets", Some(6)) as usize,
+                same_zone: r.number("near", 1..=10_000, "targets", Some(16)) as usize,
+                other_zones: r.number("far", 0..=10_000, "targets", Some(6)) as usize,
             }),
             max_payload: r.number("max_payload", 1..=(64 << 20), "bytes", Some(1 << 20)) as usize,
             max_answer: r.number("max_answer", 1..=(256 << 20), "bytes", Some(4 << 20)) as usize,
--- a/crates/barleyspool_entry/src/target_pool.rs
+++ b/crates/barleyspool_entry/src/target_pool.rs
@@ -52,7 +52,7 @@
     fn broken() -> Self {
         Self {
             echo: None,
-            end: AttemptEnd::BrokenOff,
+            end: AttemptEnd::Interrupted,
             report: None,
             leaving: false,
             clean: false,
@@ -147,7 +147,12 @@
 
     fn still_due(&self, order: &StepOrder) -> bool {
         let now = self.shared.clock.now();
-        now < order.deadline && self.shared.plan.load().fresh(now, self.shared.settings.plan_age)
+        now < order.deadline
+            && self
+                .shared
+                .plan
+                .load()
+                .is_fresh(now, self.shared.settings.plan_age)
     }
 
     fn take(&self, address: &str) -> Option<Sender> {
@@ -228,9 +233,9 @@
         },
         None if reply.not_run => AttemptEnd::Refused {
             leaving: reply.leaving,
-            rest: Span::from_millis(reply.rest_ms),
+            cooldown: Span::from_millis(reply.rest_ms),
         },
-        None => AttemptEnd::BrokenOff,
+        None => AttemptEnd::Interrupted,
     };
     Ending {
         echo: Some(reply.echo),
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -83,7 +83,7 @@
             ended = connection.as_mut() => return log_undelivered(&traffic, &watch, &ended),
             overdue = watch.overdue(header_timeout, rest) => {
                 if overdue == Overdue::Head {
-                    return traffic.count(Counter::SlowHead);
+                    return traffic.count(Counter::SlowHeader);
                 }
                 rest = NEVER;
                 connection.as_mut().graceful_shutdown();
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -36,7 +36,7 @@
 /// Looks up route and key, and refuses what can never be right.
 pub fn take(traffic: &Traffic, parts: &Parts) -> Result<Taken, CallFailure> {
     let head = (traffic.edges.caller.read)(parts).map_err(|cause| {
-        let failure = CallFailure::not_run(Reason::BadCall);
+        let failure = CallFailure::not_run(Reason::InvalidCall);
         failure.at(&cause, "")
     })?;
     if stopping::is_too_late(traffic) {
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -184,7 +184,7 @@
         steady: traffic.plan().reach.steady,
     };
     traffic.log.write(traffic.now(), &line);
-    no_target(call, Reason::AtLimit, wait)
+    no_target(call, Reason::TargetsAtLimit, wait)
 }
 
 fn cooling_down(call: &Call, wait: Span) -> CallFailure {
@@ -195,7 +195,7 @@
         wait_ms: wait.as_millis(),
     };
     traffic.log.write(traffic.now(), &line);
-    no_target(call, Reason::TargetsRest, wait)
+    no_target(call, Reason::TargetsCoolingDown, wait)
 }
 
 /// The failure of a call without a target. It names when to retry, unless an earlier send of the call may
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -72,7 +72,7 @@
     /// control thread unless a target has answered the call before.
     pub fn record_crash(&self, traffic: &Traffic, target: &str, (id, fingerprint): (&str, CallFingerprint)) {
         let now = traffic.now();
-        traffic.count(Counter::TargetEnded);
+        traffic.count(Counter::TargetCrashed);
         let counts = !self.answered_calls.borrow_mut().contains(now, fingerprint);
         let line = Line::TargetEnded {
             target,
@@ -150,9 +150,9 @@
     };
     traffic.log.write(now, &line);
     let failure = if call.history.get().may_have_run {
-        CallFailure::unknown(Reason::EndsTargets)
+        CallFailure::unknown(Reason::CrashesTargets)
     } else {
-        CallFailure::not_run(Reason::EndsTargets).after(wait)
+        CallFailure::not_run(Reason::CrashesTargets).after(wait)
     };
     Err(failure.at(&call.service, ""))
 }
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -77,10 +77,10 @@
 fn note_cooldown(traffic: &Traffic, request: SentRequest, cooldown: CooldownReport) {
     let cooldown = match cooldown {
         CooldownReport::None => return,
-        CooldownReport::Unreadable => return traffic.count(Counter::RestUnreadable),
+        CooldownReport::Unreadable => return traffic.count(Counter::CooldownUnreadable),
         CooldownReport::For(cooldown) => cooldown,
     };
-    traffic.count(Counter::AskedRest);
+    traffic.count(Counter::CooldownRequested);
     let now = traffic.now();
     let started =
         traffic
--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::KeeperSettings;
 use barleyspool_core::{
-    ConfigStore, ControlCounters, EngineOrder, Fleet, KeeperPace, ListState, OrderBook, Placement, Revision,
+    ConfigStore, ControlCounters, EngineOrder, Fleet, ListState, OrderBook, OrderLimits, Placement, Revision,
     TargetId, TargetNode, rendezvous,
 };
 use barleyspool_entry::PlatformClient;
@@ -68,7 +68,7 @@
         }
         if let Ok(Some(fleet)) = self.platform.fleet(self.fleet.revision, Duration::ZERO).await
             && fleet.revision > self.fleet.revision
-            && fleet.fault().is_none()
+            && fleet.validation_error().is_none()
         {
             self.fleet = fleet;
         }
@@ -84,10 +84,10 @@
             .filter(|entry| entry.region == self.settings.region)
             .map(|entry| u64::from(entry.id.0))
             .collect();
-        self.book.pace = KeeperPace {
-            loads: self.settings.loads,
-            keepers: keepers.len().max(1) as u32,
-            ..KeeperPace::default()
+        self.book.limits = OrderLimits {
+            loads_per_s: self.settings.loads,
+            keeper_count: keepers.len().max(1) as u32,
+            ..OrderLimits::default()
         };
         let listed: BTreeMap<TargetId, &TargetNode> = self
             .fleet
@@ -103,7 +103,7 @@
             }
             let owner = rendezvous::pick(u128::from(id.0), keepers.iter().copied());
             let engine = self.book.engines.entry(id).or_default();
-            engine.ours = owner == Some(u64::from(self.settings.node));
+            engine.assigned = owner == Some(u64::from(self.settings.node));
             engine.fences = target.fences;
         }
     }
@@ -145,7 +145,7 @@
                 engine: Some(report), ..
             })) = answer
             {
-                self.book.report(now, *id, report);
+                self.book.apply_report(now, *id, report);
             }
         }
     }
@@ -194,7 +194,7 @@
                 .and_then(|engine| engine.report.as_ref())
                 .map(|(report, _)| report.clone());
             let report = report.unwrap_or_default();
-            let reason = match self.book.order(now, self.revision(), placement, false) {
+            let reason = match self.book.order_for(now, self.revision(), placement, false) {
                 Ok(_) => "ordering",
                 Err(state) => state.name(),
             };
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -101,16 +101,16 @@
             incarnation: node.incarnation,
             address: node.address.clone(),
             zone: node.zone.clone(),
-            near: node.zone == deployment.zones[0],
+            same_zone: node.zone == deployment.zones[0],
             service: config.service(&node.service)?,
             slots: node.slots,
             share: f64::from(node.slots),
             leaving: node.state == ListState::Leaving,
-            rest_until: Time(0),
+            cooldown_until: Time(0),
         })
     };
     Ok(Plan {
-        made: START,
+        refreshed_at: START,
         serving: Serving::Serving,
         targets: Arc::new(fleet.targets.iter().filter_map(target).collect()),
         lease: LeaseView {
@@ -167,11 +167,11 @@
             Happening::Answer(attempt) => self.answer(now, attempt),
             Happening::Break(attempt) => {
                 self.orders.remove(&attempt);
-                self.end(now, attempt, None, AttemptEnd::BrokenOff, None);
+                self.end(now, attempt, None, AttemptEnd::Interrupted, None);
             }
             Happening::Fault(fault) => self.fake.fault(&fault),
             Happening::Beat => {
-                self.plan.made = now;
+                self.plan.refreshed_at = now;
                 let actions = self.router.apply_plan(now, Arc::new(self.plan.clone()));
                 self.execute(now, actions);
                 self.schedule(now + BEAT, Happening::Beat);
@@ -277,8 +277,8 @@
                 TrafficAction::Probe { target, .. } => self.probe(now, target),
                 TrafficAction::Part { .. }
                 | TrafficAction::NotifyLeaving { .. }
-                | TrafficAction::NotifyRest(_)
-                | TrafficAction::NotifyBehind => {}
+                | TrafficAction::NotifyCooldown(_)
+                | TrafficAction::NotifyNewerRevision => {}
             }
         }
     }
--- a/crates/barleyspool_wire/src/rpc_convert.rs
+++ b/crates/barleyspool_wire/src/rpc_convert.rs
@@ -1,7 +1,7 @@
 //! Between the generated types and the core's.
 
 use crate::rpc;
-use barleyspool_core::{Call, Earlier, Outcome, Peer, Revision, Time, Verdict};
+use barleyspool_core::{Call, Earlier, Outcome, RefusalOrigin, Revision, Time, Verdict};
 use std::sync::Arc;
 
 /// A call as the core takes it.
@@ -17,7 +17,7 @@
         earlier: if known { earlier } else { Earlier::Uncertain },
         deadline: Time::from_millis(request.deadline_ms),
         unrepeatable: request.unrepeatable,
-        seen: Revision(request.seen_revision),
+        seen_revision: Revision(request.seen_revision),
         payload: Arc::from(request.payload),
         key: request.key,
         organisation: request.organisation,
@@ -44,8 +44,8 @@
             });
             message.reason = refusal.reason.name().to_owned();
             message.step = step.to_owned();
-            message.peer = refusal.peer.map(peer_name).unwrap_or_default();
-            message.come_back_ms = refusal.come_back.ceil_millis();
+            message.peer = refusal.origin.map(peer_name).unwrap_or_default();
+            message.come_back_ms = refusal.retry_after.ceil_millis();
             message.redirect = redirect.unwrap_or_default();
         }
     }
@@ -53,9 +53,9 @@
 }
 
 /// How callers and operators see where something arose.
-pub fn peer_name(peer: Peer) -> String {
+pub fn peer_name(peer: RefusalOrigin) -> String {
     match peer {
-        Peer::Target(id) => format!("target {id}"),
-        Peer::Node(id) => format!("node {id}"),
+        RefusalOrigin::Target(id) => format!("target {id}"),
+        RefusalOrigin::Node(id) => format!("node {id}"),
     }
 }
