--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -105,11 +105,11 @@
     pub(super) converged: bool,
     /// Targets of each service, with their shards.
     pub(super) services: Arc<HashMap<String, ServiceTargets>>,
-    pub(super) reach: Reachability,
+    pub(super) reachability: Reachability,
     /// Rate limits reported by targets.
     pub(super) limits: LimitTable,
     /// Ownership of shards and the nodes that request a share of them, by shard key.
-    pub(super) owned: HashMap<u128, Ownership>,
+    pub(super) ownership: HashMap<u128, Ownership>,
     pub(super) catalog: Option<Arc<Catalog>>,
     pub(super) random: SmallRng,
     pub(super) chart: Chart<TargetPhase, TargetEvent>,
@@ -140,9 +140,9 @@
             me: 0,
             converged: false,
             services: Arc::default(),
-            reach: Reachability::default(),
+            reachability: Reachability::default(),
             limits: LimitTable::default(),
-            owned: HashMap::new(),
+            ownership: HashMap::new(),
             catalog: None,
         })
     }
@@ -153,15 +153,15 @@
     /// Applies the targets and members of a newer plan.
     pub fn apply_plan(&mut self, plan: &ForwardPlan) {
         if self.members != plan.members {
-            self.members_since = plan.made;
+            self.members_since = plan.created_at;
         }
         self.members = Arc::clone(&plan.members);
         self.me = plan.me;
         self.converged = plan.converged;
         self.services = Arc::clone(&plan.services);
-        self.reach = plan.reach;
-        self.limits.merge(plan.made, &plan.limits);
-        self.update_ownership(plan.made);
+        self.reachability = plan.reachability;
+        self.limits.merge(plan.created_at, &plan.limits);
+        self.update_ownership(plan.created_at);
         self.catalog.clone_from(&plan.catalog);
         if Arc::ptr_eq(&self.table, &plan.targets) {
             // Members change far more often than targets; a change of members should not cost a walk through
--- a/crates/barleyspool_core/src/forward/leaving_incarnations.rs
+++ b/crates/barleyspool_core/src/forward/leaving_incarnations.rs
@@ -15,7 +15,8 @@
     #[serde(rename = "run")]
     pub incarnation: IncarnationId,
     /// How long ago a node received the announcement, in milliseconds.
-    pub age: u32,
+    #[serde(rename = "age")]
+    pub age_ms: u32,
 }
 
 /// Incarnations of targets that announced in an answer that they are leaving.
@@ -35,7 +36,7 @@
 
     /// Merges an update of another node; false if it was known already or is too old to be passed on.
     pub fn merge(&mut self, now: Time, update: LeavingUpdate) -> bool {
-        let age = Span::from_millis(u64::from(update.age));
+        let age = Span::from_millis(u64::from(update.age_ms));
         age < ANNOUNCEMENT_TTL && self.insert(update.incarnation, now - age)
     }
 
@@ -52,8 +53,8 @@
     /// The update about an incarnation that this node can pass on.
     pub fn update_of(&self, now: Time, incarnation: IncarnationId) -> Option<LeavingUpdate> {
         let received_at = self.received_at.get(&incarnation)?;
-        let age = u32::try_from(now.since(*received_at).as_millis()).unwrap_or(u32::MAX);
-        Some(LeavingUpdate { incarnation, age })
+        let age_ms = u32::try_from(now.since(*received_at).as_millis()).unwrap_or(u32::MAX);
+        Some(LeavingUpdate { incarnation, age_ms })
     }
 
     /// Removes incarnations whose announcement is too old, except those for which `keeps` returns true.
--- a/crates/barleyspool_core/src/forward/plan.rs
+++ b/crates/barleyspool_core/src/forward/plan.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ForwardPlan {
     /// When the control thread created it.
-    pub made: Time,
+    pub created_at: Time,
     /// The current configuration; `None` before the first is received.
     pub catalog: Option<Arc<Catalog>>,
     /// Whether a whole target list has been received.
@@ -42,7 +42,7 @@
     /// and would claim pools that other nodes own.
     pub converged: bool,
     /// How many of the members this node can reach.
-    pub reach: Reachability,
+    pub reachability: Reachability,
     /// Rate limits reported by targets.
     pub limits: Arc<LimitTable>,
     /// When a planned stop ends the calls that are still in progress; `None` while no stop is requested.
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -104,7 +104,7 @@
 
     pub(super) fn update_ownership(&mut self, now: Time) {
         let (members, me) = (&self.members, self.me);
-        for (key, ownership) in &mut self.owned {
+        for (key, ownership) in &mut self.ownership {
             let owner = rendezvous::pick(*key, members.iter().map(|member| member.key));
             ownership.update(now, owner == Some(me));
         }
@@ -116,7 +116,7 @@
     pub fn rate_share(&mut self, now: Time, shard: u128, asker: u64) -> RateShare {
         let owner = rendezvous::pick(shard, self.members.iter().map(|member| member.key));
         let owns = owner == Some(self.me);
-        let ownership = self.owned.entry(shard).or_default();
+        let ownership = self.ownership.entry(shard).or_default();
         if self.converged {
             ownership.update(self.members_since, owns);
         }
@@ -128,9 +128,9 @@
 
     /// The same share, without recording a request.
     pub fn known_share(&self, now: Time, shard: u128) -> RateShare {
-        let ownership = self.owned.get(&shard).filter(|_| self.converged);
+        let ownership = self.ownership.get(&shard).filter(|_| self.converged);
         ownership.map_or(RateShare::default(), |ownership| {
-            ownership.share(now, self.reach, self.members.len())
+            ownership.share(now, self.reachability, self.members.len())
         })
     }
 
--- a/crates/barleyspool_core/src/membership/leaving_updates.rs
+++ b/crates/barleyspool_core/src/membership/leaving_updates.rs
@@ -19,7 +19,7 @@
 /// Leaving targets that this node knows, and the order in which it passes them on.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    runs: LeavingIncarnations,
+    incarnations: LeavingIncarnations,
     /// The incarnations in the order in which they are sent.
     queue: RoundRobin<IncarnationId>,
 }
@@ -27,13 +27,13 @@
 impl Membership {
     /// Incarnations of targets that have reported in an answer, to this node or to another, that they are
     /// leaving.
-    pub fn leaving_runs(&self) -> &LeavingIncarnations {
-        &self.leaving.runs
+    pub fn leaving_incarnations(&self) -> &LeavingIncarnations {
+        &self.leaving.incarnations
     }
 
     /// Handles an answer to this node that reports a leaving target.
     pub(super) fn handle_target_leaving(&mut self, now: Time, incarnation: IncarnationId) {
-        if self.leaving.runs.record(now, incarnation) {
+        if self.leaving.incarnations.record(now, incarnation) {
             self.spread_leaving(now, incarnation, NOTIFIED_FIRST);
         }
     }
@@ -41,7 +41,7 @@
     /// Applies updates from another node.
     pub(super) fn apply_leaving(&mut self, now: Time, updates: &[LeavingUpdate]) {
         for update in updates {
-            if self.leaving.runs.merge(now, *update) {
+            if self.leaving.incarnations.merge(now, *update) {
                 self.spread_leaving(now, update.incarnation, NOTIFIED_NEXT);
             }
         }
@@ -49,10 +49,10 @@
 
     /// Sends the next updates to one other node.
     pub(super) fn gossip_leaving(&mut self, now: Time) {
-        if self.leaving.runs.is_empty() {
+        if self.leaving.incarnations.is_empty() {
             return;
         }
-        self.leaving.runs.expire(now, |_| false);
+        self.leaving.incarnations.expire(now, |_| false);
         for to in self.random_reachable(1) {
             self.share_leaving(now, &to);
         }
@@ -60,8 +60,10 @@
 
     /// Sends the next updates to a node.
     pub(super) fn share_leaving(&mut self, now: Time, to: &str) {
-        let Leaving { runs, queue } = &mut self.leaving;
-        let updates = queue.take(MAX_UPDATES, |incarnation| runs.update_of(now, incarnation));
+        let Leaving { incarnations, queue } = &mut self.leaving;
+        let updates = queue.take(MAX_UPDATES, |incarnation| {
+            incarnations.update_of(now, incarnation)
+        });
         if !updates.is_empty() {
             self.notify(to.to_owned(), MessageKind::Leaving { updates }, Vec::new());
         }
@@ -72,7 +74,7 @@
         self.leaving.queue.put_first(incarnation);
         let updates: Vec<LeavingUpdate> = self
             .leaving
-            .runs
+            .incarnations
             .update_of(now, incarnation)
             .into_iter()
             .collect();
--- a/crates/barleyspool_core/tests/membership/leaving.rs
+++ b/crates/barleyspool_core/tests/membership/leaving.rs
@@ -13,7 +13,7 @@
 }
 
 fn unaware(net: &Net) -> Vec<&String> {
-    let knows = |node: &&String| net.nodes[*node].leaving_runs().contains(RUN);
+    let knows = |node: &&String| net.nodes[*node].leaving_incarnations().contains(RUN);
     net.nodes.keys().filter(|node| !knows(node)).collect()
 }
 
@@ -59,5 +59,9 @@
     // A tenth of the 13 kB/s that control traffic may cost each node at the designed fleet size.
     assert!(each < 1300.0, "{each} bytes a second");
     net.run(Span::from_secs(120));
-    assert!(net.nodes.values().all(|node| node.leaving_runs().is_empty()));
+    assert!(
+        net.nodes
+            .values()
+            .all(|node| node.leaving_incarnations().is_empty())
+    );
 }
--- a/crates/barleyspool_core/tests/rate_limited_targets.rs
+++ b/crates/barleyspool_core/tests/rate_limited_targets.rs
@@ -150,7 +150,7 @@
                         .collect();
                     fleet.update_plans(at(notified_at), &nodes, |plan| {
                         plan.members = std::sync::Arc::new(members.clone());
-                        plan.reach = reach;
+                        plan.reachability = reach;
                     });
                     fleet.partitions = vec![others.clone()];
                     send_overload(fleet, per_s, (notified_at, notified_at + 1.0), call);
@@ -305,7 +305,7 @@
 #[test]
 fn requests_to_an_owner_that_has_not_converged_count_once_it_has() {
     let mut plan = owner_plan(&Rates::Limit(4.0), false);
-    plan.reach = Reachability {
+    plan.reachability = Reachability {
         reached: 3,
         known: 3,
         steady: false,
--- a/crates/barleyspool_core/tests/support/rated_fleet.rs
+++ b/crates/barleyspool_core/tests/support/rated_fleet.rs
@@ -171,7 +171,7 @@
                 known: known as u32,
                 steady: true,
             };
-            self.update_plans(now, &partition, |plan| plan.reach = reach);
+            self.update_plans(now, &partition, |plan| plan.reachability = reach);
         }
     }
 
@@ -187,7 +187,7 @@
     pub fn update_plans(&mut self, now: Time, nodes: &[MemberView], change: impl Fn(&mut ForwardPlan)) {
         for member in nodes {
             let plan = self.plans.get_mut(&member.key).expect("the node exists");
-            plan.made = now;
+            plan.created_at = now;
             change(plan);
             let forwarder = self.nodes.get_mut(&member.key).expect("the node exists");
             forwarder.apply_plan(plan);
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -256,7 +256,7 @@
         let mut members: Vec<MemberView> = membership.serving().iter().map(view).collect();
         members.sort_by_key(|member| member.key);
         ForwardPlan {
-            made: self.now(),
+            created_at: self.now(),
             catalog: self.catalogs.borrow().catalog.clone(),
             listed: self.targets_known.get(),
             zones: Arc::clone(&self.targets.borrow().zones),
@@ -266,7 +266,7 @@
             members: Arc::new(members),
             me: self.key(),
             converged: self.settled.get(),
-            reach: membership.reachability(self.now()),
+            reachability: membership.reachability(self.now()),
             limits: Arc::new(membership.limits().clone()),
             abort_at: self.abort_at.get(),
         }
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -181,7 +181,7 @@
         service: &call.service,
         wait_ms: wait.as_millis(),
         limited: traffic.forwarder.borrow().limited_count(),
-        steady: traffic.plan().reach.steady,
+        steady: traffic.plan().reachability.steady,
     };
     traffic.log.write(traffic.now(), &line);
     no_target(call, Reason::TargetsAtLimit, wait)
