--- a/crates/barleyspool_core/tests/support/mod.rs
+++ b/crates/barleyspool_core/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! What the core's tests share: a small configuration, a fleet, and one router with scripted targets.
+//! Shared fixtures of the core's tests: a small configuration, a fleet, and one router with simulated targets.
 #![allow(dead_code, reason = "not every test file uses all of it")]
-#![allow(clippy::unwrap_used, reason = "a test stops where it fails")]
+#![allow(clippy::unwrap_used, reason = "a test stops at the first failure")]
 
 use barleyspool_core::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// When the tests begin.
+/// Start time of the tests.
 pub const START: Time = Time::from_millis(1_000_000);
 
 /// Services of the test configuration, in order.
@@ -94,7 +94,7 @@
     }
 }
 
-/// A list of entry nodes in one cell, with one era per set.
+/// A fleet list of one cell with the given eras, each an epoch and its members.
 pub fn fleet(revision: u64, eras: &[(u64, &[u32])]) -> Fleet {
     let members = |ids: &[u32]| ids.iter().map(|id| NodeId(*id)).collect();
     let eras: Vec<Era> = eras
@@ -128,7 +128,7 @@
     }
 }
 
-/// Adds `count` targets of every service to a list.
+/// Adds `count` targets of every service to a fleet list.
 pub fn with_targets(mut fleet: Fleet, count: u32, slots: u32) -> Fleet {
     for (nth, service) in SERVICES.iter().enumerate() {
         for one in 0..count {
@@ -148,7 +148,8 @@
     fleet
 }
 
-/// A plan under which node 1 is alone, settled and confirmed, with `count` targets per service.
+/// A plan in which node 1 is the only member of its cell, past its takeover wait and with a confirmed lease.
+/// It has `count` targets per service.
 pub fn plan(now: Time, count: u32, slots: u32) -> Plan {
     let config = Arc::new(Config::from_document(&document(1), None).unwrap());
     let fleet = Arc::new(with_targets(fleet(1, &[(1, &[1])]), count, slots));
@@ -196,7 +197,7 @@
     }
 }
 
-/// What a caller has heard.
+/// What a caller has received.
 #[derive(Clone, Debug, Default)]
 pub struct CallerRecord {
     pub bytes: Vec<u8>,
@@ -206,7 +207,7 @@
     pub redirect: Option<String>,
 }
 
-/// One router, its clock, what it sent and what its callers heard.
+/// One router with a simulated clock, the steps it sent and the answers its callers received.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Time,
@@ -220,7 +221,7 @@
 
 impl RouterHarness {
     pub fn new(settings: RouterSettings, plan: Plan) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             router: Router::new(settings).unwrap(),
             now: START,
             sent: Vec::new(),
@@ -230,11 +231,11 @@
             callers: BTreeMap::new(),
             next_caller: 1,
         };
-        bench.apply_plan(plan);
-        bench
+        harness.apply_plan(plan);
+        harness
     }
 
-    /// A bench with two targets per service and default settings but for the guards.
+    /// A router with two targets per service and default settings except for the guards.
     pub fn guarded(guards: Guards) -> Self {
         let settings = RouterSettings {
             node: NodeId(1),
@@ -249,7 +250,7 @@
         self.execute(actions);
     }
 
-    /// The present plan, vouched for again.
+    /// Applies the current plan again, refreshed at the current time.
     pub fn refresh_plan(&mut self) {
         let plan = Plan {
             refreshed_at: self.now,
@@ -271,7 +272,7 @@
         caller
     }
 
-    /// Lets time pass, waking the router whenever it wants; the plan is kept fresh.
+    /// Advances the clock by `span`, waking the router whenever it requests it; the plan is kept refreshed.
     pub fn pass(&mut self, span: Span) {
         let end = self.now + span;
         while let Some(wake) = self.router.next_wake().filter(|wake| *wake <= end) {
@@ -284,7 +285,7 @@
         self.step(TrafficEvent::Tick);
     }
 
-    /// Lets time pass in one leap, as if the process had slept.
+    /// Advances the clock in one jump without waking the router, as if the process had been suspended.
     pub fn sleep(&mut self, span: Span) {
         self.now = self.now + span;
     }
@@ -298,19 +299,19 @@
                     self.cancelled.push(attempt);
                 }
                 TrafficAction::Part { caller, offset, data } => {
-                    let heard = self.callers.get_mut(&caller).unwrap();
-                    heard.gap |= offset != heard.bytes.len() as u64;
-                    heard.bytes.extend_from_slice(&data);
+                    let received = self.callers.get_mut(&caller).unwrap();
+                    received.gap |= offset != received.bytes.len() as u64;
+                    received.bytes.extend_from_slice(&data);
                 }
                 TrafficAction::Finish {
                     caller,
                     outcome,
                     redirect,
                 } => {
-                    let heard = self.callers.get_mut(&caller).unwrap();
-                    heard.outcomes.push(outcome);
-                    heard.at = self.now;
-                    heard.redirect = redirect;
+                    let received = self.callers.get_mut(&caller).unwrap();
+                    received.outcomes.push(outcome);
+                    received.at = self.now;
+                    received.redirect = redirect;
                 }
                 TrafficAction::Probe { target, .. } => self.probes.push(target),
                 notice => self.notices.push(notice),
@@ -328,7 +329,7 @@
         });
     }
 
-    /// Answers a send as a good target would.
+    /// Answers an attempt with the correct response.
     pub fn answer(&mut self, attempt: AttemptId, order: &StepOrder) {
         let output = output_of(order);
         if !order.stream {
@@ -356,7 +357,7 @@
         self.end(attempt, Some(order.echo), done(output.len() as u64));
     }
 
-    /// Answers everything that is sent until nothing more is.
+    /// Answers all steps, each `after` a delay, until the router sends no more.
     pub fn answer_all(&mut self, after: Span) {
         while !self.sent.is_empty() {
             self.pass(after);
@@ -386,7 +387,7 @@
     }
 }
 
-/// What a good target answers: its service's name around the input.
+/// The correct output of a step: the name of its service around the input.
 pub fn output_of(order: &StepOrder) -> Vec<u8> {
     wrap(SERVICES[usize::from(order.service.0)], &order.input)
 }
@@ -395,14 +396,14 @@
     [service.as_bytes(), b"(", input, b")"].concat()
 }
 
-/// The whole answer to `payload` of a pipeline with these stages.
+/// The complete answer of a pipeline with these stages to `payload`.
 pub fn whole_answer(stages: &[&str], payload: &str) -> Vec<u8> {
     stages
         .iter()
         .fold(payload.as_bytes().to_vec(), |inner, stage| wrap(stage, &inner))
 }
 
-/// A call of `summary` with a deadline a second ahead.
+/// A call of the pipeline `summary` with a deadline one second after [`START`].
 pub fn call(key: &str) -> Call {
     Call {
         key: key.into(),
