--- a/crates/barleyspool_core/src/fleet.rs
+++ b/crates/barleyspool_core/src/fleet.rs
@@ -19,11 +19,11 @@
 pub struct EntryNode {
     /// Its number.
     pub id: NodeId,
-    /// Where callers connect: IP number and port.
+    /// Where callers connect: IP address and port.
     pub address: String,
-    /// Where peers connect for control calls: IP number and port.
+    /// Where peers connect for control calls: IP address and port.
     pub control: String,
-    /// Where peers connect for configurations and lists: IP number and port.
+    /// Where peers connect for configurations and lists: IP address and port.
     pub bulk: String,
     /// Its availability zone.
     pub zone: String,
@@ -31,7 +31,7 @@
     pub region: String,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     #[serde(default)]
     pub state: ListState,
 }
@@ -43,7 +43,7 @@
     pub id: TargetId,
     /// Its incarnation; a target that was replaced has a higher one.
     pub incarnation: Incarnation,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Its availability zone.
     pub zone: String,
@@ -56,7 +56,7 @@
     /// Whether it checks the [`Fence`](crate::Fence) of an order.
     #[serde(default)]
     pub fences: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     #[serde(default)]
     pub state: ListState,
 }
--- a/crates/barleyspool_core/src/plan.rs
+++ b/crates/barleyspool_core/src/plan.rs
@@ -11,7 +11,7 @@
 /// Whether this node accepts requests.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub enum Serving {
-    /// Not yet: it lacks a configuration, a fleet list or replies from its peers.
+    /// Not yet: it still waits for a configuration or for replies from its peers.
     #[default]
     CatchingUp,
     /// It accepts requests.
@@ -115,8 +115,9 @@
 
     /// The entry nodes that a caller in `zone` should use, best first.
     ///
-    /// Leaving nodes are omitted. The home node of `key` comes first, then reachable nodes, then nodes in the
-    /// caller's zone. Remaining ties are broken by a hash of `spread`, which distributes callers over the nodes.
+    /// Leaving nodes are omitted. The home node of `key` is first, then reachable nodes, then nodes in the
+    /// caller's zone. Remaining ties are broken by a hash of `spread`, which distributes callers over the
+    /// nodes.
     pub fn addresses(&self, zone: &str, key: Option<RequestKey>, spread: u128) -> Vec<&PlanPeer> {
         let home = key.and_then(|key| self.fleet.home(&self.region, key));
         let mut peers: Vec<&PlanPeer> = self
--- a/crates/barleyspool_core/src/rendezvous.rs
+++ b/crates/barleyspool_core/src/rendezvous.rs
@@ -45,7 +45,7 @@
         .map(|(_, member)| member)
 }
 
-/// Sort key of `member` for `key`: ascending order ranks the members, best first.
+/// Preference value of `member` for `key`: ascending order ranks the members, best first.
 pub fn order(key: u128, member: u64) -> u64 {
     u64::MAX - weight(key, member)
 }
--- a/crates/barleyspool_core/src/service_state.rs
+++ b/crates/barleyspool_core/src/service_state.rs
@@ -1,38 +1,38 @@
-//! What a router knows of one service: who waits for it, who serves it and how long it takes.
+//! The state of one service in a router: its queue, its targets and its average step time.
 
 use crate::{Backlog, FairQueue, Span, TargetId};
 
-/// How much a new measurement moves the average time of a service.
+/// Weight of a new sample in the exponential moving average of the step time.
 const AVERAGE_GAIN: f64 = 0.1;
 
-/// The least share of a service that is reckoned to be left for a class.
+/// Lower bound of the share of a service's capacity that more important classes are assumed to leave.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
 
 /// One service on one traffic thread.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    /// Steps that wait for it now.
+    /// The steps that are queued for it now.
     pub queue: FairQueue,
-    /// Steps that admitted requests will still send to it, those that wait now included.
+    /// The steps that admitted requests have yet to send to it, including the queued ones.
     pub backlog: Backlog,
     /// Its targets.
     pub targets: Vec<TargetId>,
-    /// Where the round robin stands.
+    /// Position of the round robin over the targets.
     pub round_robin_next: usize,
-    /// Steps at its targets.
+    /// Number of steps in progress at its targets.
     pub in_flight: u32,
-    /// Average time of a step, in microseconds.
+    /// Moving average of the step time, in microseconds.
     pub avg_step_us: f64,
 }
 
 impl ServiceState {
-    /// Takes the time of an answered step.
+    /// Adds the time of a completed step to the average.
     pub fn record_step_time(&mut self, took: Span) {
         self.avg_step_us += AVERAGE_GAIN * (took.0 as f64 - self.avg_step_us);
     }
 
-    /// How long a step with `ahead` steps before it waits, in microseconds, when `capacity` can be worked on at
-    /// once and `above` steps a second of more important classes go first as they come.
+    /// Estimated queueing delay, in microseconds, of a step with `ahead` steps before it, when the targets can
+    /// process `capacity` steps concurrently and `above` steps per second of more important classes arrive.
     pub fn wait_us(&self, ahead: f64, capacity: f64, above: f64) -> f64 {
         let queued = ahead + f64::from(self.in_flight) + 1.0 - capacity;
         if queued <= 0.0 {
--- a/crates/barleyspool_core/src/subset.rs
+++ b/crates/barleyspool_core/src/subset.rs
@@ -1,20 +1,20 @@
-//! Which targets an entry node keeps connections to.
+//! Deterministic subsetting: which targets an entry node connects to.
 //!
-//! With 410 entry nodes before 720 runners, everybody knowing everybody would cost more than the control
-//! budget. Each node takes a few targets per service and zone, chosen so that every target is taken by
-//! nearly the same number of nodes. See docs/DESIGN.md, "Target subsets".
+//! With 410 entry nodes and 720 targets, a full mesh of connections would exceed the budget for control
+//! traffic. Each node uses a subset of the targets of each service and zone, chosen so that every target is
+//! used by nearly the same number of nodes. See docs/DESIGN.md, "Target subsets".
 
 use crate::{EntryNode, Fleet, ListState, NodeId, TargetNode, rendezvous};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many targets of each service a node takes.
+/// Number of targets of each service that a node uses.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubsetSize {
-    /// From the node's own zone.
+    /// Targets in the node's own availability zone.
     #[serde(rename = "near")]
     pub same_zone: usize,
-    /// From each other zone of the region.
+    /// Targets in each other availability zone of the region.
     #[serde(rename = "far")]
     pub other_zones: usize,
 }
@@ -30,8 +30,8 @@
 
 /// The targets of `me`'s region that `me` should use.
 ///
-/// Nodes are dealt onto a shuffled ring of targets one after the other, a new shuffle each time the ring
-/// is used up, so that the numbers of users of two targets of a zone differ by at most one.
+/// The nodes are assigned consecutive sections of a shuffled sequence of the targets, with a new shuffle each
+/// time the sequence is used up, so the numbers of nodes that use two targets of a zone differ by at most one.
 pub fn subset<'a>(fleet: &'a Fleet, me: &EntryNode, size: SubsetSize) -> Vec<&'a TargetNode> {
     let mut pools: BTreeMap<(&str, &str), Vec<&TargetNode>> = BTreeMap::new();
     for target in fleet.targets.iter().filter(|target| target.region == me.region) {
@@ -45,16 +45,16 @@
         pool.sort_by_key(|target| target.id);
         let near = zone == me.zone;
         let nodes = sharing_nodes(fleet, me, zone, near);
-        let Some(place) = nodes.iter().position(|node| *node == me.id) else {
+        let Some(position) = nodes.iter().position(|node| *node == me.id) else {
             continue;
         };
         let want = if near { size.same_zone } else { size.other_zones };
-        chosen.extend(assign(&pool, place, want, rendezvous::text_key(service)));
+        chosen.extend(assign(&pool, position, want, rendezvous::text_key(service)));
     }
     chosen
 }
 
-/// The entry nodes that are dealt targets of `zone`, in an order that all nodes agree on.
+/// The entry nodes that share the targets of `zone` with `me`, in an order that all nodes agree on.
 fn sharing_nodes(fleet: &Fleet, me: &EntryNode, zone: &str, near: bool) -> Vec<NodeId> {
     let same = |entry: &&EntryNode| entry.region == me.region && (entry.zone == zone) == near;
     let mut nodes: Vec<NodeId> = fleet.entries.iter().filter(same).map(|entry| entry.id).collect();
@@ -65,14 +65,14 @@
     nodes
 }
 
-/// The `want` targets that the node at `place` is dealt.
-fn assign<'a>(pool: &[&'a TargetNode], place: usize, want: usize, salt: u128) -> Vec<&'a TargetNode> {
+/// The `want` targets of `pool` that are assigned to the node at `position` in the node order.
+fn assign<'a>(pool: &[&'a TargetNode], position: usize, want: usize, salt: u128) -> Vec<&'a TargetNode> {
     if want >= pool.len() {
         return pool.to_vec();
     }
-    let mut dealt = Vec::new();
+    let mut assigned = Vec::new();
     let mut seen = BTreeSet::new();
-    for nth in place * want..place * want + want {
+    for nth in position * want..position * want + want {
         let round = (nth / pool.len()) as u128;
         let order = rendezvous::rank(
             salt ^ (round << 64),
@@ -80,16 +80,16 @@
         );
         let id = order[nth % pool.len()];
         if seen.insert(id) {
-            dealt.extend(pool.iter().find(|target| u64::from(target.id.0) == id));
+            assigned.extend(pool.iter().find(|target| u64::from(target.id.0) == id));
         }
     }
-    dealt
+    assigned
 }
 
-/// How many entry nodes share a target, by the published list: what its limit is divided by.
+/// Number of entry nodes that share a target according to the fleet list; the target's slots are divided by it.
 ///
-/// It counts listed nodes, not those that can be reached, so that a cut does not make each side believe
-/// that the whole target is its own.
+/// It counts listed nodes and not reachable ones. Otherwise, in a network partition, the nodes of each side
+/// would claim the whole target.
 pub fn sharers(fleet: &Fleet, target: &TargetNode, size: SubsetSize) -> usize {
     let live = |entry: &&EntryNode| entry.region == target.region && entry.state == ListState::Live;
     let pool = |other: &&TargetNode| {
--- a/crates/barleyspool_core/src/target_state.rs
+++ b/crates/barleyspool_core/src/target_state.rs
@@ -1,78 +1,78 @@
-//! What this node believes of one target.
+//! The state of one target as observed by this node.
 
 use crate::chart::{Chart, symbol};
 use crate::{ConcurrencyLimit, LimitMode, LoadReport, PlanTarget, Policy, Span, Time};
 
 symbol! {
-    /// A target as this node sees it.
+    /// The phase of a target, as observed by this node.
     TargetPhase {
         /// In use.
         Live = "live",
-        /// Answered a probe after a quarantine; one call at a time until one is answered.
+        /// It answered a probe after a quarantine and gets one call at a time until one succeeds.
         Trial = "trial",
-        /// Not used by this node, which could not reach it.
+        /// Not used by this node, after repeated failures or during a cooldown.
         Quarantined = "quarantined",
-        /// On its way out; gets no new work from anybody.
+        /// Shutting down; it gets no new work from any node.
         Leaving = "leaving",
     }
 }
 
 symbol! {
-    /// What can happen to a target.
+    /// The events that change the phase of a target.
     TargetEvent {
         /// It answered a step.
         Answered = "answered",
-        /// It failed too often in a row.
+        /// The number of consecutive failures reached the limit.
         Failed = "failed",
-        /// It refused a call and wants nothing from this node for a while.
+        /// It refused a call and requested a cooldown from this node.
         #[serde(rename = "AskedRest")]
         CooldownRequested = "asked_rest",
         /// It answered a probe.
         ProbeOk = "probe_ok",
         /// It did not answer a probe.
         ProbeFailed = "probe_failed",
-        /// It, a peer or the list said that it is leaving.
+        /// The target, a peer or the fleet list reported that it is leaving.
         ReportedLeaving = "reported_leaving",
-        /// The list names a newer run of it.
+        /// The fleet list shows a newer incarnation.
         Replaced = "replaced",
     }
 }
 
-/// The chart of a target.
+/// The state chart of a target.
 pub const TARGET_CHART: &str = include_str!("../../../charts/target.json");
 
-/// Failures in a row that put a target into quarantine.
+/// Number of consecutive failures that put a target into quarantine.
 const QUARANTINE_FAILURES: u32 = 3;
-/// The first wait before a probe.
+/// Wait before the first probe; it doubles after each failed probe.
 const MIN_PROBE_WAIT: Span = Span::from_millis(200);
-/// The longest wait before a probe.
+/// Maximum wait before a probe.
 const MAX_PROBE_WAIT: Span = Span::from_secs(5);
-/// A load report counts half after this time.
+/// Half-life of the weight of a load report, in seconds.
 const REPORT_HALF_LIFE_S: f64 = 1.0;
 
-/// One target, with what this node has seen of it.
+/// One target with its observed state.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// What the plan says of it.
+    /// The target's entry in the plan.
     pub plan: PlanTarget,
-    /// Whether it is used.
+    /// Its phase.
     pub phase: TargetPhase,
-    /// Calls of this node that it is working on.
+    /// Calls of this node in progress at the target.
     pub in_flight: u32,
-    /// How many there may be.
+    /// The limit of calls in progress.
     pub limit: ConcurrencyLimit,
-    /// Its last load report, and when it came.
+    /// The last load report and when it was received.
     pub report: Option<(LoadReport, Time)>,
-    /// When to probe it, while it is in quarantine and no probe is under way.
+    /// When to probe it, while it is in quarantine and no probe is in progress.
     pub probe_at: Option<Time>,
-    /// Until when it wants nothing from this node, probes included.
+    /// End of the cooldown that it requested; until then this node sends it nothing, not even probes.
     pub cooldown_until: Time,
     failure_streak: u32,
     probe_wait: Span,
 }
 
 impl TargetState {
-    /// A target that has just come into the plan.
+    /// The state of a target that is new in the plan.
     pub fn new(plan: PlanTarget, policy: &Policy) -> Self {
         let limit = ConcurrencyLimit::new(plan.share.ceil(), ceiling(&plan, policy));
         Self {
@@ -88,18 +88,18 @@
         }
     }
 
-    /// Takes what a newer plan says of the same target.
+    /// Applies the entry of a newer plan for the same target.
     pub fn update(&mut self, plan: &PlanTarget, policy: &Policy) {
         self.plan.clone_from(plan);
         self.limit.set_ceiling(ceiling(plan, policy));
     }
 
-    /// Whether it may get new work at all.
+    /// Whether its phase permits new work.
     pub fn is_usable(&self) -> bool {
         matches!(self.phase, TargetPhase::Live | TargetPhase::Trial)
     }
 
-    /// Whether it may get one more call now.
+    /// Whether it may get another call now.
     pub fn has_capacity(&self) -> bool {
         match self.phase {
             TargetPhase::Live => self.limit.allows(self.in_flight),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// How many calls this node may have there at once.
+    /// Maximum number of calls that this node may have in progress at the target.
     pub fn capacity(&self) -> u32 {
         match self.phase {
             TargetPhase::Live => self.limit.value as u32,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// The latency to expect of one more call, in microseconds.
+    /// Estimated latency of another call, in microseconds; `otherwise` is the base latency to use before any
+    /// was observed.
     pub fn expected_us(&self, now: Time, otherwise: f64) -> f64 {
         let base = if self.limit.latency_us > 0.0 {
             self.limit.latency_us
@@ -134,14 +135,14 @@
         base * (0.5 + load) * far
     }
 
-    /// Counts a failure; true when the streak is long enough for a quarantine.
+    /// Records a failure; returns true if the target should be put into quarantine.
     pub fn record_failure(&mut self, now: Time) -> bool {
         self.failure_streak += 1;
         self.limit.shrink(now);
         self.failure_streak >= QUARANTINE_FAILURES || self.phase == TargetPhase::Trial
     }
 
-    /// An answer or a successful probe came.
+    /// Records a successful response.
     pub fn record_success(&mut self, chart: &Chart<TargetPhase, TargetEvent>) {
         self.failure_streak = 0;
         if chart.step(&mut self.phase, TargetEvent::Answered) {
@@ -149,14 +150,14 @@
         }
     }
 
-    /// Goes into quarantine; the first probe comes soon, later ones ever more seldom.
+    /// Puts the target into quarantine and schedules a probe; the interval between probes grows exponentially.
     pub fn quarantine(&mut self, now: Time, chart: &Chart<TargetPhase, TargetEvent>) {
         if chart.step(&mut self.phase, TargetEvent::Failed) {
             self.probe_at = Some(now + self.probe_wait);
         }
     }
 
-    /// It wants nothing from this node until `until`; a probe then shows whether it is back.
+    /// Starts or extends a cooldown until `until`; a probe at its end decides whether the target is used again.
     pub fn start_cooldown(&mut self, until: Time, chart: &Chart<TargetPhase, TargetEvent>) {
         if until <= self.cooldown_until {
             return;
@@ -168,10 +169,10 @@
         }
     }
 
-    /// A probe came back.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, now: Time, ok: bool, chart: &Chart<TargetPhase, TargetEvent>) {
-        let rests = now < self.cooldown_until;
-        if ok && !rests && chart.step(&mut self.phase, TargetEvent::ProbeOk) {
+        let in_cooldown = now < self.cooldown_until;
+        if ok && !in_cooldown && chart.step(&mut self.phase, TargetEvent::ProbeOk) {
             self.failure_streak = 0;
         }
         if self.phase == TargetPhase::Quarantined {
@@ -181,7 +182,7 @@
     }
 }
 
-/// The highest limit that the policy allows at this target.
+/// The maximum concurrency limit that the policy permits for the target.
 fn ceiling(plan: &PlanTarget, policy: &Policy) -> f64 {
     match policy.limit_mode {
         LimitMode::Adaptive => f64::from(plan.slots),
--- a/crates/barleyspool_core/src/time.rs
+++ b/crates/barleyspool_core/src/time.rs
@@ -1,23 +1,23 @@
-//! Points in time and spans, as the core sees them.
+//! Points in time and durations with microsecond resolution.
 //!
-//! The core has no clock: whoever steps it says what time it is. See docs/DESIGN.md, "Time".
+//! The core has no clock: its caller passes the current time to each step. See docs/DESIGN.md, "Time".
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
 
 /// A point in time, in microseconds since the Unix epoch.
 ///
-/// The daemons read the wall clock once at start and add a steady clock to it, so time never goes back
-/// within a process. How far two processes may disagree is [`crate::LeaseRules::skew`].
+/// The daemons read the wall clock once at startup and add a monotonic clock to it, so time never goes
+/// backwards within a process. [`crate::LeaseRules::skew`] bounds the difference between two processes.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Span(pub u64);
 
 impl Time {
-    /// The point that lies `ms` milliseconds after the Unix epoch.
+    /// The point in time `ms` milliseconds after the Unix epoch.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms.saturating_mul(1_000))
     }
@@ -27,22 +27,22 @@
         self.0 / 1_000
     }
 
-    /// How long ago `earlier` was; zero when it lies in the future.
+    /// The time elapsed since `earlier`; zero if `earlier` is in the future.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The empty duration.
     pub const ZERO: Self = Self(0);
 
-    /// A span of `ms` milliseconds.
+    /// A duration of `ms` milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms.saturating_mul(1_000))
     }
 
-    /// A span of `s` seconds.
+    /// A duration of `s` seconds.
     pub const fn from_secs(s: u64) -> Self {
         Self(s.saturating_mul(1_000_000))
     }
@@ -52,17 +52,17 @@
         self.0 / 1_000
     }
 
-    /// Whole milliseconds, rounded up, so that a short wait does not become "at once".
+    /// Whole milliseconds, rounded up, so that a short wait is not reported as zero.
     pub const fn ceil_millis(self) -> u64 {
         self.0.div_ceil(1_000)
     }
 
-    /// Seconds as a float, for rates.
+    /// Seconds as a floating-point number.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// This span times a factor that is not negative.
+    /// This duration multiplied by `factor`; a negative factor counts as zero.
     pub fn scale(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor.max(0.0)) as u64)
     }
--- a/crates/barleyspool_core/src/traffic.rs
+++ b/crates/barleyspool_core/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a [`crate::Router`]: typed, and `serde`, so that a run can be recorded.
+//! Events and actions of a [`crate::Router`]. They implement `serde` traits, so that a run can be recorded.
 
 use crate::{
     AttemptEnd, AttemptId, Call, CallerId, Incarnation, LoadReport, NodeId, Outcome, ServiceIx,
@@ -7,137 +7,138 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Bytes that are shared and never change.
+/// A shared, immutable byte string.
 pub type Payload = Arc<[u8]>;
 
-/// Names one send of one step of one request on one run of one node. An answer has to repeat it.
+/// Identifies one attempt of one step of one request of one incarnation of a node. The target repeats it in its
+/// response, so that a response that was delivered to the wrong connection is detected.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Echo {
     /// The node.
     pub node: NodeId,
-    /// The run of the node.
+    /// The incarnation of the node.
     #[serde(rename = "run")]
     pub incarnation: Incarnation,
-    /// The request, as the node numbers it.
+    /// The node's number of the request.
     pub request: u64,
-    /// The step.
+    /// Index of the step.
     pub step: u8,
-    /// The send.
+    /// Number of the attempt within the request.
     pub attempt: u32,
 }
 
-/// One send of a step to a target.
+/// One attempt to run a step at a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepOrder {
-    /// What the answer must name.
+    /// The identification that the response must repeat.
     pub echo: Echo,
     /// The target.
     pub target: TargetId,
-    /// Its IP number and port.
+    /// The target's IP address and port.
     pub address: String,
     /// The service.
     pub service: ServiceIx,
     /// The model; empty for none.
     pub model: String,
-    /// The input.
+    /// The input of the step.
     pub input: Payload,
-    /// What has come of the answer already; the target goes on after it.
+    /// The part of the answer that was already received; the target continues after it.
     pub so_far: Payload,
-    /// The request's deadline. The target refuses what comes later.
+    /// The request's deadline. The target refuses the step after it.
     pub deadline: Time,
-    /// The rank of the class, for engines that honour priorities.
+    /// The rank of the class, for engines that support priorities.
     pub rank: u8,
-    /// Whether the answer comes as a stream.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Whether it may run more than once.
+    /// Whether the step may run more than once.
     pub repeatable: bool,
 }
 
-/// What a traffic thread tells its router.
+/// An input event of a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TrafficEvent {
-    /// A caller asks for a run.
+    /// A caller sent a `Run` request.
     Arrive {
         /// The caller's open stream.
         caller: CallerId,
-        /// What it asks.
+        /// The request.
         call: Call,
     },
-    /// A caller closed its stream before its outcome.
+    /// A caller closed its stream before it received its outcome.
     CallerLeft {
         /// The caller.
         caller: CallerId,
     },
-    /// A piece of a stream came.
+    /// A part of a streamed response was received.
     Part {
-        /// The attempt on whose connection it came.
+        /// The attempt on whose connection it was received.
         attempt: AttemptId,
-        /// What it says it belongs to.
+        /// The identification that it repeats.
         echo: Echo,
-        /// Where it begins, in bytes of the whole answer.
+        /// Offset of its first byte in the whole answer.
         offset: u64,
         /// Its bytes.
         data: Payload,
     },
-    /// A piece of a stream that goes on says that its target is leaving.
+    /// The target reported in the middle of a streamed response that it is leaving.
     TargetLeaves {
-        /// The attempt on whose connection it came.
+        /// The attempt on whose connection the report was received.
         attempt: AttemptId,
     },
     /// An attempt ended.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// What the answer says it belongs to; `None` when there was no answer.
+        /// The identification that the response repeats; `None` without a response.
         echo: Option<Echo>,
         /// How it ended.
         end: AttemptEnd,
-        /// The load report that came with it.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
-        /// Whether the target said that it is leaving.
+        /// Whether the target reported that it is leaving.
         leaving: bool,
     },
-    /// A probe came back.
+    /// A probe completed.
     Probed {
         /// The target.
         target: TargetId,
-        /// Whether it answered well.
+        /// Whether the target answered the probe successfully.
         ok: bool,
-        /// The load report that came with it.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
-        /// Whether the target said that it is leaving.
+        /// Whether the target reported that it is leaving.
         leaving: bool,
     },
-    /// Time passed.
+    /// No external event: lets the router act on the time that has passed.
     Tick,
 }
 
-/// What a router wants done.
+/// An action that a router requests from its traffic thread.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TrafficAction {
-    /// Send a step.
+    /// Send a step to a target.
     Dispatch {
-        /// Under which attempt to report back.
+        /// The attempt to name in the events that report on this send.
         attempt: AttemptId,
-        /// What to send.
+        /// The step to send.
         order: StepOrder,
     },
-    /// Give an attempt up: close its connection, and tell the target.
+    /// Cancel an attempt: close its connection and notify the target.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// What was sent.
+        /// The identification of the attempt.
         echo: Echo,
         /// The target.
         target: TargetId,
-        /// Its IP number and port.
+        /// The target's IP address and port.
         address: String,
     },
-    /// Pass bytes on to a caller.
+    /// Send a part of the answer to a caller.
     Part {
         /// The caller.
         caller: CallerId,
-        /// Where they begin, in bytes of the whole answer.
+        /// Offset of the first byte in the whole answer.
         offset: u64,
         /// The bytes.
         data: Payload,
@@ -148,27 +149,27 @@
         caller: CallerId,
         /// The outcome.
         outcome: Outcome,
-        /// Where to go instead: IP number and port of another entry node.
+        /// IP address and port of another entry node that the caller should use instead.
         redirect: Option<String>,
     },
-    /// Ask a target for its load, to see whether it answers.
+    /// Request a load report from a target, to check whether it responds.
     Probe {
         /// The target.
         target: TargetId,
-        /// Its IP number and port.
+        /// The target's IP address and port.
         address: String,
     },
-    /// Notify the other lanes that a target wants nothing from this node for a while.
+    /// Notify the other lanes that a target requested a cooldown from this node.
     #[serde(rename = "NotifyRest")]
     NotifyCooldown(TargetCooldown),
-    /// Tell the control thread that a target is leaving.
+    /// Notify the control thread that a target is leaving.
     NotifyLeaving {
         /// The target.
         target: TargetId,
-        /// The run of it that said so.
+        /// The incarnation that is leaving.
         incarnation: Incarnation,
     },
-    /// Tell the control thread that a caller has seen a newer configuration.
+    /// Notify the control thread that a caller has seen a newer configuration than this node has.
     #[serde(rename = "NotifyBehind")]
     NotifyNewerRevision,
 }
