--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Turning a call away at once when it would be late because of what waits before it.
+//! Admission control: refuses a call at once when queued work would make it miss its latency objective.
 
 use super::Traffic;
 use super::call::Call;
@@ -12,16 +12,16 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A queue shorter than this share of the objective is no reason to turn a call away.
+/// A queueing delay below this fraction of the objective is no reason to refuse a call.
 const WAIT_SHARE: f64 = 0.2;
-/// Calls are turned away when they are expected to take this many times their objective.
+/// Calls are refused when they are expected to take more than this many times their objective.
 const OBJECTIVE_MARGIN: f64 = 1.1;
 
-/// When to come back while a service has no target that may get work: within this time a target that comes back has
+/// The retry delay while a service has no target that accepts work. Within this time a returning target has
 /// written its entry (about a second) or is listed (some hundred milliseconds).
-const NO_TARGET_WAIT: Span = Span::from_millis(1000);
+const NO_TARGET_RETRY_AFTER: Span = Span::from_millis(1000);
 
-/// The service that a call needs and of which no target may get work: all have left, or their zones are evacuated.
+/// A service that the call needs and that has no target which accepts work: all have left, or their zones are evacuated.
 fn unserved(call: &Call) -> Option<&str> {
     let plan = call.traffic.plan();
     let stages = call.route.stages.iter().enumerate();
@@ -31,13 +31,13 @@
     services.find(|service| plan.count_working(service) == 0)
 }
 
-/// Turns a call away at once when it is expected to be late because of what waits before it, or when nothing can serve it.
+/// Refuses a call at once when queued work is expected to make it late, or when no target can serve it.
 pub fn admit(call: &Call) -> Result<(), CallFailure> {
     let now = call.traffic.now();
     target_crashes::check_blocked(call)?;
     if let Some(service) = unserved(call) {
         let failure = CallFailure::not_run(Reason::NoTarget).at(service, "");
-        return Err(failure.after(NO_TARGET_WAIT));
+        return Err(failure.after(NO_TARGET_RETRY_AFTER));
     }
     let forecast = forecast(call);
     let expected = forecast.total();
@@ -64,7 +64,7 @@
     }
     let line = Line::Admitted {
         id: &call.head.id,
-        print: call.print,
+        print: call.fingerprint,
         route: &call.route.name,
         organisation: &call.organisation,
         rank: call.rank,
@@ -76,16 +76,16 @@
     Ok(())
 }
 
-/// When a stage, or the whole call, is expected to be done, counted from now.
+/// The expected time until a stage, or the whole call, is done.
 #[derive(Clone, Debug, Default)]
 struct Forecast {
-    /// Without waiting.
+    /// The time without queueing.
     base: Span,
-    /// What waiting adds.
+    /// The time that queueing adds.
     wait: Span,
-    /// The pool that is waited for longest; empty when none is.
+    /// The pool with the longest queueing delay; empty when there is no delay.
     slowest: String,
-    /// How long it is waited for.
+    /// The queueing delay of that pool.
     longest: Span,
 }
 
@@ -95,23 +95,23 @@
     }
 }
 
-/// The time that a pool needs for what calls of all nodes that were taken will still bring to it. Nodes get
-/// alike shares of the calls, so this one's part tells the whole.
+/// The time that a pool needs for the pieces that admitted calls of all nodes have yet to submit to it. Nodes
+/// receive similar shares of the calls, so the total is extrapolated from this node's pieces.
 fn planned_time(call: &Call, plan: &ForwardPlan, service: &str, pool: &PoolSpec) -> Span {
-    let mine = call
+    let local = call
         .traffic
         .planned
         .borrow()
         .get(service)
         .copied()
         .unwrap_or_default();
-    let all = mine as f64 * plan.members.len().max(1) as f64;
-    let places = plan.count_working(service).max(1) as f64 * f64::from(pool.slots.max(1));
+    let all = local as f64 * plan.members.len().max(1) as f64;
+    let capacity = plan.count_working(service).max(1) as f64 * f64::from(pool.slots.max(1));
     let full_call = pool.call_overhead + Span(pool.piece_time.0 * u64::from(pool.batch));
-    full_call.scale(all / f64::from(pool.batch.max(1)) / places)
+    full_call.scale(all / f64::from(pool.batch.max(1)) / capacity)
 }
 
-/// When the whole call is expected to yield its first output.
+/// Forecasts the time until the first output of the whole call.
 fn forecast(call: &Call) -> Forecast {
     let plan = call.traffic.plan();
     let mut stages: Vec<Forecast> = Vec::new();
@@ -119,35 +119,35 @@
         let before = spec.needs.iter().filter_map(|needed| stages.get(*needed));
         let before = before.max_by_key(|forecast| forecast.total());
         let start = before.cloned().unwrap_or_default();
-        let left_out = call.head.pieces.get(stage) == Some(&0);
-        stages.push(if left_out {
+        let is_skipped = call.head.pieces.get(stage) == Some(&0);
+        stages.push(if is_skipped {
             start
         } else {
-            after_stage(call, &plan, stage, start)
+            forecast_stage(call, &plan, stage, start)
         });
     }
     let last = stages.into_iter().max_by_key(Forecast::total);
     let mut whole = last.unwrap_or_default();
-    let reckoned = whole.total();
-    call.stage_forecast.set(reckoned);
+    let uncorrected = whole.total();
+    call.stage_forecast.set(uncorrected);
     let now = call.traffic.now();
     let correction = call.traffic.forecast_correction.borrow();
-    let corrected = correction.corrected(now, &call.route.name, reckoned);
-    whole.wait += Span(corrected.0 - reckoned.0);
-    whole.base += call.first_time();
+    let corrected = correction.corrected(now, &call.route.name, uncorrected);
+    whole.wait += Span(corrected.0 - uncorrected.0);
+    whole.base += call.expected_first_output();
     whole
 }
 
-/// The stages of a call are done; what they took corrects the forecasts of the next calls.
-pub fn stages_done(call: &Call) {
+/// Records how long the stages of a call took; this corrects the forecasts of later calls.
+pub fn record_stage_time(call: &Call) {
     let now = call.traffic.now();
     let took = now.since(call.arrived);
     let mut correction = call.traffic.forecast_correction.borrow_mut();
     correction.record(now, &call.route.name, call.stage_forecast.take(), took);
 }
 
-/// When a stage is expected to be done that starts at `start`.
-fn after_stage(call: &Call, plan: &ForwardPlan, stage: usize, start: Forecast) -> Forecast {
+/// Forecasts the end of a stage that starts at `start`.
+fn forecast_stage(call: &Call, plan: &ForwardPlan, stage: usize, start: Forecast) -> Forecast {
     let service = &call.route.stages[stage].service;
     let spec = call
         .catalog
@@ -157,7 +157,7 @@
     let alone = spec.call_overhead + Span(spec.piece_time.0 * u64::from(spec.batch));
     let queued = Span(reported_wait(call, stage).0.saturating_sub(alone.0));
     let planned = planned_time(call, plan, service, spec);
-    // While the stages before run, the pool works on.
+    // The pool works off its queue while the earlier stages run.
     let ahead = Span((queued + planned).0.saturating_sub(start.total().0));
     let slower = ahead > start.longest;
     Forecast {
@@ -168,7 +168,7 @@
     }
 }
 
-/// How long a full call takes at the pool of a stage, by its owner's last word.
+/// How long a full batch call takes at the pool of a stage, by the latest report of the pool's owner.
 fn reported_wait(call: &Call, stage: usize) -> Span {
     let traffic = &call.traffic;
     let id = stages::likely_pool(call, stage);
@@ -180,16 +180,16 @@
 }
 
 // ----------------------------------------------------------------------------
-// Work that calls already taken will bring
+// Pieces that admitted calls have yet to submit
 
-/// The pieces that a call will still bring to pools. Dropping it takes them off.
+/// The pieces that a call has yet to submit to pools. Dropping it subtracts them from the planned work.
 pub struct PlannedPieces {
     traffic: Rc<Traffic>,
     pieces: RefCell<Vec<(String, u32)>>,
 }
 
 impl PlannedPieces {
-    /// The pieces of a call that has been taken, as it names them.
+    /// Adds the pieces of an admitted call to the planned work; `counts` are the pieces of each stage.
     pub fn new(traffic: &Rc<Traffic>, route: &Route, counts: &[u32]) -> Self {
         let pieces: Vec<(String, u32)> = route
             .stages
@@ -208,10 +208,10 @@
         }
     }
 
-    /// A stage's pieces are at their pool now.
-    pub fn arrived(&self, stage: usize) {
+    /// Subtracts the pieces of a stage that have been submitted to their pool.
+    pub fn record_submitted(&self, stage: usize) {
         if let Some((service, count)) = self.pieces.borrow_mut().get_mut(stage) {
-            take_off(&self.traffic, service, std::mem::take(count));
+            subtract_planned(&self.traffic, service, std::mem::take(count));
         }
     }
 }
@@ -219,12 +219,12 @@
 impl Drop for PlannedPieces {
     fn drop(&mut self) {
         for (service, count) in self.pieces.borrow().iter() {
-            take_off(&self.traffic, service, *count);
+            subtract_planned(&self.traffic, service, *count);
         }
     }
 }
 
-fn take_off(traffic: &Traffic, service: &str, count: u32) {
+fn subtract_planned(traffic: &Traffic, service: &str, count: u32) {
     if let Some(planned) = traffic.planned.borrow_mut().get_mut(service) {
         *planned = planned.saturating_sub(u64::from(count));
     }
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! One call, from its head to its answer.
+//! Handling of one call, from its header to its answer.
 
 use super::Traffic;
 use super::admission::{self, PlannedPieces};
@@ -31,27 +31,27 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A call that was taken.
+/// A call that passed the checks of its header and whose body has been read.
 pub struct Call {
-    /// What the tasks share.
+    /// The state that all tasks of this traffic thread share.
     pub traffic: Rc<Traffic>,
-    /// What it says of itself.
+    /// The contents of its header.
     pub head: CallHead,
-    /// Its route, from the configuration under which it was taken.
+    /// Its route, from the configuration in force when its header was read.
     pub route: Route,
     /// The service that answers it.
     pub service: String,
-    /// Tokens that fit into one engine of that service, when engines serve it.
+    /// The memory of one engine of that service, in tokens; `None` when no engines serve it.
     pub engine_memory: Option<u64>,
-    /// Whether these engines can take the shared beginning of a prompt from each other.
+    /// Whether these engines can copy the cached shared prefix of a prompt from each other.
     pub copies: bool,
     /// The organisation that its key belongs to.
     pub organisation: String,
-    /// Its place among the priorities of the configuration; 0 is the most important.
+    /// The rank of its priority class in the configuration; 0 is the most important.
     pub rank: u8,
-    /// When it came.
+    /// When its header arrived.
     pub arrived: Time,
-    /// When it is given up.
+    /// When the node stops working on it and fails it.
     pub deadline: Time,
     /// Its method.
     pub method: Method,
@@ -61,34 +61,34 @@
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
-    /// What it has in common with other tries of the same call.
-    pub print: CallFingerprint,
-    /// Counts its body as held.
+    /// The hash that all tries of this call share.
+    pub fingerprint: CallFingerprint,
+    /// Counts the bytes of its body as held memory until the call is dropped.
     #[allow(dead_code, reason = "kept for its drop")]
     held: HeldBytes,
-    /// What has been done for it.
+    /// The sends to targets so far and their outcomes.
     pub history: Cell<SendHistory>,
-    /// Whether a send is under way of which something may have been written.
+    /// Whether a send is in progress of which some bytes may have been written.
     pub sending: Cell<bool>,
-    /// A target that was given out to it before its stages were made.
+    /// A target that was reserved for it before its stages ran.
     pub reserved: RefCell<Option<ReservedTarget>>,
-    /// How often an owner was asked to place it.
+    /// How many placement requests were sent to owners for it.
     placements: Cell<u32>,
-    /// Targets that failed it.
+    /// Targets at which it failed; the choice of its next target avoids them.
     pub avoid: RefCell<Vec<TargetKey>>,
-    /// The zone in which its stages begin; see [`Call::home_zone`].
+    /// The zone in which its stages start; see [`Call::home_zone`].
     pub home: OnceCell<String>,
-    /// Where its inputs lie; empty before its stages are done.
+    /// The zone that holds its inputs; empty until its stages are done.
     pub input_zone: RefCell<String>,
-    /// The configuration.
+    /// The configuration in force when its header was read.
     pub catalog: Arc<Catalog>,
-    /// The pieces that it will still bring to pools; `None` before it is taken.
+    /// The pieces that it has yet to submit to pools; `None` before it is admitted.
     pub planned: RefCell<Option<PlannedPieces>>,
-    /// How long its stages were forecast to take, before the correction by what others took.
+    /// The forecast duration of its stages, before the correction by the stage times of earlier calls.
     pub stage_forecast: Cell<Span>,
 }
 
-/// The id of the call that an answer belongs to, for those who write the answer.
+/// The id of the call that an answer belongs to; a response extension that the connection reads.
 #[derive(Clone)]
 pub struct CallId(pub String);
 
@@ -99,7 +99,7 @@
     let (parts, body) = request.into_parts();
     let mut taken = take(&traffic, &parts);
     // The body is read in any case: closing a connection with unread bytes resets it, and the caller
-    // would not see why.
+    // would not receive the refusal.
     let read = read_body(&traffic, taken.as_ref().ok(), arrived, body).await;
     if !traffic.plan().is_complete() {
         starting::until_known(&traffic, &parts, arrived).await;
@@ -132,8 +132,8 @@
         engine_memory: engine.map(|engine| engine.memory_tokens),
         copies: engine.is_some_and(|engine| engine.copies),
         service,
-        deadline: stopping::bounded(traffic, arrived + max_wait(&taken.head, &taken.route)),
-        print: call_print(&taken, &parts, &body),
+        deadline: stopping::bound_deadline(traffic, arrived + max_wait(&taken.head, &taken.route)),
+        fingerprint: call_fingerprint(&taken, &parts, &body),
         head: taken.head,
         route: taken.route,
         organisation: taken.organisation,
@@ -157,8 +157,8 @@
     }
 }
 
-/// What all tries of a call share: what it asks for, and for whom.
-fn call_print(taken: &Taken, parts: &Parts, body: &[u8]) -> CallFingerprint {
+/// The fingerprint of a call: a hash of its method, host, path, organisation and body, equal for all tries.
+fn call_fingerprint(taken: &Taken, parts: &Parts, body: &[u8]) -> CallFingerprint {
     let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
     CallFingerprint::of(&[
         parts.method.as_str().as_bytes(),
@@ -169,7 +169,7 @@
     ])
 }
 
-/// Picks the service of a call by the weights of its route.
+/// Picks the service of a call at random by the weights of its route.
 fn pick_share(route: &Route) -> String {
     let all: u32 = route.shares.iter().map(|share| share.weight).sum();
     let mut point = rand::random_range(0..all.max(1));
@@ -186,7 +186,7 @@
         .unwrap_or_default()
 }
 
-/// Runs a call to its answer, or to the end of its time.
+/// Runs a call until it is answered, its deadline passes or the stopping node aborts it.
 async fn run(call: Call, guard: Rc<CallGuard>) -> Response<AnswerBody> {
     let call = Rc::new(call);
     let traffic = Rc::clone(&call.traffic);
@@ -202,11 +202,11 @@
     let left = duration(call.deadline.since(traffic.now()));
     let work = answer(Rc::clone(&call), Rc::clone(&guard));
     let answered = tokio::select! {
-        // An answer that is ready is delivered, however late it is.
+        // An answer that is ready is delivered even after the deadline.
         biased;
         answered = work => answered,
-        () = timer::sleep(left) => Err(time_over(&call)),
-        () = stopping::cut(&traffic) => Err(cut_off(&call)),
+        () = timer::sleep(left) => Err(timed_out(&call)),
+        () = stopping::wait_for_abort(&traffic) => Err(aborted(&call)),
     };
     match answered {
         Ok(response) => response,
@@ -214,8 +214,8 @@
     }
 }
 
-/// A call whose time is over.
-fn time_over(call: &Call) -> CallFailure {
+/// The failure of a call whose deadline has passed.
+fn timed_out(call: &Call) -> CallFailure {
     if call.may_have_run() {
         CallFailure::unknown(Reason::RouteTimeout)
     } else {
@@ -223,8 +223,8 @@
     }
 }
 
-/// A call that is not done when the process is about to end.
-fn cut_off(call: &Call) -> CallFailure {
+/// The failure of a call that is still in progress when a stopping node aborts its calls.
+fn aborted(call: &Call) -> CallFailure {
     if call.may_have_run() {
         CallFailure::unknown(Reason::Leaving)
     } else {
@@ -234,18 +234,18 @@
 
 async fn answer(call: Rc<Call>, guard: Rc<CallGuard>) -> Result<Response<AnswerBody>, CallFailure> {
     let mut results = StageResults::new(&call.traffic);
-    let mut run = StageProgress::new(&call.route.stages, &call.head.pieces);
+    let mut progress = StageProgress::new(&call.route.stages, &call.head.pieces);
     if !call.route.stages.is_empty() {
         target_choice::reserve(&call, call.stage_forecast.get()).await?;
     }
     loop {
-        stages::run(&call, &mut run, &mut results).await?;
-        admission::stages_done(&call);
-        match final_send::answer(&call, &guard, &run, results).await? {
+        stages::run(&call, &mut progress, &mut results).await?;
+        admission::record_stage_time(&call);
+        match final_send::answer(&call, &guard, &progress, results).await? {
             final_send::Outcome::Answered(response) => return Ok(response),
             final_send::Outcome::InputsGone(kept) => {
                 results = kept;
-                if !run.recompute(None) {
+                if !progress.recompute(None) {
                     return Err(CallFailure::not_run(Reason::StepFailed).at(&call.service, ""));
                 }
             }
@@ -254,20 +254,21 @@
 }
 
 impl Call {
-    /// Whether a target runs it or may have run it.
+    /// Whether a target runs the call or may have run it.
     fn may_have_run(&self) -> bool {
         self.sending.get() || self.history.get().may_have_run
     }
 
-    /// The number of its next placement: the owner keeps each apart, since word that one has ended may overtake the next.
+    /// The number of its next placement. Each placement has its own number, since the message that one has
+    /// ended may arrive at the owner after the next request.
     pub fn next_placement(&self) -> u32 {
         let number = self.placements.get();
         self.placements.set(number + 1);
         number
     }
 
-    /// What its target must offer.
-    pub fn need(&self) -> TargetQuery {
+    /// The requirements that its target must meet.
+    pub fn target_query(&self) -> TargetQuery {
         let affinity = self.route.affinity;
         TargetQuery {
             service: self.service.clone(),
@@ -290,21 +291,21 @@
         }
     }
 
-    /// The zone in which it will most likely be answered; its stages' results should lie there.
+    /// The zone in which it will most likely be answered; its stage results should be held there.
     pub fn zone(&self) -> String {
-        let mut need = self.need();
-        if need.engine_memory.is_some() {
-            need.placing = Some(placement::engine_shard(self, &need));
+        let mut query = self.target_query();
+        if query.engine_memory.is_some() {
+            query.placing = Some(placement::engine_shard(self, &query));
         }
         let mut forwarder = self.traffic.forwarder.borrow_mut();
-        let likely = forwarder.likely_zone(self.traffic.now(), &need);
+        let likely = forwarder.likely_zone(self.traffic.now(), &query);
         likely.unwrap_or_else(|| self.traffic.shared.settings.zone.clone())
     }
 
-    /// The zone in which its stages begin, and in which they stay where that costs nothing: a zone of its first pool, as often
-    /// as there are targets.
+    /// The zone in which its stages start, and in which they stay where that costs nothing. It is a zone of its
+    /// first pool, picked with a probability proportional to the number of targets there.
     pub fn home_zone(&self) -> String {
-        let home = || {
+        let pick_home = || {
             let plan = self.traffic.plan();
             let first = self.route.stages.first();
             let shards = first.and_then(|first| plan.pool_shards(&first.service));
@@ -313,10 +314,10 @@
                 shards.zone(shards.pick(key, "", 0.0)).to_owned()
             })
         };
-        self.home.get_or_init(home).clone()
+        self.home.get_or_init(pick_home).clone()
     }
 
-    /// The size of what the call itself reads of its stages, in bytes.
+    /// The size of the stage results that the call itself reads, in bytes.
     pub fn input_bytes(&self) -> u64 {
         let stages = &self.route.stages;
         let is_last = |stage: usize| !stages.iter().any(|other| other.needs.contains(&stage));
@@ -324,8 +325,8 @@
         last.map(|stage| self.result_bytes(stage)).sum()
     }
 
-    /// How long its inputs are kept once it has been sent; `None` when only its first output shows that they
-    /// have been fetched.
+    /// How long its inputs are kept after it was sent; `None` when only its first output shows that the target
+    /// has fetched them.
     pub fn fetch_time(&self) -> Option<Span> {
         let bytes = self.input_bytes();
         let pools = self.route.stages.iter().map(|spec| {
@@ -335,14 +336,14 @@
         pools.collect::<Option<Vec<Span>>>()?.into_iter().max()
     }
 
-    /// Notes where its inputs lie.
+    /// Records the zone that holds its inputs.
     pub fn note_inputs(&self, handles: &[String]) {
         if let Some(zone) = self.zone_of(handles) {
             *self.input_zone.borrow_mut() = zone;
         }
     }
 
-    /// The zone of its inputs, or this node's own.
+    /// The zone that holds its inputs, or this node's own while that is unknown.
     pub fn zone_of_inputs(&self) -> String {
         let zone = self.input_zone.borrow();
         if zone.is_empty() {
@@ -352,7 +353,7 @@
         }
     }
 
-    /// The zone of most of the makers of some results.
+    /// The zone that holds most of the given results; `None` when no holder is known.
     pub fn zone_of(&self, handles: &[String]) -> Option<String> {
         let plan = self.traffic.plan();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
@@ -365,22 +366,22 @@
         most.map(|(zone, _)| zone.to_owned())
     }
 
-    /// The size of all results of one of its stages, in bytes.
+    /// The total size of the results of one of its stages, in bytes.
     pub fn result_bytes(&self, stage: usize) -> u64 {
         let pieces = self.head.pieces.get(stage).copied().unwrap_or(1);
         self.route.stages[stage].bytes * u64::from(pieces)
     }
 
-    /// The expected time of the call itself, without its stages.
-    pub fn first_time(&self) -> Span {
+    /// The expected time to the first output of the call itself, without its stages.
+    pub fn expected_first_output(&self) -> Span {
         self.traffic
             .forwarder
             .borrow()
-            .expected_first_output(&self.need())
+            .expected_first_output(&self.target_query())
     }
 
-    /// The time of one of its stages, without waiting.
-    pub fn stage_time(&self) -> Span {
+    /// The time of its longest stage, without queueing.
+    pub fn longest_stage_time(&self) -> Span {
         let times = self.route.stages.iter().enumerate().map(|(stage, spec)| {
             let pieces = self.head.pieces.get(stage).copied().unwrap_or(1);
             let pool = self
@@ -396,9 +397,9 @@
     }
 }
 
-/// The answer to a call that no target answered.
+/// Records a failure and builds the answer of this node that reports it.
 fn fail(traffic: &Traffic, guard: Rc<CallGuard>, failure: &CallFailure) -> Response<AnswerBody> {
     let response = (traffic.edges.caller.fail)(failure);
-    guard.failed(response.status().as_u16(), failure);
+    guard.record_failure(response.status().as_u16(), failure);
     response.map(|body| AnswerBody::Whole(WholeBody::refusal(body, guard)))
 }
--- a/crates/barleyspool_gateway/src/traffic/call_guard.rs
+++ b/crates/barleyspool_gateway/src/traffic/call_guard.rs
@@ -1,4 +1,4 @@
-//! Counting a call in flight, and telling how it ended.
+//! Counts calls in flight, and counts and logs their outcomes.
 
 use super::Traffic;
 use crate::event_log::Line;
@@ -9,19 +9,20 @@
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 
-/// Counts a call in flight, and tells how it ended.
+/// Counts a call as in flight until it is dropped, and records its outcome once. A guard that is dropped without
+/// an outcome records that the caller left.
 pub struct CallGuard {
     traffic: Rc<Traffic>,
     id: String,
     route: String,
     rank: u8,
     arrived: Time,
-    first: Cell<Option<Time>>,
+    first_output_at: Cell<Option<Time>>,
     ended: Cell<bool>,
 }
 
 impl CallGuard {
-    /// A call has come.
+    /// Starts to count a call that arrived at `arrived`.
     pub fn new(traffic: &Rc<Traffic>, id: &str, route: &str, rank: u8, arrived: Time) -> Self {
         traffic.shared.in_flight.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -30,26 +31,26 @@
             route: route.to_owned(),
             rank,
             arrived,
-            first: Cell::new(None),
+            first_output_at: Cell::new(None),
             ended: Cell::new(false),
         }
     }
 
-    /// The first output goes to the caller.
-    pub fn first_output(&self) {
-        if self.first.get().is_none() {
-            self.first.set(Some(self.traffic.now()));
+    /// Records the time of the first output to the caller.
+    pub fn record_first_output(&self) {
+        if self.first_output_at.get().is_none() {
+            self.first_output_at.set(Some(self.traffic.now()));
         }
     }
 
-    /// A target's answer is whole.
-    pub fn answered(&self, status: StatusCode) {
+    /// Records that a target's answer is complete.
+    pub fn record_answer(&self, status: StatusCode) {
         self.traffic.count(Counter::Complete(self.rank));
         self.log_end(status.as_u16(), None);
     }
 
-    /// The call ended without a target's whole answer; status 0 is a closed connection.
-    pub fn failed(&self, status: u16, failure: &CallFailure) {
+    /// Records that the call ended without a complete answer of a target; status 0 means a closed connection.
+    pub fn record_failure(&self, status: u16, failure: &CallFailure) {
         self.traffic.count(match failure.verdict {
             Verdict::NotRun => Counter::RefusedNotRun(failure.reason),
             _ => Counter::RefusedUnknown(failure.reason),
@@ -62,7 +63,7 @@
             return;
         }
         let now = self.traffic.now();
-        let first = self.first.get().unwrap_or(now);
+        let first = self.first_output_at.get().unwrap_or(now);
         let line = Line::Ended {
             id: &self.id,
             route: &self.route,
@@ -86,7 +87,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.failed(0, &CallFailure::unknown(Reason::CallerLeft));
+            self.record_failure(0, &CallFailure::unknown(Reason::CallerLeft));
         }
         self.traffic.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/barleyspool_gateway/src/traffic/caller_io.rs
+++ b/crates/barleyspool_gateway/src/traffic/caller_io.rs
@@ -6,7 +6,7 @@
 //! not sent yet.
 
 use super::answer_body::AnswerBody;
-use super::connection_watch::{CallMark, ConnectionWatch};
+use super::connection_watch::{ActiveCall, ConnectionWatch};
 use super::read_call::LONGEST;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -53,7 +53,7 @@
 
     /// Notes what became of a write; one that has waited for [`STALLED`] fails.
     fn noted<T>(&mut self, written: Poll<io::Result<T>>, context: &mut Context<'_>) -> Poll<io::Result<T>> {
-        self.watch.wrote(written.is_pending());
+        self.watch.record_write(written.is_pending());
         if written.is_ready() {
             self.stalled = None;
             return written;
@@ -86,7 +86,7 @@
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.io).poll_read(context, buffer);
         if matches!(read, Poll::Ready(Ok(()))) {
-            self.watch.read();
+            self.watch.record_read();
         }
         read
     }
@@ -140,7 +140,7 @@
     pub body: AnswerBody,
     /// The call.
     #[allow(dead_code, reason = "kept for its drop")]
-    pub mark: CallMark,
+    pub mark: ActiveCall,
 }
 
 impl Body for WatchedBody {
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -1,4 +1,4 @@
-//! Accepting callers.
+//! Accepts and serves the connections of callers.
 
 use super::Traffic;
 use super::call::{self, CallId};
@@ -16,15 +16,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The least buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8192;
+/// The smallest buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Longer than any connection lasts: one that is being closed for its rest is not closed for that again.
-const NEVER: Duration = Duration::from_secs(24 * 3600);
-/// The header that tells a caller to make a new connection for its next call.
-const CLOSE: HeaderValue = HeaderValue::from_static("close");
+/// An idle timeout longer than any connection lasts, for a connection that is already closing for idleness.
+const NO_IDLE_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
+/// The value of the `Connection` header that tells a caller to open a new connection for its next call.
+const CONNECTION_CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Accepts callers until the planned stop closes the listener, then those that are connected already, then no more.
+/// Accepts callers until the planned stop closes the listener, then those that already wait in its backlog.
 pub async fn serve(traffic: Rc<Traffic>, listener: TcpListener) {
     let mut stop = traffic.shared.stop.subscribe();
     loop {
@@ -37,7 +37,7 @@
                 let open = OpenCaller::new(&traffic);
                 spawn_local(serve_caller(open, stream));
             }
-            // Out of descriptors, most likely: give others the time to close some.
+            // Most likely the process is out of file descriptors: wait for other connections to close.
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     }
@@ -55,37 +55,37 @@
     let io = CallerIo::new(stream, &watch);
     let service = service_fn(|request| {
         let (traffic, watch) = (Rc::clone(&traffic), Rc::clone(&watch));
-        let mark = watch.call();
+        let mark = watch.start_call();
         async move {
             let mut response = call::serve(Rc::clone(&traffic), request).await;
             if traffic.shared.stop_reached(StopPhase::Leaving) {
-                response.headers_mut().insert(CONNECTION, CLOSE);
+                response.headers_mut().insert(CONNECTION, CONNECTION_CLOSE);
             }
             if let Some(CallId(id)) = response.extensions_mut().remove() {
-                watch.answers(id);
+                watch.set_last_call(id);
             }
             Ok::<_, Infallible>(response.map(|body| WatchedBody { body, mark }))
         }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     let mut stop = traffic.shared.stop.subscribe();
-    let (header_timeout, mut rest) = (duration(limits.header_timeout), duration(limits.idle_timeout));
+    let (header_timeout, mut idle_timeout) = (duration(limits.header_timeout), duration(limits.idle_timeout));
     let mut closing = false;
     loop {
         tokio::select! {
-            // What has arrived is read before anything is closed for being late.
+            // Bytes that have arrived are read before a timeout closes the connection.
             biased;
-            // A caller that goes away ends its connection; what it waited for has been dropped with it.
+            // When a caller disconnects, its calls have been dropped with the connection.
             ended = connection.as_mut() => return log_undelivered(&traffic, &watch, &ended),
-            overdue = watch.overdue(header_timeout, rest) => {
-                if overdue == Overdue::Head {
+            overdue = watch.overdue(header_timeout, idle_timeout) => {
+                if overdue == Overdue::Header {
                     return traffic.count(Counter::SlowHeader);
                 }
-                rest = NEVER;
+                idle_timeout = NO_IDLE_TIMEOUT;
                 connection.as_mut().graceful_shutdown();
             }
             _ = stop.wait_for(|phase| *phase >= StopPhase::Draining), if !closing => {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A connection that ends while the kernel has not taken all of an answer: the caller has not got it.
+/// Logs a connection that ended before the kernel accepted all of an answer: the caller did not receive it.
 fn log_undelivered(traffic: &Traffic, watch: &ConnectionWatch, ended: &hyper::Result<()>) {
     let (Err(error), Some(id)) = (ended, watch.undelivered()) else {
         return;
@@ -109,7 +109,7 @@
     traffic.log.write(traffic.now(), &line);
 }
 
-/// What the library says, with what the operating system said to it.
+/// The error text of the HTTP library, with the error of the operating system that caused it.
 fn with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Counts a caller's connection from the moment it is taken until all is written; a planned stop waits for it.
+/// Counts a caller's connection from its acceptance until everything is written; a planned stop waits for it.
 struct OpenCaller(Rc<Traffic>);
 
 impl OpenCaller {
@@ -140,7 +140,7 @@
         .map_or_else(CallerLimits::default, |catalog| catalog.document.limits)
 }
 
-/// A span as the timers want it.
+/// Converts a span to the duration type of the timers.
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/barleyspool_gateway/src/traffic/connection_watch.rs
+++ b/crates/barleyspool_gateway/src/traffic/connection_watch.rs
@@ -1,8 +1,9 @@
-//! What a caller's connection is doing: when it has been quiet for too long, and whether its answers leave the process.
+//! The state of a caller's connection: timeouts of headers and idle connections, and whether answers are delivered.
 //!
-//! The HTTP library knows one time for a connection at rest and for a head that has begun, and lets it run out before it looks at what has
-//! arrived: a process that was paused closed connections with whole calls on them. Callers may rest far longer
-//! than a head may take, so both times are kept here, and what has arrived goes first ([`timer`]).
+//! The HTTP library has one timeout for idle connections and for incomplete headers, and checks it before it reads
+//! the bytes that have arrived: a process that was paused closed connections with whole calls on them. Callers may
+//! be idle far longer than a header may take, so both timeouts are kept here, and bytes that have arrived are read
+//! first ([`timer`]).
 
 use barleyspool_wire::timer;
 use std::cell::{Cell, RefCell};
@@ -13,15 +14,15 @@
 
 /// The state of one connection.
 pub struct ConnectionWatch {
-    /// When the first bytes of a head came that is not complete yet.
-    head_since: Cell<Option<Instant>>,
-    /// Calls whose answers are not written yet; what is read meanwhile is no late head.
+    /// When the first bytes of a header arrived that is not complete yet.
+    header_since: Cell<Option<Instant>>,
+    /// Calls whose answers are not written yet; bytes read meanwhile do not start the header timeout.
     calls: Cell<u32>,
-    /// When bytes last came or went.
+    /// When bytes were last read or written.
     active: Cell<Instant>,
-    /// Whether the kernel did not take all of the last write: the caller reads more slowly than it is answered.
+    /// Whether the kernel did not accept all of the last write: the caller reads more slowly than it is answered.
     waiting: Cell<bool>,
-    /// The id of the call that was answered last.
+    /// The id of the most recently answered call.
     last_call: RefCell<String>,
     changed: Notify,
 }
@@ -29,7 +30,7 @@
 impl Default for ConnectionWatch {
     fn default() -> Self {
         Self {
-            head_since: Cell::default(),
+            header_since: Cell::default(),
             calls: Cell::default(),
             active: Cell::new(Instant::now()),
             waiting: Cell::default(),
@@ -39,68 +40,68 @@
     }
 }
 
-/// What takes too long.
+/// Which timeout of a connection ran out.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Overdue {
-    /// A head that has begun.
-    Head,
-    /// The next call.
-    Rest,
+    /// The timeout of an incomplete header.
+    Header,
+    /// The timeout of an idle connection.
+    Idle,
 }
 
 impl ConnectionWatch {
-    /// Bytes were read.
-    pub fn read(&self) {
+    /// Records that bytes were read.
+    pub fn record_read(&self) {
         let now = Instant::now();
         self.active.set(now);
-        if self.calls.get() == 0 && self.head_since.get().is_none() {
-            self.head_since.set(Some(now));
+        if self.calls.get() == 0 && self.header_since.get().is_none() {
+            self.header_since.set(Some(now));
         }
         self.changed.notify_one();
     }
 
-    /// The kernel took bytes, or would not take more.
-    pub fn wrote(&self, waiting: bool) {
+    /// Records a write; `waiting` is true when the kernel accepts no more bytes.
+    pub fn record_write(&self, waiting: bool) {
         self.active.set(Instant::now());
         if self.waiting.replace(waiting) {
             self.changed.notify_one();
         }
     }
 
-    /// A head is complete; the call lasts until what this returns is dropped.
-    pub fn call(self: &Rc<Self>) -> CallMark {
-        self.head_since.set(None);
+    /// Records a complete header; the call is active until the returned guard is dropped.
+    pub fn start_call(self: &Rc<Self>) -> ActiveCall {
+        self.header_since.set(None);
         self.calls.set(self.calls.get() + 1);
         self.changed.notify_one();
-        CallMark(Rc::clone(self))
+        ActiveCall(Rc::clone(self))
     }
 
-    /// Notes to which call the next answer belongs.
-    pub fn answers(&self, call: String) {
+    /// Sets the call that the next answer belongs to.
+    pub fn set_last_call(&self, call: String) {
         self.last_call.replace(call);
     }
 
-    /// The call whose answer the kernel has not taken; `None` when there is none.
+    /// The call whose answer the kernel has not fully accepted; `None` when there is none.
     pub fn undelivered(&self) -> Option<String> {
         self.waiting.get().then(|| self.last_call.borrow().clone())
     }
 
-    /// When bytes last came or went.
+    /// When bytes were last read or written.
     pub fn active(&self) -> Instant {
         self.active.get()
     }
 
-    /// Waits until a head takes longer than `head`, or the connection has been at rest for `rest`.
-    pub async fn overdue(&self, head: Duration, rest: Duration) -> Overdue {
+    /// Waits until a header is incomplete for `header_timeout`, or the connection has been idle for `idle_timeout`.
+    pub async fn overdue(&self, header_timeout: Duration, idle_timeout: Duration) -> Overdue {
         loop {
             let changed = self.changed.notified();
             if self.calls.get() > 0 || self.waiting.get() {
                 changed.await;
                 continue;
             }
-            let (overdue, due) = match self.head_since.get() {
-                Some(since) => (Overdue::Head, since + head),
-                None => (Overdue::Rest, self.active.get() + rest),
+            let (overdue, due) = match self.header_since.get() {
+                Some(since) => (Overdue::Header, since + header_timeout),
+                None => (Overdue::Idle, self.active.get() + idle_timeout),
             };
             tokio::select! {
                 biased;
@@ -111,10 +112,10 @@
     }
 }
 
-/// A call of a connection that is being answered.
-pub struct CallMark(Rc<ConnectionWatch>);
+/// Keeps a call of a connection active until it is dropped.
+pub struct ActiveCall(Rc<ConnectionWatch>);
 
-impl Drop for CallMark {
+impl Drop for ActiveCall {
     fn drop(&mut self) {
         self.0.calls.set(self.0.calls.get() - 1);
         self.0.active.set(Instant::now());
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -62,7 +62,7 @@
         let key = traffic
             .forwarder
             .borrow_mut()
-            .begin(traffic.now(), &call.need(), chosen.target);
+            .begin(traffic.now(), &call.target_query(), chosen.target);
         Self {
             call: Rc::clone(call),
             chosen,
@@ -157,10 +157,12 @@
                 let end = SendEnd::Answered { success };
                 send.end(end);
                 record_end(call, end);
-                call.traffic.ends.record_answered(call.traffic.now(), call.print);
+                call.traffic
+                    .crashes
+                    .record_answered(call.traffic.now(), call.fingerprint);
                 if step_after(call, end) != NextStep::Retry || !allow_retry(call, end) {
-                    guard.first_output();
-                    guard.answered(parts.status);
+                    guard.record_first_output();
+                    guard.record_answer(parts.status);
                     let held = HeldBytes::new(&call.traffic, body.len());
                     let body = WholeBody::answer(body, held, Rc::clone(guard));
                     let response = Response::from_parts(answer_parts(parts), AnswerBody::Whole(body));
@@ -360,7 +362,10 @@
         // The deadline of the call passes before this timeout, and its handling reports how the call ended.
         return duration(time_left + time_left + MIN_TIMEOUT);
     }
-    let timeout = call.first_time().scale(TIMEOUT_FACTOR).max(MIN_TIMEOUT);
+    let timeout = call
+        .expected_first_output()
+        .scale(TIMEOUT_FACTOR)
+        .max(MIN_TIMEOUT);
     let timeout = timeout.max(call.route.objective.scale(MIN_TIMEOUT_SHARE));
     duration(timeout.min(time_left))
 }
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -82,8 +82,8 @@
     pub planned: RefCell<HashMap<String, u64>>,
     /// How much longer stages take than was forecast.
     pub forecast_correction: RefCell<ForecastCorrection>,
-    /// Which calls targets end under.
-    pub ends: TargetCrashes,
+    /// Calls under which targets crash.
+    pub crashes: TargetCrashes,
     /// What targets say of themselves in answers.
     pub reports: TargetReports,
 }
@@ -161,7 +161,7 @@
         placements: RefCell::default(),
         planned: RefCell::default(),
         forecast_correction: RefCell::default(),
-        ends: TargetCrashes::new(sightings.clone()),
+        crashes: TargetCrashes::new(sightings.clone()),
         reports: TargetReports::new(sightings),
     });
     traffic.take_plan();
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -101,7 +101,7 @@
 /// the other shards are asked one after the other.
 pub async fn place(call: &Call, max_wait: Span) -> PlaceResult {
     let traffic = &call.traffic;
-    let query = call.need();
+    let query = call.target_query();
     if query.engine_memory.is_none() {
         return PlaceResult::NotPlaced;
     }
@@ -200,7 +200,7 @@
 }
 
 fn place_request(call: &Call, id: &PoolId, max_wait: Span) -> Option<PlaceRequest> {
-    let query = call.need();
+    let query = call.target_query();
     let forwarder = call.traffic.forwarder.borrow();
     // The owner does not know the cooldowns that were requested from this node.
     let cooling_down = forwarder.in_cooldown(call.traffic.now(), &query.service);
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -225,7 +225,11 @@
 /// Whether the target of an interrupted batch call has crashed. A crash is recorded for every request that
 /// had pieces in the call.
 async fn has_crashed(traffic: &Traffic, call: &BatchCall) -> bool {
-    if !traffic.ends.has_crashed(traffic, &call.id, &call.address).await {
+    if !traffic
+        .crashes
+        .has_crashed(traffic, &call.id, &call.address)
+        .await
+    {
         return false;
     }
     let requests = call
@@ -233,7 +237,7 @@
         .iter()
         .map(|piece| (piece.request.as_str(), piece.fingerprint));
     for request in requests.collect::<HashSet<_>>() {
-        traffic.ends.record_crash(traffic, &call.id, request);
+        traffic.crashes.record_crash(traffic, &call.id, request);
     }
     true
 }
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -85,7 +85,7 @@
         biased;
         read = read => read,
         () = timer::sleep(duration(left)) => return Err(CallFailure::not_run(Reason::DeadlineMissed)),
-        () = stopping::cut(traffic) => return Err(stopping::refusal()),
+        () = stopping::wait_for_abort(traffic) => return Err(stopping::refusal()),
     };
     match read {
         Ok(body) => Ok(body.to_bytes()),
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -131,7 +131,7 @@
     let service = &call.route.stages[ready.stage].service;
     let started_at = traffic.now();
     if let Some(planned) = &*call.planned.borrow() {
-        planned.arrived(ready.stage);
+        planned.record_submitted(ready.stage);
     }
     let order = order(call, &ready, depth);
     let (pool, owner, outcome) = compute_at_owner(call, &order).await;
@@ -205,10 +205,10 @@
     let spec = &call.route.stages[ready.stage];
     let first = ready.inputs.is_empty() && spec.needs.is_empty();
     // Leaves time for the later stages and for the call itself.
-    let later_time = Span(call.stage_time().0 * depth as u64) + call.first_time();
+    let later_time = Span(call.longest_stage_time().0 * depth as u64) + call.expected_first_output();
     PieceOrder {
         request: call.head.id.clone(),
-        fingerprint: call.print,
+        fingerprint: call.fingerprint,
         stage: ready.stage as u32,
         pieces: ready.pieces,
         key: if first {
--- a/crates/barleyspool_gateway/src/traffic/stopping.rs
+++ b/crates/barleyspool_gateway/src/traffic/stopping.rs
@@ -4,28 +4,28 @@
 use crate::failure::CallFailure;
 use barleyspool_core::{Reason, Span, StopPhase, Time};
 
-/// When to come back after a stopping node refused a call: another node takes it at once.
-const ELSEWHERE: Span = Span::from_millis(10);
+/// The retry delay after a stopping node refused a call: another node accepts it at once.
+const RETRY_ELSEWHERE_AFTER: Span = Span::from_millis(10);
 
-/// A call that nothing was done for and that another node should take.
+/// The refusal of a call that no work was done for and that another node should serve.
 pub fn refusal() -> CallFailure {
-    CallFailure::not_run(Reason::Leaving).after(ELSEWHERE)
+    CallFailure::not_run(Reason::Leaving).after(RETRY_ELSEWHERE_AFTER)
 }
 
-/// Whether a call comes too late to be taken.
+/// Whether the stop has gone too far for new calls to be accepted.
 pub fn is_too_late(traffic: &Traffic) -> bool {
     traffic.shared.stop_reached(StopPhase::Draining)
 }
 
-/// The end of a call that is taken now: its own, or that of the node's last answers when it is stopping.
-pub fn bounded(traffic: &Traffic, deadline: Time) -> Time {
-    let last = traffic.plan().abort_at;
-    last.map_or(deadline, |last| last.min(deadline))
+/// Limits the deadline of a call to the time at which a stopping node aborts its calls.
+pub fn bound_deadline(traffic: &Traffic, deadline: Time) -> Time {
+    let abort_at = traffic.plan().abort_at;
+    abort_at.map_or(deadline, |abort_at| abort_at.min(deadline))
 }
 
-/// Waits until whatever is not done must be answered with what became of it.
-pub async fn cut(traffic: &Traffic) {
+/// Waits until a planned stop aborts the calls that are still in progress.
+pub async fn wait_for_abort(traffic: &Traffic) {
     let mut stop = traffic.shared.stop.subscribe();
-    // The sender lives as long as the process.
+    // Cannot fail, since the sender lives as long as the process.
     let _ = stop.wait_for(|phase| *phase >= StopPhase::Aborting).await;
 }
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on as it comes, and taking it up again at another target where that is allowed.
+//! Relays a stream of events from a target to the caller, and resumes it at another target where that is allowed.
 
 use super::answer_body::AnswerBody;
 use super::call::Call;
@@ -24,143 +24,149 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Parts that may wait for a caller that reads slowly; then the target is not read either.
-const WAITING_PARTS: usize = 8;
-/// The end of an event.
+/// Parts buffered for a caller that reads slowly; when the buffer is full, the target is not read either.
+const MAX_BUFFERED_PARTS: usize = 8;
+/// The separator at the end of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// The field that carries an event's number.
-const EVENT_ID: &[u8] = b"id:";
-/// The most bytes of one event.
-const MOST_EVENT: usize = 1 << 20;
+/// The name of the field with an event's number.
+const EVENT_ID_FIELD: &[u8] = b"id:";
+/// The maximum size of one event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A stream that has begun.
+/// A stream that has started, with the state needed to resume it.
 pub struct Relay {
     /// The call.
     pub call: Rc<Call>,
-    /// Its guard.
+    /// The guard that records the outcome of the call.
     pub guard: Rc<CallGuard>,
     /// The send that the stream comes from.
     pub send: SendGuard,
-    /// Its connection, to be used again after a whole stream.
+    /// The connection of that send, reused after a complete stream.
     pub connection: Option<Connection>,
-    /// How long the target keeps it.
+    /// How long the target keeps the idle connection open.
     pub keep: Option<Span>,
-    /// The head of the answer.
+    /// The status and headers of the answer.
     pub parts: Parts,
-    /// The stream.
+    /// The body that the target streams.
     pub body: Option<Incoming>,
     /// The stage results that the call uses.
     pub results: StageResults,
-    /// Those that the call itself needs.
+    /// The handles of the results that the call itself reads.
     pub inputs: Vec<String>,
 }
 
-/// Why the reading of one target's stream ended.
+/// Why the relay of one target's stream ended.
 enum StreamEnd {
-    Whole,
-    Broken,
+    Complete,
+    Interrupted,
     CallerLeft,
-    TimeOver,
+    TimedOut,
     Stopped,
 }
 
-/// Starts to pass a stream on.
+/// Starts a task that relays a stream, and returns the response that carries it.
 pub fn start(relay: Relay) -> Response<AnswerBody> {
-    let (sender, items) = mpsc::channel(WAITING_PARTS);
+    let (sender, items) = mpsc::channel(MAX_BUFFERED_PARTS);
     let mut head = Response::new(());
     *head.status_mut() = relay.parts.status;
     *head.headers_mut() = relay.parts.headers.clone();
-    spawn_local(run(relay, sender));
+    spawn_local(relay_stream(relay, sender));
     head.map(|()| AnswerBody::Stream(RelayedStream::new(items)))
 }
 
-/// What has been passed on of a stream.
+/// How far a stream has been relayed.
 #[derive(Debug, Default)]
-struct Passed {
-    /// The last event.
+struct RelayProgress {
+    /// The number of the last relayed event.
     event: Option<u64>,
-    /// Bytes of an event that is not whole yet, where only whole events are passed on.
+    /// Bytes of an incomplete event, where only complete events are relayed.
     part: BytesMut,
-    /// The last bytes, to tell whether the stream ends between two events.
+    /// The last two bytes, which show whether the stream ends between two events.
     tail: [u8; 2],
 }
 
-async fn run(mut relay: Relay, sender: mpsc::Sender<RelayItem>) {
-    let mut passed = Passed {
+async fn relay_stream(mut relay: Relay, sender: mpsc::Sender<RelayItem>) {
+    let mut relayed = RelayProgress {
         event: relay.call.head.resume_after,
-        ..Passed::default()
+        ..RelayProgress::default()
     };
     loop {
-        match pass_on(&mut relay, &mut passed, &sender).await {
-            StreamEnd::Whole => return whole(relay, &sender).await,
+        match relay_target(&mut relay, &mut relayed, &sender).await {
+            StreamEnd::Complete => return complete(relay, &sender).await,
             StreamEnd::CallerLeft => return,
-            StreamEnd::Stopped => return broken(&relay, Reason::Leaving),
-            StreamEnd::TimeOver => return broken(&relay, Reason::RouteTimeout),
-            StreamEnd::Broken => {
+            StreamEnd::Stopped => return fail(&relay, Reason::Leaving),
+            StreamEnd::TimedOut => return fail(&relay, Reason::RouteTimeout),
+            StreamEnd::Interrupted => {
                 relay.send.end(SendEnd::BrokenOff);
                 target_crashes::check_target(&relay.call, &relay.send.chosen, SendEnd::BrokenOff);
-                if !resume(&mut relay, &mut passed).await {
-                    return broken(&relay, Reason::StepFailed);
+                if !resume(&mut relay, &mut relayed).await {
+                    return fail(&relay, Reason::StepFailed);
                 }
             }
         }
     }
 }
 
-async fn whole(mut relay: Relay, sender: &mpsc::Sender<RelayItem>) {
+async fn complete(mut relay: Relay, sender: &mpsc::Sender<RelayItem>) {
     relay.send.end(SendEnd::Answered { success: true });
-    relay.guard.answered(relay.parts.status);
+    relay.guard.record_answer(relay.parts.status);
     let traffic = &relay.call.traffic;
-    traffic.ends.record_answered(traffic.now(), relay.call.print);
+    traffic
+        .crashes
+        .record_answered(traffic.now(), relay.call.fingerprint);
     if let Some(connection) = relay.connection.take() {
         let keep = relay.keep.map(duration);
         relay.call.traffic.connections.put_back(connection, keep);
     }
-    // When the caller has left meanwhile, nobody needs to be told.
+    // Fails only when the caller has disconnected, and then nobody waits for the end of the stream.
     let _ = sender.send(RelayItem::End).await;
 }
 
-/// A stream that cannot go on. Its caller's connection is cut, since no [`RelayItem::End`] follows.
-fn broken(relay: &Relay, reason: Reason) {
+/// Fails a stream that cannot continue. The caller's connection is closed, since no [`RelayItem::End`] follows.
+fn fail(relay: &Relay, reason: Reason) {
     let failure = CallFailure::unknown(reason).at(&relay.call.service, &relay.send.chosen.id);
-    relay.guard.failed(0, &failure);
+    relay.guard.record_failure(0, &failure);
 }
 
-/// Passes one target's stream on until it ends.
-async fn pass_on(relay: &mut Relay, passed: &mut Passed, sender: &mpsc::Sender<RelayItem>) -> StreamEnd {
+/// Relays one target's stream until it ends.
+async fn relay_target(
+    relay: &mut Relay,
+    relayed: &mut RelayProgress,
+    sender: &mpsc::Sender<RelayItem>,
+) -> StreamEnd {
     let resumable = relay.call.route.resumable;
     let left = relay.call.deadline.since(relay.call.traffic.now());
-    let mut time_over = std::pin::pin!(timer::sleep(duration(left)));
+    let mut timeout = std::pin::pin!(timer::sleep(duration(left)));
     let traffic = Rc::clone(&relay.call.traffic);
-    let mut cut = std::pin::pin!(stopping::cut(&traffic));
+    let mut abort = std::pin::pin!(stopping::wait_for_abort(&traffic));
     loop {
         let frame = tokio::select! {
-            // What is ready is delivered, however late it is.
+            // Bytes that are ready are delivered even after the deadline.
             biased;
             frame = next_frame(&mut relay.body) => frame,
             () = sender.closed() => return StreamEnd::CallerLeft,
-            () = &mut time_over => return StreamEnd::TimeOver,
-            () = &mut cut => return StreamEnd::Stopped,
+            () = &mut timeout => return StreamEnd::TimedOut,
+            () = &mut abort => return StreamEnd::Stopped,
         };
         let data = match frame {
-            None if passed.is_between_events() => return StreamEnd::Whole,
-            None | Some(Err(_)) => return StreamEnd::Broken,
+            None if relayed.is_between_events() => return StreamEnd::Complete,
+            None | Some(Err(_)) => return StreamEnd::Interrupted,
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(data) => data,
                 Err(_) => continue,
             },
         };
         relay.send.first_output();
-        relay.guard.first_output();
+        relay.guard.record_first_output();
         relay.results.release_all();
-        let Some(data) = passed.take(data, resumable) else {
+        let Some(data) = relayed.next_output(data, resumable) else {
             continue;
         };
         let sent = tokio::select! {
             biased;
             sent = sender.send(RelayItem::Part(data)) => sent,
-            () = &mut time_over => return StreamEnd::TimeOver,
-            () = &mut cut => return StreamEnd::Stopped,
+            () = &mut timeout => return StreamEnd::TimedOut,
+            () = &mut abort => return StreamEnd::Stopped,
         };
         if sent.is_err() {
             return StreamEnd::CallerLeft;
@@ -175,11 +181,11 @@
     }
 }
 
-/// Takes the stream up again at another target; false when that may not be done or fails.
-async fn resume(relay: &mut Relay, passed: &mut Passed) -> bool {
+/// Resumes the stream at another target; returns false when that is not allowed or fails.
+async fn resume(relay: &mut Relay, relayed: &mut RelayProgress) -> bool {
     let call = Rc::clone(&relay.call);
-    passed.part.clear();
-    // The old run must have ended before a new one begins.
+    relayed.part.clear();
+    // The connection of the old send must be closed before a new send starts.
     relay.body = None;
     relay.connection = None;
     loop {
@@ -196,7 +202,7 @@
             return false;
         }
         call.avoid.borrow_mut().push(relay.send.chosen.target);
-        if target_crashes::check_blocked(&call).is_err() || !make_inputs(relay).await {
+        if target_crashes::check_blocked(&call).is_err() || !recompute_inputs(relay).await {
             return false;
         }
         let Ok(chosen) = target_choice::choose(&call).await else {
@@ -204,7 +210,7 @@
         };
         relay.send = SendGuard::begin(&call, chosen);
         final_send::log_sent(&call, &relay.send.chosen, &relay.inputs, "resumed");
-        let sent = final_send::send_once(&call, &relay.send.chosen, &relay.inputs, passed.event).await;
+        let sent = final_send::send_once(&call, &relay.send.chosen, &relay.inputs, relayed.event).await;
         let mut history = call.history.get();
         match sent {
             Ok(TargetAnswer::Stream(_, body, connection, head)) => {
@@ -229,20 +235,20 @@
     }
 }
 
-/// Makes the stage results anew that the first target has fetched and that were freed then.
-async fn make_inputs(relay: &mut Relay) -> bool {
+/// Recomputes the stage results that were released after the first target had fetched them.
+async fn recompute_inputs(relay: &mut Relay) -> bool {
     if relay.inputs.is_empty() {
         return true;
     }
-    let mut run = StageProgress::new(&relay.call.route.stages, &relay.call.head.pieces);
-    let made = stages::run(&relay.call, &mut run, &mut relay.results).await;
-    relay.inputs = run.outputs();
-    made.is_ok()
+    let mut progress = StageProgress::new(&relay.call.route.stages, &relay.call.head.pieces);
+    let computed = stages::run(&relay.call, &mut progress, &mut relay.results).await;
+    relay.inputs = progress.outputs();
+    computed.is_ok()
 }
 
-impl Passed {
-    /// What of `data` goes to the caller now: all of it, or whole new events only.
-    fn take(&mut self, data: Bytes, whole_events: bool) -> Option<Bytes> {
+impl RelayProgress {
+    /// The bytes to relay to the caller now: all of `data`, or only the complete events not relayed before.
+    fn next_output(&mut self, data: Bytes, whole_events: bool) -> Option<Bytes> {
         if data.is_empty() {
             return None;
         }
@@ -252,17 +258,17 @@
         }
         self.part.extend_from_slice(&data);
         let mut out = BytesMut::new();
-        while let Some(end) = find(&self.part, EVENT_END) {
+        while let Some(end) = find_bytes(&self.part, EVENT_END) {
             let event = self.part.split_to(end + EVENT_END.len());
             let number = event_number(&event);
-            let old = number.is_some_and(|number| self.event.is_some_and(|last| number <= last));
-            if !old {
+            let is_duplicate = number.is_some_and(|number| self.event.is_some_and(|last| number <= last));
+            if !is_duplicate {
                 self.event = number.or(self.event);
                 out.extend_from_slice(&event);
             }
         }
         self.tail = if self.part.is_empty() { *b"\n\n" } else { *b"xx" };
-        if self.part.len() > MOST_EVENT {
+        if self.part.len() > MAX_EVENT_BYTES {
             self.part.clear();
         }
         (!out.is_empty()).then(|| out.freeze())
@@ -274,20 +280,20 @@
         self.tail = [joined[end - 2], joined[end - 1]];
     }
 
-    /// Whether nothing, or whole events only, came.
+    /// Whether the received bytes end with a complete event.
     fn is_between_events(&self) -> bool {
         self.tail == *EVENT_END
     }
 }
 
-fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
+fn find_bytes(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
     bytes.windows(wanted.len()).position(|window| window == wanted)
 }
 
-/// The number of an event, when it has one.
+/// The number of an event; `None` when it has none.
 fn event_number(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
-        .find_map(|line| line.strip_prefix(EVENT_ID))?;
+        .find_map(|line| line.strip_prefix(EVENT_ID_FIELD))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -92,7 +92,7 @@
     let cooldown = traffic
         .forwarder
         .borrow()
-        .service_cooldown(traffic.now(), &call.need());
+        .service_cooldown(traffic.now(), &call.target_query());
     if cooldown > max_wait {
         return Err(cooling_down(call, Span(cooldown.0.saturating_sub(stage_time.0))));
     }
@@ -141,7 +141,7 @@
     }
     let query = TargetQuery {
         max_wait,
-        ..call.need()
+        ..call.target_query()
     };
     loop {
         let choice = traffic.forwarder.borrow_mut().choose(traffic.now(), &query);
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -118,13 +118,13 @@
         return;
     }
     // Moves only the fields it needs: the call would keep its body in memory meanwhile.
-    let (traffic, id, fingerprint) = (Rc::clone(&call.traffic), call.head.id.clone(), call.print);
+    let (traffic, id, fingerprint) = (Rc::clone(&call.traffic), call.head.id.clone(), call.fingerprint);
     let chosen = chosen.clone();
     spawn_local(async move {
-        let crashed = traffic.ends.has_crashed(&traffic, &chosen.id, &chosen.address);
+        let crashed = traffic.crashes.has_crashed(&traffic, &chosen.id, &chosen.address);
         if crashed.await {
             traffic
-                .ends
+                .crashes
                 .record_crash(&traffic, &chosen.id, (&id, fingerprint));
         }
     });
@@ -137,15 +137,20 @@
 pub fn check_blocked(call: &Call) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let now = traffic.now();
-    let Some(wait) = traffic.shared.refused.load().wait(now, call.print) else {
+    let Some(wait) = traffic.shared.refused.load().wait(now, call.fingerprint) else {
         return Ok(());
     };
-    if traffic.ends.answered_calls.borrow_mut().contains(now, call.print) {
+    if traffic
+        .crashes
+        .answered_calls
+        .borrow_mut()
+        .contains(now, call.fingerprint)
+    {
         return Ok(());
     }
     let line = Line::KeptAway {
         id: &call.head.id,
-        print: call.print,
+        print: call.fingerprint,
         wait_ms: wait.as_millis(),
     };
     traffic.log.write(now, &line);
