--- a/crates/barleyspool_gateway/src/traffic/answer_body.rs
+++ b/crates/barleyspool_gateway/src/traffic/answer_body.rs
@@ -2,39 +2,39 @@
 
 use super::call_guard::CallGuard;
 use super::held_bytes::HeldBytes;
-use super::relayed_stream::{RelayBroken, RelayedStream};
+use super::relayed_stream::{RelayError, RelayedStream};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The bytes of a whole answer that are handed to the HTTP library at once. The rest counts as held, and its call as in flight,
-/// until the caller takes it; a part of this size is written in one piece.
-const PART: usize = 64 << 10;
+/// The size of the parts in which a whole answer is passed to the HTTP library, in bytes. The rest counts as held
+/// memory, and its call as in flight, until the caller reads on; a part of this size is written at once.
+const PART_BYTES: usize = 64 << 10;
 
-/// The body of an answer: whole, or as it comes.
+/// The body of an answer: complete in memory, or a stream.
 pub enum AnswerBody {
-    /// Whole.
+    /// A body that is complete in memory.
     Whole(WholeBody),
-    /// As it comes.
+    /// A body that is relayed while the target sends it.
     Stream(RelayedStream),
 }
 
-/// A whole body that is being written.
+/// A complete body that is being written.
 pub struct WholeBody {
-    /// What has not been handed on.
+    /// The bytes not yet passed to the HTTP library.
     rest: Bytes,
-    /// Counts the call as in flight.
+    /// Counts the call as in flight until the body is dropped.
     #[allow(dead_code, reason = "kept for its drop")]
     guard: Rc<CallGuard>,
-    /// Counts the body as held.
+    /// Counts the body as held memory until it is dropped.
     #[allow(dead_code, reason = "kept for its drop")]
     held: Option<HeldBytes>,
 }
 
 impl WholeBody {
-    /// A refusal of this node, which is a few bytes long.
+    /// The body of a refusal by this node; it is a few bytes long and not counted as held.
     pub fn refusal(body: Bytes, guard: Rc<CallGuard>) -> Self {
         Self {
             rest: body,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A target's answer.
+    /// The body of a target's answer.
     pub fn answer(body: Bytes, held: HeldBytes, guard: Rc<CallGuard>) -> Self {
         Self {
             rest: body,
@@ -56,19 +56,19 @@
         if self.rest.is_empty() {
             return None;
         }
-        let part = self.rest.len().min(PART);
+        let part = self.rest.len().min(PART_BYTES);
         Some(self.rest.split_to(part))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = RelayBroken;
+    type Error = RelayError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, RelayError>>> {
         match &mut *self {
             Self::Whole(body) => Poll::Ready(body.next().map(|part| Ok(Frame::data(part)))),
             Self::Stream(stream) => Pin::new(stream).poll_frame(context),
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -8,7 +8,7 @@
 use super::final_send;
 use super::held_bytes::HeldBytes;
 use super::placement;
-use super::read_call::{Taken, max_wait, read_body, take};
+use super::read_call::{AcceptedHeader, check_header, max_wait, read_body};
 use super::stage_results::StageResults;
 use super::stages;
 use super::starting;
@@ -97,33 +97,37 @@
     let arrived = traffic.now();
     traffic.count(Counter::Arrived);
     let (parts, body) = request.into_parts();
-    let mut taken = take(&traffic, &parts);
+    let mut accepted = check_header(&traffic, &parts);
     // The body is read in any case: closing a connection with unread bytes resets it, and the caller
     // would not receive the refusal.
-    let read = read_body(&traffic, taken.as_ref().ok(), arrived, body).await;
+    let read = read_body(&traffic, accepted.as_ref().ok(), arrived, body).await;
     if !traffic.plan().is_complete() {
-        starting::until_known(&traffic, &parts, arrived).await;
-        taken = take(&traffic, &parts);
+        starting::wait_for_complete_plan(&traffic, &parts, arrived).await;
+        accepted = check_header(&traffic, &parts);
     }
-    let (id, route, rank) = match &taken {
-        Ok(taken) => (taken.head.id.as_str(), taken.route.name.as_str(), taken.rank),
+    let (id, route, rank) = match &accepted {
+        Ok(accepted) => (
+            accepted.head.id.as_str(),
+            accepted.route.name.as_str(),
+            accepted.rank,
+        ),
         Err(_) => ("", "", 0),
     };
     let guard = Rc::new(CallGuard::new(&traffic, id, route, rank, arrived));
-    let (taken, body) = match (taken, read) {
-        (Ok(taken), Ok(body)) => (taken, body),
+    let (accepted, body) = match (accepted, read) {
+        (Ok(accepted), Ok(body)) => (accepted, body),
         (Err(failure), _) | (_, Err(failure)) => return fail(&traffic, guard, &failure),
     };
-    let call = call(&traffic, taken, parts, body, arrived);
+    let call = call(&traffic, accepted, parts, body, arrived);
     let id = CallId(call.head.id.clone());
     let mut answer = run(call, guard).await;
     answer.extensions_mut().insert(id);
     answer
 }
 
-fn call(traffic: &Rc<Traffic>, taken: Taken, parts: Parts, body: Bytes, arrived: Time) -> Call {
-    let service = pick_share(&taken.route);
-    let engine = taken
+fn call(traffic: &Rc<Traffic>, accepted: AcceptedHeader, parts: Parts, body: Bytes, arrived: Time) -> Call {
+    let service = pick_share(&accepted.route);
+    let engine = accepted
         .catalog
         .service(&service)
         .and_then(|service| service.engine.as_ref());
@@ -132,12 +136,12 @@
         engine_memory: engine.map(|engine| engine.memory_tokens),
         copies: engine.is_some_and(|engine| engine.copies),
         service,
-        deadline: stopping::bound_deadline(traffic, arrived + max_wait(&taken.head, &taken.route)),
-        fingerprint: call_fingerprint(&taken, &parts, &body),
-        head: taken.head,
-        route: taken.route,
-        organisation: taken.organisation,
-        rank: taken.rank,
+        deadline: stopping::bound_deadline(traffic, arrived + max_wait(&accepted.head, &accepted.route)),
+        fingerprint: call_fingerprint(&accepted, &parts, &body),
+        head: accepted.head,
+        route: accepted.route,
+        organisation: accepted.organisation,
+        rank: accepted.rank,
         arrived,
         method: parts.method,
         uri: parts.uri,
@@ -151,20 +155,20 @@
         avoid: RefCell::default(),
         home: OnceCell::new(),
         input_zone: RefCell::default(),
-        catalog: taken.catalog,
+        catalog: accepted.catalog,
         planned: RefCell::default(),
         stage_forecast: Cell::new(Span::ZERO),
     }
 }
 
 /// The fingerprint of a call: a hash of its method, host, path, organisation and body, equal for all tries.
-fn call_fingerprint(taken: &Taken, parts: &Parts, body: &[u8]) -> CallFingerprint {
+fn call_fingerprint(accepted: &AcceptedHeader, parts: &Parts, body: &[u8]) -> CallFingerprint {
     let path = parts.uri.path_and_query().map_or("", PathAndQuery::as_str);
     CallFingerprint::of(&[
         parts.method.as_str().as_bytes(),
-        taken.head.host.as_bytes(),
+        accepted.head.host.as_bytes(),
         path.as_bytes(),
-        taken.organisation.as_bytes(),
+        accepted.organisation.as_bytes(),
         body,
     ])
 }
--- a/crates/barleyspool_gateway/src/traffic/caller_io.rs
+++ b/crates/barleyspool_gateway/src/traffic/caller_io.rs
@@ -1,13 +1,13 @@
-//! A caller's connection, between the socket and the HTTP library.
+//! The I/O layer between the socket of a caller's connection and the HTTP library.
 //!
-//! The library does not tell whether what it was given has left the process. This layer sees the socket, and tells
-//! [`ConnectionWatch`]. It closes in two steps: first for writing, then, when the caller has closed too or after
-//! [`LINGER`], altogether. A socket that is closed with unread bytes is reset, and a reset takes along what the kernel has
-//! not sent yet.
+//! The library does not report whether the bytes passed to it have left the process. This layer records reads and
+//! writes of the socket in [`ConnectionWatch`]. It closes in two steps: first the writing side, then, when the caller
+//! has closed too or after [`LINGER`], the whole socket. A socket that is closed with unread bytes is reset, and a
+//! reset discards the bytes that the kernel has not sent yet.
 
 use super::answer_body::AnswerBody;
 use super::connection_watch::{ActiveCall, ConnectionWatch};
-use super::read_call::LONGEST;
+use super::read_call::DEFAULT_MAX_WAIT;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -20,28 +20,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep, sleep_until};
 
-/// How long after its last bytes a connection is read on before it is closed altogether. Chosen, not measured: it is long
-/// against the way of a call that crosses the close, and what it adds to a planned stop is bounded. A caller that takes longer
-/// for what the kernel holds still gets it, unless it sends more meanwhile.
+/// How long a connection is still read after its last bytes before it is closed completely. This is long compared with
+/// the network delay of a call that crosses the close, and it adds a bounded time to a planned stop. A caller that
+/// needs longer to read the bytes in the kernel still receives them, unless it sends more meanwhile.
 const LINGER: Duration = Duration::from_secs(1);
-/// How long a caller may take nothing of what is written before its connection ends. No call is held longer than this
-/// ([`LONGEST`]), so a caller that takes nothing for so long has given up or has lost power.
-const STALLED: Duration = Duration::from_micros(LONGEST.0);
-/// Bytes read at once from a connection on which nothing is answered any more.
-const DISCARDED: usize = 4096;
+/// How long a caller may read none of the written bytes before its connection ends. No call is held longer than this
+/// ([`DEFAULT_MAX_WAIT`]), so a caller that reads nothing for so long has given up or has lost power.
+const STALL_TIMEOUT: Duration = Duration::from_micros(DEFAULT_MAX_WAIT.0);
+/// The buffer size for reading a connection that is closed for writing, in bytes.
+const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// A caller's connection.
 pub struct CallerIo {
     io: TokioIo<TcpStream>,
     watch: Rc<ConnectionWatch>,
-    /// The end of lingering; `None` while answers may be written.
+    /// The timer at whose end lingering stops; `None` while answers may be written.
     linger: Option<Pin<Box<Sleep>>>,
-    /// When the caller has taken nothing for too long; `None` while it takes what is written.
+    /// The timer that ends a stalled write; `None` while the caller reads the written bytes.
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
 impl CallerIo {
-    /// A connection that was just accepted.
+    /// Wraps a connection that was just accepted.
     pub fn new(stream: TcpStream, watch: &Rc<ConnectionWatch>) -> Self {
         Self {
             io: TokioIo::new(stream),
@@ -51,27 +51,31 @@
         }
     }
 
-    /// Notes what became of a write; one that has waited for [`STALLED`] fails.
-    fn noted<T>(&mut self, written: Poll<io::Result<T>>, context: &mut Context<'_>) -> Poll<io::Result<T>> {
+    /// Records the result of a write; a write that has been pending for [`STALL_TIMEOUT`] fails.
+    fn record_write<T>(
+        &mut self,
+        written: Poll<io::Result<T>>,
+        context: &mut Context<'_>,
+    ) -> Poll<io::Result<T>> {
         self.watch.record_write(written.is_pending());
         if written.is_ready() {
             self.stalled = None;
             return written;
         }
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALLED)));
+        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
         ready!(stalled.as_mut().poll(context));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Reads and drops what comes until the caller has closed.
+    /// Reads and discards bytes until the caller has closed its side.
     fn poll_discard(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        let mut bytes = [0; DISCARDED];
+        let mut bytes = [0; DISCARD_BUFFER_BYTES];
         loop {
             let mut buffer = ReadBuf::new(&mut bytes);
             let stream = Pin::new(self.io.inner_mut());
             match ready!(stream.poll_read(context, &mut buffer)) {
                 Ok(()) if !buffer.filled().is_empty() => {}
-                // A caller that resets wants nothing more.
+                // A caller that resets the connection reads no more.
                 Ok(()) | Err(_) => return Poll::Ready(()),
             }
         }
@@ -99,7 +103,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write(context, bytes);
-        self.noted(written, context)
+        self.record_write(written, context)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -130,15 +134,15 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write_vectored(context, parts);
-        self.noted(written, context)
+        self.record_write(written, context)
     }
 }
 
-/// The body of an answer; its call lasts until it has been handed to the HTTP library.
+/// The body of an answer; its call stays active until the body has been passed to the HTTP library.
 pub struct WatchedBody {
     /// The body.
     pub body: AnswerBody,
-    /// The call.
+    /// Keeps the call active until the body is dropped.
     #[allow(dead_code, reason = "kept for its drop")]
     pub mark: ActiveCall,
 }
--- a/crates/barleyspool_gateway/src/traffic/connections.rs
+++ b/crates/barleyspool_gateway/src/traffic/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to targets. One is used by one call at a time, and again only after a whole answer.
+//! Connections to targets. A connection serves one call at a time, and is reused only after a complete answer.
 
 use barleyspool_wire::{boot_time, net, timer};
 use bytes::Bytes;
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How long a connection may rest when its target does not say.
-const KEEP: Duration = Duration::from_secs(20);
-/// What is taken off the time that a target says, so that its close is not crossed.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-/// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_millis(300);
+/// How long a connection may be idle when its target does not state a time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Subtracted from the idle time that a target states, so that a request does not cross its close.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection to one run of a target.
+/// A connection to one incarnation of a target.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -29,45 +29,45 @@
     used: bool,
 }
 
-/// Why nothing came back.
+/// Why a send returned no answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SendFailure {
     /// Nothing of the request was written.
     NotWritten,
-    /// Something may have been written.
-    BrokenOff,
+    /// Some of the request may have been written.
+    Interrupted,
 }
 
-/// Whether somebody listens at a target's address.
+/// Whether a process listens at a target's address.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Somebody does.
-    There,
-    /// Nobody does: the process has ended.
+    /// A process accepted the connection.
+    Listening,
+    /// The connection was refused: the process has ended.
     Gone,
-    /// Nothing was heard, which may be the way there.
+    /// No reply, which may be due to the network.
     Unknown,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    /// By the clock that goes on while the machine is suspended, as that of its target does.
+    /// The expiry, by the clock that includes the time in which the machine is suspended, as on the target.
     until: Duration,
 }
 
-/// The connections of one traffic thread.
+/// The idle connections of one traffic thread, by address.
 #[derive(Debug, Default)]
 pub struct Connections {
-    idle: RefCell<HashMap<String, VecDeque<Idle>>>,
+    idle: RefCell<HashMap<String, VecDeque<IdleConnection>>>,
 }
 
 impl Connections {
-    /// Sends a request to a run of a target, on a rested connection if there is one. A rested connection that
-    /// turns out to be closed is replaced by a new one, since nothing was written on it.
+    /// Sends a request to an incarnation of a target, on an idle connection if there is one. An idle connection
+    /// that turns out to be closed is replaced by a new one, since nothing was written to it.
     ///
     /// # Errors
-    /// When nothing, or no head of an answer, came back.
+    /// When the connection fails before the header of an answer is received.
     pub async fn send(
         &self,
         address: &str,
@@ -97,20 +97,20 @@
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if connection.used => request = unsent,
                     Some(_) => return Err(SendFailure::NotWritten),
-                    None => return Err(SendFailure::BrokenOff),
+                    None => return Err(SendFailure::Interrupted),
                 },
             }
         }
     }
 
-    /// Looks whether a target listens. The connection that shows it is kept for the next call.
+    /// Checks whether a target listens. The connection that was opened for this is kept for the next call.
     pub async fn presence(&self, address: &str, target: &str) -> Presence {
         match connect(address, target).await {
             Ok(mut connection) => {
-                // Whoever takes it must reckon with its being closed meanwhile, as with any that rests.
+                // Marked as used, since like any idle connection it may be closed before the next request.
                 connection.used = true;
                 self.put_back(connection, None);
-                Presence::There
+                Presence::Listening
             }
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Gone,
             Err(_) => Presence::Unknown,
@@ -121,50 +121,50 @@
         let mut idle = self.idle.borrow_mut();
         let queue = idle.get_mut(address)?;
         let now = boot_time();
-        while let Some(rested) = queue.pop_back() {
-            let good = rested.connection.target == target
-                && rested.until > now
-                && !rested.connection.sender.is_closed();
-            if good {
-                return Some(rested.connection);
+        while let Some(entry) = queue.pop_back() {
+            let usable = entry.connection.target == target
+                && entry.until > now
+                && !entry.connection.sender.is_closed();
+            if usable {
+                return Some(entry.connection);
             }
         }
         None
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Keeps a connection for reuse after a complete answer; `keep` is the idle time that the target states.
     pub fn put_back(&self, connection: Connection, keep: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
         }
-        let keep = keep.map_or(KEEP, |keep| keep.saturating_sub(KEEP_MARGIN));
+        let keep = keep.map_or(IDLE_TIMEOUT, |keep| keep.saturating_sub(IDLE_MARGIN));
         let until = boot_time() + keep;
         let address = connection.address.clone();
-        let rested = Idle { connection, until };
+        let entry = IdleConnection { connection, until };
         self.idle
             .borrow_mut()
             .entry(address)
             .or_default()
-            .push_back(rested);
+            .push_back(entry);
     }
 
-    /// Drops what rests at an address: whoever was there has ended.
+    /// Drops the idle connections to an address whose process has ended.
     pub fn forget(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    /// Drops what has rested too long.
+    /// Drops expired and closed idle connections.
     pub fn expire(&self) {
         let now = boot_time();
         self.idle.borrow_mut().retain(|_, queue| {
-            queue.retain(|rested| rested.until > now && !rested.connection.sender.is_closed());
+            queue.retain(|entry| entry.until > now && !entry.connection.sender.is_closed());
             !queue.is_empty()
         });
     }
 }
 
 async fn connect(address: &str, target: &str) -> io::Result<Connection> {
-    let stream = timer::timeout(CONNECT, net::connect(address)).await??;
+    let stream = timer::timeout(CONNECT_TIMEOUT, net::connect(address)).await??;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
     let (sender, driver) = handshake.map_err(io::Error::other)?;
     spawn_local(driver);
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -309,7 +309,7 @@
     let (connection, response) = match timer::timeout(response_timeout, sent).await {
         Ok(Ok(sent)) => sent,
         Ok(Err(SendFailure::NotWritten)) => return Err(SendEnd::Unreachable),
-        Ok(Err(SendFailure::BrokenOff)) => return Err(SendEnd::BrokenOff),
+        Ok(Err(SendFailure::Interrupted)) => return Err(SendEnd::BrokenOff),
         Err(_) => return Err(SendEnd::TimedOut),
     };
     let (parts, body) = response.into_parts();
--- a/crates/barleyspool_gateway/src/traffic/held_bytes.rs
+++ b/crates/barleyspool_gateway/src/traffic/held_bytes.rs
@@ -1,4 +1,4 @@
-//! What bodies of calls and answers take of this node's memory.
+//! Accounts for the memory of this node that the bodies of calls and answers use.
 
 use super::Traffic;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 }
 
 impl HeldBytes {
-    /// Begins to count `bytes`.
+    /// Starts to count `bytes` as held.
     pub fn new(traffic: &Rc<Traffic>, bytes: usize) -> Self {
         let bytes = bytes as u64;
         let held = &traffic.held_bytes;
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic thread: callers, targets and pieces.
+//! The traffic thread: it serves callers, sends to targets and batches pieces.
 
 mod admission;
 mod answer_body;
@@ -49,42 +49,42 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
 
-/// How often counters are shown.
-const SHOW_EVERY: Duration = Duration::from_millis(500);
+/// How often the counters are published to the other threads.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Everything that the tasks of the traffic thread share.
+/// The state that all tasks of the traffic thread share.
 pub struct Traffic {
-    /// What the threads share.
+    /// The state that the threads share.
     pub shared: Arc<Shared>,
-    /// How the outside speaks.
+    /// The protocol adapters for callers and targets.
     pub edges: Edges,
-    /// The log.
+    /// The event log.
     pub log: EventLog,
     /// The plan in force.
     pub plan: RefCell<Arc<ForwardPlan>>,
-    /// Notifies calls that wait for what a plan must hold.
-    pub plan_taken: Notify,
-    /// The choice of targets.
+    /// Notifies calls that wait for a complete plan.
+    pub plan_applied: Notify,
+    /// Chooses targets for calls.
     pub forwarder: RefCell<Forwarder>,
-    /// Open connections to targets.
+    /// Idle connections to targets.
     pub connections: Connections,
     /// The pools that this node owns.
     pub pools: Pools,
-    /// The other nodes, for pieces.
+    /// The other nodes: owners of pools and of engine placements.
     pub peers: Peers,
-    /// What has been counted.
+    /// The counters of this thread.
     pub counters: RefCell<Counters>,
-    /// Bytes of bodies of calls and answers that are held; see [`held_bytes::HeldBytes`].
+    /// The total size of call and answer bodies in memory, in bytes; see [`held_bytes::HeldBytes`].
     pub held_bytes: Cell<u64>,
     /// Calls that this node has placed at engines.
     pub placements: RefCell<Placements>,
-    /// Pieces that calls which were taken here will still bring to each pool.
+    /// The number of pieces that calls admitted here have yet to submit, by service.
     pub planned: RefCell<HashMap<String, u64>>,
-    /// How much longer stages take than was forecast.
+    /// The ratio of actual to forecast stage time, by route.
     pub forecast_correction: RefCell<ForecastCorrection>,
     /// Calls under which targets crash.
     pub crashes: TargetCrashes,
-    /// What targets say of themselves in answers.
+    /// The reports of targets in the headers of their answers.
     pub reports: TargetReports,
 }
 
@@ -99,12 +99,12 @@
         Arc::clone(&self.plan.borrow())
     }
 
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.counters.borrow_mut().count(counter);
     }
 
-    fn take_plan(&self) {
+    fn apply_plan(&self) {
         let plan = self.shared.plan.load_full();
         self.forwarder.borrow_mut().apply_plan(&plan);
         self.pools.apply_plan(&plan);
@@ -124,11 +124,11 @@
                 pool.hand_over();
             }
         }
-        self.plan_taken.notify_waiters();
+        self.plan_applied.notify_waiters();
     }
 }
 
-/// What the traffic thread listens on.
+/// The listeners of the traffic thread.
 #[derive(Debug)]
 pub struct TrafficPorts {
     /// For callers.
@@ -151,7 +151,7 @@
         edges,
         log,
         plan: RefCell::default(),
-        plan_taken: Notify::new(),
+        plan_applied: Notify::new(),
         forwarder: RefCell::new(forwarder),
         connections: Connections::default(),
         pools: Pools::default(),
@@ -164,18 +164,18 @@
         crashes: TargetCrashes::new(sightings.clone()),
         reports: TargetReports::new(sightings),
     });
-    traffic.take_plan();
+    traffic.apply_plan();
     let mut tasks = EssentialTasks::default();
     tasks.spawn_local(callers::serve(Rc::clone(&traffic), ports.callers));
     tasks.spawn_local(peers::serve(Rc::clone(&traffic), ports.pieces));
     traffic.shared.listening.store(true, Ordering::Relaxed);
     let mut plans = traffic.shared.plan_changed.subscribe();
-    let mut show = tokio::time::interval(SHOW_EVERY);
+    let mut publish = tokio::time::interval(PUBLISH_INTERVAL);
     loop {
         tokio::select! {
-            Ok(()) = plans.changed() => traffic.take_plan(),
+            Ok(()) = plans.changed() => traffic.apply_plan(),
             () = tasks.watch() => {}
-            _ = show.tick() => {
+            _ = publish.tick() => {
                 traffic.connections.expire();
                 let counters = traffic.counters.borrow().clone();
                 if *traffic.shared.counters.load_full() != counters {
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -330,7 +330,7 @@
     let (connection, response) = match sent {
         Ok(sent) => sent,
         Err(SendFailure::NotWritten) => return BatchAnswer::without_connection(BatchOutcome::Unreachable),
-        Err(SendFailure::BrokenOff) => return BatchAnswer::without_connection(BatchOutcome::BrokenOff),
+        Err(SendFailure::Interrupted) => return BatchAnswer::without_connection(BatchOutcome::BrokenOff),
     };
     let (parts, body) = response.into_parts();
     let head = target_reports::read_head(traffic, batch_request(&call.id, sent_at), &parts);
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -1,4 +1,4 @@
-//! Reading a call: what it is, and whether it may be taken at all.
+//! Reads the header and the body of a call, and checks whether the node may accept it.
 
 use super::Traffic;
 use super::callers::duration;
@@ -12,29 +12,30 @@
 use hyper::http::request::Parts;
 use std::sync::Arc;
 
-/// When to come back to a node that has no configuration yet.
-const CATCH_UP_WAIT: Span = Span::from_millis(300);
-/// When to come back to a node that holds too many bodies.
-const MEMORY_WAIT: Span = Span::from_millis(500);
-/// The longest time that a call is held when neither it nor its route says.
-pub const LONGEST: Span = Span::from_secs(60);
+/// The retry delay of a call that a node without a configuration refused.
+const NO_CONFIGURATION_RETRY_AFTER: Span = Span::from_millis(300);
+/// The retry delay of a call that a node refused because it holds too many bytes of bodies.
+const MEMORY_FULL_RETRY_AFTER: Span = Span::from_millis(500);
+/// The maximum time that a call is held when neither the call nor its route sets one.
+pub const DEFAULT_MAX_WAIT: Span = Span::from_secs(60);
 
-/// What a call is, before its body has been read.
-pub struct Taken {
-    /// What it says of itself.
+/// A call whose header has been checked; its body may not have been read yet.
+pub struct AcceptedHeader {
+    /// The contents of its header.
     pub head: CallHead,
     /// Its route.
     pub route: Route,
     /// The organisation that its key belongs to.
     pub organisation: String,
-    /// Its place among the priorities; 0 is the most important.
+    /// The rank of its priority class; 0 is the most important.
     pub rank: u8,
-    /// The configuration under which it is taken.
+    /// The configuration in force when its header was read.
     pub catalog: Arc<Catalog>,
 }
 
-/// Looks up route and key, and refuses what can never be right.
-pub fn take(traffic: &Traffic, parts: &Parts) -> Result<Taken, CallFailure> {
+/// Looks up the route and the organisation of a call, and refuses calls that are invalid or that the node
+/// cannot accept now.
+pub fn check_header(traffic: &Traffic, parts: &Parts) -> Result<AcceptedHeader, CallFailure> {
     let head = (traffic.edges.caller.read)(parts).map_err(|cause| {
         let failure = CallFailure::not_run(Reason::InvalidCall);
         failure.at(&cause, "")
@@ -44,7 +45,7 @@
     }
     let plan = traffic.plan();
     let Some(catalog) = plan.catalog.clone() else {
-        return Err(CallFailure::not_run(Reason::NoConfiguration).after(CATCH_UP_WAIT));
+        return Err(CallFailure::not_run(Reason::NoConfiguration).after(NO_CONFIGURATION_RETRY_AFTER));
     };
     let Some(route) = catalog.route(&head.host, &head.path).cloned() else {
         return Err(CallFailure::not_run(Reason::UnknownRoute));
@@ -55,9 +56,9 @@
     }
     let limit = traffic.shared.settings.body_memory_mb << 20;
     if traffic.held_bytes.get() > limit {
-        return Err(CallFailure::not_run(Reason::MemoryFull).after(MEMORY_WAIT));
+        return Err(CallFailure::not_run(Reason::MemoryFull).after(MEMORY_FULL_RETRY_AFTER));
     }
-    Ok(Taken {
+    Ok(AcceptedHeader {
         organisation: organisation
             .map(|organisation| organisation.name.clone())
             .unwrap_or_default(),
@@ -68,18 +69,18 @@
     })
 }
 
-/// Reads the body of a call, within the time and the size that the configuration allows.
+/// Reads the body of a call, within the time and size limits of the configuration.
 pub async fn read_body(
     traffic: &Traffic,
-    taken: Option<&Taken>,
+    accepted: Option<&AcceptedHeader>,
     arrived: Time,
     body: Incoming,
 ) -> Result<Bytes, CallFailure> {
-    let limits = taken
-        .map(|taken| taken.catalog.document.limits)
+    let limits = accepted
+        .map(|accepted| accepted.catalog.document.limits)
         .unwrap_or_default();
-    let longest = taken.map_or(limits.idle_timeout, |taken| max_wait(&taken.head, &taken.route));
-    let left = (arrived + longest).since(traffic.now());
+    let time_limit = accepted.map_or(limits.idle_timeout, |call| max_wait(&call.head, &call.route));
+    let left = (arrived + time_limit).since(traffic.now());
     let read = Limited::new(body, limits.max_body_bytes).collect();
     let read = tokio::select! {
         biased;
@@ -94,10 +95,10 @@
     }
 }
 
-/// How long a call is held at the most.
+/// The maximum time that a call is held.
 pub fn max_wait(head: &CallHead, route: &Route) -> Span {
     let route = if route.timeout == Span::ZERO {
-        LONGEST
+        DEFAULT_MAX_WAIT
     } else {
         route.timeout
     };
--- a/crates/barleyspool_gateway/src/traffic/relayed_stream.rs
+++ b/crates/barleyspool_gateway/src/traffic/relayed_stream.rs
@@ -1,4 +1,4 @@
-//! A target's stream on its way to the caller.
+//! The response body that relays a target's stream to the caller.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
@@ -6,26 +6,26 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// A stream broke off; the connection is closed so that the answer does not look complete.
+/// A stream was interrupted; the connection is closed so that the answer does not look complete.
 #[derive(Debug, displaydoc::Display)]
-pub enum RelayBroken {
+pub enum RelayError {
     /// the target's stream broke off
-    BrokenOff,
+    Interrupted,
 }
 
-impl std::error::Error for RelayBroken {}
+impl std::error::Error for RelayError {}
 
-/// What comes through a relayed stream.
+/// A message from the task that relays a stream to the response body.
 #[derive(Debug)]
 pub enum RelayItem {
-    /// A part of it.
+    /// The next bytes of the stream.
     Part(Bytes),
-    /// It was whole. Without this word a stream was broken off: a task that is dropped or panics says nothing, and what it
-    /// leaves must not look complete.
+    /// The stream is complete. A channel that closes without this item means an interrupted stream: a task that is
+    /// dropped or panics sends nothing, and its partial answer must not look complete.
     End,
 }
 
-/// A stream that is passed on as it comes.
+/// A stream that is relayed while the target sends it.
 #[derive(Debug)]
 pub struct RelayedStream {
     items: mpsc::Receiver<RelayItem>,
@@ -33,7 +33,7 @@
 }
 
 impl RelayedStream {
-    /// The stream that comes through `items`.
+    /// The stream whose items arrive through `items`.
     pub fn new(items: mpsc::Receiver<RelayItem>) -> Self {
         Self { items, ended: false }
     }
@@ -41,12 +41,12 @@
 
 impl Body for RelayedStream {
     type Data = Bytes;
-    type Error = RelayBroken;
+    type Error = RelayError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, RelayError>>> {
         if self.ended {
             return Poll::Ready(None);
         }
@@ -56,7 +56,7 @@
                 self.ended = true;
                 Poll::Ready(None)
             }
-            None => Poll::Ready(Some(Err(RelayBroken::BrokenOff))),
+            None => Poll::Ready(Some(Err(RelayError::Interrupted))),
         }
     }
 }
--- a/crates/barleyspool_gateway/src/traffic/send_request.rs
+++ b/crates/barleyspool_gateway/src/traffic/send_request.rs
@@ -1,4 +1,4 @@
-//! What goes to a target and back to the caller: headers that belong to one connection stay on it.
+//! Builds requests to targets and answer headers to callers, without the headers that belong to one connection.
 
 use super::call::Call;
 use crate::edges::SendHead;
@@ -9,7 +9,7 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
 
-/// The request to a target: the caller's own, with the headers of this system.
+/// The request to a target: the request of the caller, with the headers of this system.
 pub fn request(
     call: &Call,
     chosen: &TargetChoice,
@@ -38,16 +38,16 @@
     Some(request)
 }
 
-/// The head of a target's answer as it goes to the caller.
+/// The status and headers of a target's answer, as sent to the caller.
 pub fn answer_parts(mut parts: Parts) -> Parts {
     drop_connection_headers(&mut parts.headers, &[]);
     parts
 }
 
-/// Headers that say something of one connection only.
-const OF_ONE_CONNECTION: &[&str] = &["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
+/// Headers that apply to one connection only.
+const CONNECTION_HEADERS: &[&str] = &["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
 
-/// Takes off what speaks of one connection: a few headers always, others when `Connection` names them, but for `kept`.
+/// Removes the headers that apply to one connection: a fixed list, and those that `Connection` names, except `kept`.
 fn drop_connection_headers(headers: &mut HeaderMap, kept: &[HeaderName]) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -60,11 +60,11 @@
     for name in named {
         headers.remove(name);
     }
-    for name in OF_ONE_CONNECTION {
+    for name in CONNECTION_HEADERS {
         headers.remove(*name);
     }
     headers.remove(CONNECTION);
     headers.remove(TRANSFER_ENCODING);
-    // The library states the length of what it sends.
+    // The HTTP library sets the content length itself.
     headers.remove(CONTENT_LENGTH);
 }
--- a/crates/barleyspool_gateway/src/traffic/starting.rs
+++ b/crates/barleyspool_gateway/src/traffic/starting.rs
@@ -1,15 +1,16 @@
-//! Calls that come before this node knows enough to serve them.
+//! Holds calls that arrive before this node has a configuration and a list of targets.
 
 use super::Traffic;
 use barleyspool_core::{Span, Time, hold_until};
 use hyper::http::request::Parts;
 use std::time::Duration;
 
-/// Waits until this node has a configuration and a list of targets, for as long as the call is better held than refused.
-pub async fn until_known(traffic: &Traffic, parts: &Parts, arrived: Time) {
+/// Waits until this node has a configuration and a list of targets, at most until [`hold_until`] says that the call
+/// should be refused.
+pub async fn wait_for_complete_plan(traffic: &Traffic, parts: &Parts, arrived: Time) {
     loop {
-        // Before the look at the plan, so that none is missed.
-        let plan_taken = traffic.plan_taken.notified();
+        // Registered before the plan is checked, so that no update is missed.
+        let plan_applied = traffic.plan_applied.notified();
         if traffic.plan().is_complete() {
             return;
         }
@@ -19,7 +20,7 @@
             return;
         }
         tokio::select! {
-            () = plan_taken => {}
+            () = plan_applied => {}
             () = tokio::time::sleep(Duration::from_micros(left.0)) => {}
         }
     }
