--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -70,7 +70,7 @@
     target: TargetKey,
     route: String,
     started: Time,
-    /// Expected time to the first output, in microseconds.
+    /// Expected time to the first output of an engine, or to the answer of another target, in microseconds.
     expected: f64,
     /// Prompt tokens of this call that the target has to prefill.
     prefill_tokens: f64,
@@ -91,10 +91,13 @@
     /// Targets that are or were recently in cooldown.
     pub(super) cooldown_targets: Vec<TargetKey>,
     pub(super) sends: SlotMap<SendKey, Send>,
+    /// Recent requests and retries, by service.
     pub(super) retries: HashMap<String, RetryWindow>,
+    /// Average time to the answer, by service, in microseconds. Not used for engines.
     pub(super) answer_time: HashMap<String, f64>,
     /// Average time to the first output of an engine, by route, in microseconds.
     pub(super) first_output_time: HashMap<String, f64>,
+    /// Average prefill rate of the engines, in prompt tokens per millisecond.
     pub(super) prefill_rate: f64,
     pub(super) members: Arc<Vec<MemberView>>,
     /// Time since which the members are unchanged.
@@ -169,13 +172,13 @@
             return;
         }
         self.table = Arc::clone(&plan.targets);
-        let gone: Vec<String> = self
+        let removed: Vec<String> = self
             .by_id
             .keys()
             .filter(|id| !plan.targets.contains_key(*id))
             .cloned()
             .collect();
-        for id in gone {
+        for id in removed {
             if let Some(key) = self.by_id.remove(&id) {
                 self.targets.remove(key);
             }
@@ -279,6 +282,7 @@
         })
     }
 
+    /// Expected time to the answer of a service, in microseconds.
     fn expected_answer(&self, service: &str) -> f64 {
         self.answer_time
             .get(service)
@@ -352,13 +356,13 @@
             } => false,
             SendEnd::Refused {
                 misdirected: true, ..
-            } => self.failed(now, send.target, true),
+            } => self.record_target_failure(now, send.target, true),
             SendEnd::Refused { .. } => {
                 record.full_until = now + FULL_TARGET_PAUSE;
-                self.failed(now, send.target, false)
+                self.record_target_failure(now, send.target, false)
             }
-            SendEnd::Unreachable => self.failed(now, send.target, true),
-            SendEnd::BrokenOff | SendEnd::TimedOut => self.failed(now, send.target, false),
+            SendEnd::Unreachable => self.record_target_failure(now, send.target, true),
+            SendEnd::BrokenOff | SendEnd::TimedOut => self.record_target_failure(now, send.target, false),
         }
     }
 
@@ -376,15 +380,16 @@
         }
     }
 
-    /// Records a failure and returns whether the target was put into quarantine. No target is quarantined
-    /// beyond [`MAX_QUARANTINED_FRACTION`].
-    fn failed(&mut self, now: Time, target: TargetKey, certain: bool) -> bool {
+    /// Records a failure and returns whether the target was put into quarantine. A `certain` failure is
+    /// enough for that; of others it takes several in a row. No target is quarantined beyond
+    /// [`MAX_QUARANTINED_FRACTION`].
+    fn record_target_failure(&mut self, now: Time, target: TargetKey, certain: bool) -> bool {
         let Some(record) = self.targets.get(target) else {
             return false;
         };
         let keys = self.by_service.get(&record.entry.service);
         let all = keys.map_or(1, Vec::len);
-        let out = keys.map_or(0, |keys| {
+        let quarantined_count = keys.map_or(0, |keys| {
             let quarantined = |key: &&TargetKey| {
                 self.targets
                     .get(**key)
@@ -392,7 +397,7 @@
             };
             keys.iter().filter(quarantined).count()
         });
-        let capped = (out + 1) as f64 > all as f64 * MAX_QUARANTINED_FRACTION;
+        let capped = (quarantined_count + 1) as f64 > all as f64 * MAX_QUARANTINED_FRACTION;
         let Some(record) = self.targets.get_mut(target) else {
             return false;
         };
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -28,9 +28,10 @@
 struct Report {
     /// The limit in calls per second; `None` after its removal.
     per_s: Option<f64>,
+    /// When it was received.
     at: Time,
     /// When other nodes were last notified.
-    notified: Time,
+    notified_at: Time,
 }
 
 /// The rate limit of a target as nodes pass it on.
@@ -60,27 +61,33 @@
     ///
     /// An answer without a limit removes a known limit only if its call was sent after the limit was known:
     /// calls that were already in flight when the target reported the limit may be answered without one.
-    pub fn apply_report(&mut self, now: Time, sent: Time, run: IncarnationId, report: LimitReport) -> bool {
-        let known = self.reports.get(&run);
+    pub fn apply_report(
+        &mut self,
+        now: Time,
+        sent: Time,
+        incarnation: IncarnationId,
+        report: LimitReport,
+    ) -> bool {
+        let known = self.reports.get(&incarnation);
         let per_s = match report {
             LimitReport::PerSecond(per_s) => Some(per_s),
             LimitReport::None if known.is_some_and(|known| known.per_s.is_some() && sent >= known.at) => None,
             LimitReport::None | LimitReport::Unreadable => return false,
         };
         let is_new =
-            known.is_none_or(|known| known.per_s != per_s || now.since(known.notified) > NOTIFY_INTERVAL);
-        let notified = if is_new {
+            known.is_none_or(|known| known.per_s != per_s || now.since(known.notified_at) > NOTIFY_INTERVAL);
+        let notified_at = if is_new {
             now
         } else {
-            known.map_or(now, |known| known.notified)
+            known.map_or(now, |known| known.notified_at)
         };
         self.insert(
             now,
-            run,
+            incarnation,
             Report {
                 per_s,
                 at: now,
-                notified,
+                notified_at,
             },
         );
         is_new
@@ -97,7 +104,7 @@
         let report = Report {
             per_s,
             at: now - Span::from_millis(u64::from(update.age_ms)),
-            notified: now,
+            notified_at: now,
         };
         self.merge_report(now, update.incarnation, report)
     }
@@ -105,46 +112,57 @@
     /// Applies the reports of another table of this node. Returns the targets whose limit changed.
     pub fn merge(&mut self, now: Time, other: &Self) -> Vec<IncarnationId> {
         let reports = other.reports.iter();
-        let changed = reports.filter(|(run, report)| self.merge_report(now, **run, **report));
-        changed.map(|(run, _)| *run).collect()
+        let changed = reports.filter(|(incarnation, report)| self.merge_report(now, **incarnation, **report));
+        changed.map(|(incarnation, _)| *incarnation).collect()
     }
 
-    fn merge_report(&mut self, now: Time, run: IncarnationId, report: Report) -> bool {
-        let Some(known) = self.reports.get(&run).copied() else {
-            self.insert(now, run, report);
+    fn merge_report(&mut self, now: Time, incarnation: IncarnationId, report: Report) -> bool {
+        let Some(known) = self.reports.get(&incarnation).copied() else {
+            self.insert(now, incarnation, report);
             return true;
         };
-        let newer = if report.per_s.is_some() && known.per_s.is_none() {
+        let is_newer = if report.per_s.is_some() && known.per_s.is_none() {
             report.at + CLOCK_TOLERANCE > known.at
         } else {
             report.at > known.at
         };
-        if !newer {
+        if !is_newer {
             return false;
         }
         let changed = report.per_s != known.per_s;
-        let notified = if changed { report.notified } else { known.notified };
-        self.insert(now, run, Report { notified, ..report });
+        let notified_at = if changed {
+            report.notified_at
+        } else {
+            known.notified_at
+        };
+        self.insert(
+            now,
+            incarnation,
+            Report {
+                notified_at,
+                ..report
+            },
+        );
         changed
     }
 
     /// The calls per second that a target accepts from all nodes together, and at least `MIN_RATE`;
     /// `None` if it has no limit.
-    pub fn per_s(&self, run: IncarnationId) -> Option<f64> {
-        let named = self.reports.get(&run)?.per_s?;
-        Some(named.max(MIN_RATE))
+    pub fn per_s(&self, incarnation: IncarnationId) -> Option<f64> {
+        let reported = self.reports.get(&incarnation)?.per_s?;
+        Some(reported.max(MIN_RATE))
     }
 
     /// The limit as the target reported it.
-    pub fn reported(&self, run: IncarnationId) -> Option<f64> {
-        self.reports.get(&run)?.per_s
+    pub fn reported(&self, incarnation: IncarnationId) -> Option<f64> {
+        self.reports.get(&incarnation)?.per_s
     }
 
     /// The update to send to other nodes about a target.
-    pub fn update_of(&self, now: Time, run: IncarnationId) -> Option<LimitUpdate> {
-        let report = self.reports.get(&run)?;
+    pub fn update_of(&self, now: Time, incarnation: IncarnationId) -> Option<LimitUpdate> {
+        let report = self.reports.get(&incarnation)?;
         Some(LimitUpdate {
-            incarnation: run,
+            incarnation,
             per_s: report.per_s,
             age_ms: u32::try_from(now.since(report.at).as_millis()).unwrap_or(u32::MAX),
         })
@@ -165,7 +183,7 @@
 
     /// Removes expired reports.
     pub fn forget(&mut self, now: Time) {
-        let kept = |report: &Report| {
+        let retention = |report: &Report| {
             if report.per_s.is_some() {
                 LIMIT_RETENTION
             } else {
@@ -173,19 +191,19 @@
             }
         };
         self.reports
-            .retain(|_, report| now.since(report.at) < kept(report));
+            .retain(|_, report| now.since(report.at) < retention(report));
     }
 
-    fn insert(&mut self, now: Time, run: IncarnationId, report: Report) {
-        if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(&run) {
+    fn insert(&mut self, now: Time, incarnation: IncarnationId, report: Report) {
+        if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(&incarnation) {
             self.forget(now);
             let oldest = self.reports.iter().min_by_key(|(_, report)| report.at);
-            if let Some(oldest) = oldest.map(|(run, _)| *run)
+            if let Some(oldest) = oldest.map(|(incarnation, _)| *incarnation)
                 && self.reports.len() >= MAX_REPORTS
             {
                 self.reports.remove(&oldest);
             }
         }
-        self.reports.insert(run, report);
+        self.reports.insert(incarnation, report);
     }
 }
--- a/crates/barleyspool_core/src/rate_limits/ownership.rs
+++ b/crates/barleyspool_core/src/rate_limits/ownership.rs
@@ -54,6 +54,7 @@
 /// fleet that does not reach the owner, and the whole rate if no node reaches it.
 #[derive(Clone, Debug, Default)]
 pub struct Ownership {
+    /// Since when this node has owned the targets; `None` while it does not.
     owned_since: Option<Time>,
     /// When each node last sent a request.
     requesters: HashMap<u64, Time>,
@@ -81,10 +82,10 @@
     }
 
     /// The share that this node may grant now, with `members` serving nodes.
-    pub fn share(&self, now: Time, reach: Reachability, members: usize) -> RateShare {
+    pub fn share(&self, now: Time, reachability: Reachability, members: usize) -> RateShare {
         match self.owned_since {
             Some(since) if now.since(since) >= HANDOVER => RateShare {
-                fraction: reach.rate_fraction(),
+                fraction: reachability.rate_fraction(),
                 role: RateRole::Owner,
                 since,
             },
@@ -94,9 +95,9 @@
                     .values()
                     .filter(|at| now.since(**at) < REQUEST_RETENTION)
                     .count();
-                let known = (reach.known as usize).max(members).max(1);
+                let known = (reachability.known as usize).max(members).max(1);
                 RateShare {
-                    fraction: (requesting as f64 / known as f64).min(reach.rate_fraction()),
+                    fraction: (requesting as f64 / known as f64).min(reachability.rate_fraction()),
                     role: RateRole::Fallback,
                     since: self.owned_since.unwrap_or(self.requested_since),
                 }
--- a/crates/barleyspool_core/src/rate_limits/reachability.rs
+++ b/crates/barleyspool_core/src/rate_limits/reachability.rs
@@ -21,15 +21,15 @@
 impl Reachability {
     /// The fraction of each rate that the reached nodes may use together.
     pub fn rate_fraction(&self) -> f64 {
-        let share = if self.known == 0 {
+        let fraction = if self.known == 0 {
             MAX_UNSTEADY_FRACTION
         } else {
             f64::from(self.reached) / f64::from(self.known)
         };
         if self.steady {
-            share
+            fraction
         } else {
-            share.min(MAX_UNSTEADY_FRACTION)
+            fraction.min(MAX_UNSTEADY_FRACTION)
         }
     }
 }
--- a/crates/barleyspool_core/src/rate_limits/token_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/token_bucket.rs
@@ -20,14 +20,18 @@
 /// longer.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct TokenBucket {
+    /// Number of taken tokens that were not refilled yet at `updated_at`.
     used: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl TokenBucket {
     /// Creates a bucket from which `used` calls were taken at `now`.
     pub fn new(now: Time, used: f64) -> Self {
-        Self { used, at: now }
+        Self {
+            used,
+            updated_at: now,
+        }
     }
 
     /// The time until one more call may be taken; zero if it may be taken now.
@@ -44,10 +48,11 @@
     /// Takes one call.
     pub fn take(&mut self, now: Time, rate: Rate) {
         self.used = self.used_at(now, rate) + 1.0;
-        self.at = now;
+        self.updated_at = now;
     }
 
+    /// Number of taken tokens that are not refilled yet at `now`.
     fn used_at(&self, now: Time, rate: Rate) -> f64 {
-        (self.used - now.since(self.at).as_secs() * rate.per_s).max(0.0)
+        (self.used - now.since(self.updated_at).as_secs() * rate.per_s).max(0.0)
     }
 }
