--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -55,11 +55,11 @@
             aim_ms: objective.as_millis(),
             expected_ms: expected.as_millis(),
             wait_ms: forecast.wait.as_millis(),
-            slowest: &forecast.slowest,
+            slowest: &forecast.slowest_pool,
             version: call.catalog.version().0,
         };
         call.traffic.log.write(now, &line);
-        let failure = CallFailure::not_run(Reason::PoolBusy).at(&forecast.slowest, "");
+        let failure = CallFailure::not_run(Reason::PoolBusy).at(&forecast.slowest_pool, "");
         return Err(failure.after(forecast.wait));
     }
     let line = Line::Admitted {
@@ -84,9 +84,9 @@
     /// The time that queueing adds.
     wait: Span,
     /// The pool with the longest queueing delay; empty when there is no delay.
-    slowest: String,
+    slowest_pool: String,
     /// The queueing delay of that pool.
-    longest: Span,
+    longest_wait: Span,
 }
 
 impl Forecast {
@@ -159,12 +159,16 @@
     let planned = planned_time(call, plan, service, spec);
     // The pool works off its queue while the earlier stages run.
     let ahead = Span((queued + planned).0.saturating_sub(start.total().0));
-    let slower = ahead > start.longest;
+    let slower = ahead > start.longest_wait;
     Forecast {
         base: start.base + alone,
         wait: start.wait + ahead,
-        slowest: if slower { service.clone() } else { start.slowest },
-        longest: ahead.max(start.longest),
+        slowest_pool: if slower {
+            service.clone()
+        } else {
+            start.slowest_pool
+        },
+        longest_wait: ahead.max(start.longest_wait),
     }
 }
 
--- a/crates/barleyspool_gateway/src/traffic/answer_body.rs
+++ b/crates/barleyspool_gateway/src/traffic/answer_body.rs
@@ -24,7 +24,7 @@
 /// A complete body that is being written.
 pub struct WholeBody {
     /// The bytes not yet passed to the HTTP library.
-    rest: Bytes,
+    remaining: Bytes,
     /// Counts the call as in flight until the body is dropped.
     #[allow(dead_code, reason = "kept for its drop")]
     guard: Rc<CallGuard>,
@@ -37,7 +37,7 @@
     /// The body of a refusal by this node; it is a few bytes long and not counted as held.
     pub fn refusal(body: Bytes, guard: Rc<CallGuard>) -> Self {
         Self {
-            rest: body,
+            remaining: body,
             guard,
             held: None,
         }
@@ -46,18 +46,18 @@
     /// The body of a target's answer.
     pub fn answer(body: Bytes, held: HeldBytes, guard: Rc<CallGuard>) -> Self {
         Self {
-            rest: body,
+            remaining: body,
             guard,
             held: Some(held),
         }
     }
 
     fn next(&mut self) -> Option<Bytes> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return None;
         }
-        let part = self.rest.len().min(PART_BYTES);
-        Some(self.rest.split_to(part))
+        let part = self.remaining.len().min(PART_BYTES);
+        Some(self.remaining.split_to(part))
     }
 }
 
@@ -77,14 +77,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.rest.is_empty(),
+            Self::Whole(body) => body.remaining.is_empty(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.rest.len() as u64),
+            Self::Whole(body) => SizeHint::with_exact(body.remaining.len() as u64),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/barleyspool_gateway/src/traffic/caller_io.rs
+++ b/crates/barleyspool_gateway/src/traffic/caller_io.rs
@@ -113,7 +113,7 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.linger.is_none() {
             ready!(Pin::new(&mut self.io).poll_shutdown(context))?;
-            self.linger = Some(Box::pin(sleep_until(self.watch.active() + LINGER)));
+            self.linger = Some(Box::pin(sleep_until(self.watch.last_activity() + LINGER)));
         }
         if self.poll_discard(context).is_ready() {
             return Poll::Ready(Ok(()));
--- a/crates/barleyspool_gateway/src/traffic/connection_watch.rs
+++ b/crates/barleyspool_gateway/src/traffic/connection_watch.rs
@@ -19,7 +19,7 @@
     /// Calls whose answers are not written yet; bytes read meanwhile do not start the header timeout.
     calls: Cell<u32>,
     /// When bytes were last read or written.
-    active: Cell<Instant>,
+    last_activity: Cell<Instant>,
     /// Whether the kernel did not accept all of the last write: the caller reads more slowly than it is answered.
     waiting: Cell<bool>,
     /// The id of the most recently answered call.
@@ -32,7 +32,7 @@
         Self {
             header_since: Cell::default(),
             calls: Cell::default(),
-            active: Cell::new(Instant::now()),
+            last_activity: Cell::new(Instant::now()),
             waiting: Cell::default(),
             last_call: RefCell::default(),
             changed: Notify::new(),
@@ -53,7 +53,7 @@
     /// Records that bytes were read.
     pub fn record_read(&self) {
         let now = Instant::now();
-        self.active.set(now);
+        self.last_activity.set(now);
         if self.calls.get() == 0 && self.header_since.get().is_none() {
             self.header_since.set(Some(now));
         }
@@ -62,7 +62,7 @@
 
     /// Records a write; `waiting` is true when the kernel accepts no more bytes.
     pub fn record_write(&self, waiting: bool) {
-        self.active.set(Instant::now());
+        self.last_activity.set(Instant::now());
         if self.waiting.replace(waiting) {
             self.changed.notify_one();
         }
@@ -87,8 +87,8 @@
     }
 
     /// When bytes were last read or written.
-    pub fn active(&self) -> Instant {
-        self.active.get()
+    pub fn last_activity(&self) -> Instant {
+        self.last_activity.get()
     }
 
     /// Waits until a header is incomplete for `header_timeout`, or the connection has been idle for `idle_timeout`.
@@ -101,7 +101,7 @@
             }
             let (overdue, due) = match self.header_since.get() {
                 Some(since) => (Overdue::Header, since + header_timeout),
-                None => (Overdue::Idle, self.active.get() + idle_timeout),
+                None => (Overdue::Idle, self.last_activity.get() + idle_timeout),
             };
             tokio::select! {
                 biased;
@@ -118,7 +118,7 @@
 impl Drop for ActiveCall {
     fn drop(&mut self) {
         self.0.calls.set(self.0.calls.get() - 1);
-        self.0.active.set(Instant::now());
+        self.0.last_activity.set(Instant::now());
         self.0.changed.notify_one();
     }
 }
--- a/crates/barleyspool_gateway/src/traffic/connections.rs
+++ b/crates/barleyspool_gateway/src/traffic/connections.rs
@@ -44,7 +44,7 @@
     /// A process accepted the connection.
     Listening,
     /// The connection was refused: the process has ended.
-    Gone,
+    Refused,
     /// No reply, which may be due to the network.
     Unknown,
 }
@@ -112,7 +112,7 @@
                 self.put_back(connection, None);
                 Presence::Listening
             }
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Gone,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Refused,
             Err(_) => Presence::Unknown,
         }
     }
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -40,7 +40,7 @@
         let failure = CallFailure::not_run(Reason::InvalidCall);
         failure.at(&cause, "")
     })?;
-    if stopping::is_too_late(traffic) {
+    if stopping::refuses_new_calls(traffic) {
         return Err(stopping::refusal());
     }
     let plan = traffic.plan();
--- a/crates/barleyspool_gateway/src/traffic/stopping.rs
+++ b/crates/barleyspool_gateway/src/traffic/stopping.rs
@@ -13,7 +13,7 @@
 }
 
 /// Whether the stop has gone too far for new calls to be accepted.
-pub fn is_too_late(traffic: &Traffic) -> bool {
+pub fn refuses_new_calls(traffic: &Traffic) -> bool {
     traffic.shared.stop_reached(StopPhase::Draining)
 }
 
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -65,7 +65,7 @@
         }
         let check = self.port_check(traffic.now(), target);
         let presence = check.get_or_init(|| traffic.connections.presence(address, target));
-        *presence.await == Presence::Gone
+        *presence.await == Presence::Refused
     }
 
     /// Records that a target crashed while it processed a call or a piece of one. It is passed on to the
