--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -2,7 +2,7 @@
 //!
 //! A broken connection alone is no sign of a crash: it may have been reset, or the target may interrupt one
 //! answer in fifty. So this node connects to the target's port: if nothing listens there any more, the target
-//! has crashed. See docs/DESIGN.md, "Calls that end targets".
+//! has crashed. See docs/DESIGN.md, "Calls that crash targets".
 
 use super::Traffic;
 use super::call::Call;
