--- a/crates/barleyspool_gateway/src/edges.rs
+++ b/crates/barleyspool_gateway/src/adapters.rs
@@ -1,6 +1,6 @@
 //! What the gateway is told of the world outside: how callers, targets, pools and the source speak.
 //!
-//! Each edge is a struct of plain functions between the outside's form and the product's own types. They
+//! Each adapter is a struct of plain functions between the outside's form and the product's own types. They
 //! translate only: they decide nothing and remember nothing.
 
 use crate::CallFailure;
@@ -14,22 +14,22 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// All edges of a gateway.
+/// All adapters of a gateway.
 #[derive(Clone)]
-pub struct Edges {
+pub struct Adapters {
     /// The callers'.
-    pub caller: CallerEdge,
+    pub caller: CallerAdapter,
     /// The targets' that answer calls.
-    pub target: TargetEdge,
+    pub target: TargetAdapter,
     /// The stage pools'.
-    pub pool: PoolEdge,
+    pub pool: PoolAdapter,
     /// That of callers who ask for addresses.
-    pub directory: DirectoryEdge,
+    pub directory: DirectoryAdapter,
 }
 
 /// How callers speak.
 #[derive(Clone)]
-pub struct CallerEdge {
+pub struct CallerAdapter {
     /// Reads a call's head; the error says what is wrong with it.
     pub read: fn(&request::Parts) -> Result<CallHead, String>,
     /// The answer to a call that no target answered.
@@ -86,7 +86,7 @@
 
 /// How targets that answer calls speak.
 #[derive(Clone)]
-pub struct TargetEdge {
+pub struct TargetAdapter {
     /// The headers that belong to a call, whatever a caller's `Connection` header says of them.
     pub of_caller: &'static [HeaderName],
     /// Turns a caller's headers into those for the target.
@@ -97,7 +97,7 @@
 
 /// How stage pools speak.
 #[derive(Clone)]
-pub struct PoolEdge {
+pub struct PoolAdapter {
     /// The path and body that ask for pieces.
     pub run: fn(&[PieceRequest]) -> (&'static str, Bytes),
     /// What became of each piece; `None` for an answer that is none.
@@ -117,7 +117,7 @@
 
 /// How callers ask for addresses, and how readiness is asked.
 #[derive(Clone)]
-pub struct DirectoryEdge {
+pub struct DirectoryAdapter {
     /// Where addresses are asked for.
     pub ask_path: &'static str,
     /// Where readiness is asked for.
--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -2,7 +2,7 @@
 
 use super::http_port;
 use super::state::ControlState;
-use crate::edges::DirectoryEdge;
+use crate::adapters::DirectoryAdapter;
 use barleyspool_core::Span;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -23,13 +23,17 @@
 const ENOUGH_IN_ZONE: usize = 2;
 
 /// Serves one of the two ports until the process ends.
-pub async fn serve(state: Rc<ControlState>, edge: Rc<DirectoryEdge>, listener: TcpListener) {
-    http_port::serve(listener, move |request| answer(&state, &edge, request).into()).await;
+pub async fn serve(state: Rc<ControlState>, adapter: Rc<DirectoryAdapter>, listener: TcpListener) {
+    http_port::serve(listener, move |request| answer(&state, &adapter, request).into()).await;
 }
 
-fn answer(state: &ControlState, edge: &DirectoryEdge, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn answer(
+    state: &ControlState,
+    adapter: &DirectoryAdapter,
+    request: &Request<Incoming>,
+) -> Response<Full<Bytes>> {
     let path = request.uri().path();
-    if path == edge.ready_path {
+    if path == adapter.ready_path {
         let status = if state.ready() {
             StatusCode::OK
         } else {
@@ -37,16 +41,16 @@
         };
         return plain(status, Bytes::new());
     }
-    if path != edge.ask_path {
+    if path != adapter.ask_path {
         return plain(StatusCode::NOT_FOUND, Bytes::new());
     }
-    let query = (edge.read)(request.uri().query().unwrap_or_default());
+    let query = (adapter.read)(request.uri().query().unwrap_or_default());
     let addresses = addresses(state, &query.zone);
     if addresses.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
     let keep = address_keep(state);
-    let mut response = plain(StatusCode::OK, (edge.answer)(&addresses, keep));
+    let mut response = plain(StatusCode::OK, (adapter.answer)(&addresses, keep));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -1,7 +1,7 @@
 //! Following one feed of the source: read whole, then watch; again after an error or a gap.
 
 use super::state::{ControlState, Origin};
-use crate::edges::{Feed, Source, SourceChange, SourceError};
+use crate::adapters::{Feed, Source, SourceChange, SourceError};
 use barleyspool_core::{
     CatalogDocument, FeedCursor, FeedStep, Revision, Span, TargetEntry, TargetTable, WATCH_MARGIN,
     watch_timeout,
--- a/crates/barleyspool_gateway/src/control/follow.rs
+++ b/crates/barleyspool_gateway/src/control/follow.rs
@@ -2,7 +2,7 @@
 
 use super::relay::{Known, Part, known_query};
 use super::state::{ControlState, Origin};
-use crate::edges::Feed;
+use crate::adapters::Feed;
 use crate::event_log::Line;
 use barleyspool_core::{
     ListHolder, ListRequester, Member, MemberHealth, PackedList, Revision, Span, Time, choose_list_holder,
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -11,7 +11,7 @@
 mod state;
 mod stop;
 
-use crate::edges::{DirectoryEdge, Feed, Source};
+use crate::adapters::{DirectoryAdapter, Feed, Source};
 use crate::event_log::Line;
 use crate::metrics::Metrics;
 use crate::shared::Sighting;
@@ -44,7 +44,7 @@
 /// Runs the control thread until the process ends.
 pub async fn run(
     state: ControlState,
-    edge: DirectoryEdge,
+    adapter: DirectoryAdapter,
     source: Rc<dyn Source>,
     file: PathBuf,
     ports: ControlPorts,
@@ -67,9 +67,13 @@
     if let Some(listener) = ports.metrics {
         tasks.spawn_local(relay::serve(Rc::clone(&state), listener, metrics));
     }
-    let edge = Rc::new(edge);
-    tasks.spawn_local(directory::serve(Rc::clone(&state), Rc::clone(&edge), ports.ready));
-    tasks.spawn_local(directory::serve(Rc::clone(&state), edge, ports.directory));
+    let adapter = Rc::new(adapter);
+    tasks.spawn_local(directory::serve(
+        Rc::clone(&state),
+        Rc::clone(&adapter),
+        ports.ready,
+    ));
+    tasks.spawn_local(directory::serve(Rc::clone(&state), adapter, ports.directory));
     let signals = ports.signals;
     tasks.spawn_local(stop::reload(Rc::clone(&state), file, signals.hangup));
     tokio::select! {
--- a/crates/barleyspool_gateway/src/control/reading.rs
+++ b/crates/barleyspool_gateway/src/control/reading.rs
@@ -1,7 +1,7 @@
 //! What this node does at the source: whether its feeds read it, and whom it tells or asks instead.
 
 use super::state::ControlState;
-use crate::edges::Feed;
+use crate::adapters::Feed;
 use crate::event_log::Line;
 use barleyspool_core::{
     FleetView, HeldRevisions, InitialListRead, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision,
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -1,7 +1,7 @@
 //! Taking what the source, or another node for it, tells of configuration, evacuated zones and targets.
 
 use super::state::{ControlState, Origin};
-use crate::edges::{Feed, SourceChange};
+use crate::adapters::{Feed, SourceChange};
 use crate::event_log::Line;
 use barleyspool_core::{
     CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, IncarnationId, OfferResult,
--- a/crates/barleyspool_gateway/src/gateway.rs
+++ b/crates/barleyspool_gateway/src/gateway.rs
@@ -1,7 +1,7 @@
 //! Starting a gateway's threads, and ending them together.
 
+use crate::adapters::{Adapters, Source};
 use crate::control::ControlState;
-use crate::edges::{Edges, Source};
 use crate::event_log::{EventLog, Line};
 use crate::settings::GatewaySettings;
 use crate::shared::Shared;
@@ -62,7 +62,7 @@
     pub fn start<S: Source + 'static>(
         settings: GatewaySettings,
         file: PathBuf,
-        edges: Edges,
+        adapters: Adapters,
         source: impl FnOnce(&GatewaySettings) -> S + Send + 'static,
     ) -> Result<Self, GatewayError> {
         let clock = Clock::start();
@@ -106,14 +106,14 @@
         let pieces = bind(&traffic_runtime, settings.pieces)?;
         let forwarder = Forwarder::new(forward_settings(&shared)).map_err(GatewayError::Chart)?;
 
-        let (of_traffic, edges_of_traffic, logger_of_traffic) =
-            (Arc::clone(&shared), edges.clone(), Arc::clone(&logger));
+        let (of_traffic, adapters_of_traffic, logger_of_traffic) =
+            (Arc::clone(&shared), adapters.clone(), Arc::clone(&logger));
         let (sightings, seen) = mpsc::unbounded_channel();
         let mut threads = Threads::default();
         let traffic = move || {
             let log = log_of(&of_traffic, logger_of_traffic);
             let ports = traffic::TrafficPorts { callers, pieces };
-            let work = traffic::run(of_traffic, edges_of_traffic, forwarder, log, ports, sightings);
+            let work = traffic::run(of_traffic, adapters_of_traffic, forwarder, log, ports, sightings);
             LocalSet::new().block_on(&traffic_runtime, work);
         };
         threads.spawn("traffic", traffic).map_err(GatewayError::Thread)?;
@@ -127,7 +127,7 @@
             log.write(of_control.clock.now(), &started);
             let source: Rc<dyn Source> = Rc::new(source(&of_control.settings));
             let state = ControlState::new(of_control, log);
-            let work = control::run(state, edges.directory, source, file, ports, metrics, seen);
+            let work = control::run(state, adapters.directory, source, file, ports, metrics, seen);
             LocalSet::new().block_on(&control_runtime, work);
         };
         threads.spawn("control", control).map_err(GatewayError::Thread)?;
--- a/crates/barleyspool_gateway/src/lib.rs
+++ b/crates/barleyspool_gateway/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! It is the shell around [`barleyspool_core::Forwarder`], [`barleyspool_core::PieceQueue`] and
 //! [`barleyspool_core::Membership`]. What callers, targets and the source of configuration speak is not known
-//! here: [`Edges`] brings it, as plain functions from and to the product's own types.
+//! here: [`Adapters`] brings it, as plain functions from and to the product's own types.
 //!
 //! - [`Gateway`] starts everything and waits for the end.
 //! - `control` is the control thread: configuration, targets, members, the directory of addresses.
 //! - `traffic` is the traffic thread: callers, targets, pieces.
 
+mod adapters;
 mod control;
-mod edges;
 mod event_log;
 mod failure;
 mod gateway;
@@ -18,9 +18,9 @@
 mod shared;
 mod traffic;
 
-pub use edges::{
-    AddressQuery, AnswerHead, CallerEdge, DirectoryEdge, Edges, Feed, PoolEdge, SendHead, Source,
-    SourceChange, SourceChanges, SourceError, SourceFuture, SourcePage, TargetEdge,
+pub use adapters::{
+    Adapters, AddressQuery, AnswerHead, CallerAdapter, DirectoryAdapter, Feed, PoolAdapter, SendHead, Source,
+    SourceChange, SourceChanges, SourceError, SourceFuture, SourcePage, TargetAdapter,
 };
 pub use event_log::{EventLog, Line};
 pub use failure::CallFailure;
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -13,7 +13,7 @@
 use super::target_choice::choose;
 use super::target_crashes;
 use super::target_reports::{self, SentRequest};
-use crate::edges::AnswerHead;
+use crate::adapters::AnswerHead;
 use crate::event_log::Line;
 use crate::failure::CallFailure;
 use barleyspool_core::{
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -29,7 +29,7 @@
 
 pub use relayed_stream::{RelayItem, RelayedStream};
 
-use crate::edges::Edges;
+use crate::adapters::Adapters;
 use crate::event_log::EventLog;
 use crate::shared::{Shared, Sighting};
 use barleyspool_core::{Counter, Counters, ForecastCorrection, ForwardPlan, Forwarder, Time};
@@ -57,7 +57,7 @@
     /// The state that the threads share.
     pub shared: Arc<Shared>,
     /// The protocol adapters for callers and targets.
-    pub edges: Edges,
+    pub adapters: Adapters,
     /// The event log.
     pub log: EventLog,
     /// The plan in force.
@@ -140,7 +140,7 @@
 /// Runs the traffic thread until the process ends.
 pub async fn run(
     shared: Arc<Shared>,
-    edges: Edges,
+    adapters: Adapters,
     forwarder: Forwarder,
     log: EventLog,
     ports: TrafficPorts,
@@ -148,7 +148,7 @@
 ) {
     let traffic = Rc::new(Traffic {
         shared,
-        edges,
+        adapters,
         log,
         plan: RefCell::default(),
         plan_applied: Notify::new(),
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -5,7 +5,7 @@
 use super::connections::{Connection, SendFailure};
 use super::pools::PoolId;
 use super::target_reports::{self, SentRequest};
-use crate::edges::AnswerHead;
+use crate::adapters::AnswerHead;
 use crate::event_log::Line;
 use barleyspool_core::{
     BatchCall, BatchKey, BatchOutcome, Counter, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceQueue,
@@ -319,7 +319,7 @@
 
 async fn send_batch(traffic: &Traffic, call: &BatchCall) -> BatchAnswer {
     let sent_at = traffic.now();
-    let (path, body) = (traffic.edges.pool.run)(&call.pieces);
+    let (path, body) = (traffic.adapters.pool.run)(&call.pieces);
     let Some(request) = request(traffic, path, &call.address, &call.id, body) else {
         return BatchAnswer::without_connection(BatchOutcome::BrokenOff);
     };
@@ -352,7 +352,7 @@
     if !status.is_success() {
         return BatchOutcome::BrokenOff;
     }
-    match (traffic.edges.pool.run_answer)(body) {
+    match (traffic.adapters.pool.run_answer)(body) {
         Some(outcomes) => BatchOutcome::Done(outcomes),
         None => BatchOutcome::BrokenOff,
     }
@@ -370,7 +370,7 @@
         .header("content-type", "application/json")
         .body(Full::new(body))
         .ok()?;
-    (traffic.edges.pool.prepare)(request.headers_mut(), target);
+    (traffic.adapters.pool.prepare)(request.headers_mut(), target);
     Some(request)
 }
 
@@ -381,7 +381,7 @@
         tokio::time::sleep(RELEASE_DELAY).await;
         let releasable = pool.queue.borrow_mut().take_releasable(traffic.now());
         for (address, target, handles) in releasable {
-            let (path, body) = (traffic.edges.pool.free)(&handles);
+            let (path, body) = (traffic.adapters.pool.free)(&handles);
             if let Some(request) = request(&traffic, path, &address, &target, body) {
                 let destination = (address, target);
                 spawn_local(send_release(
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -36,7 +36,7 @@
 /// Looks up the route and the organisation of a call, and refuses calls that are invalid or that the node
 /// cannot accept now.
 pub fn check_header(traffic: &Traffic, parts: &Parts) -> Result<AcceptedHeader, CallFailure> {
-    let head = (traffic.edges.caller.read)(parts).map_err(|cause| {
+    let head = (traffic.adapters.caller.read)(parts).map_err(|cause| {
         let failure = CallFailure::not_run(Reason::InvalidCall);
         failure.at(&cause, "")
     })?;
--- a/crates/barleyspool_gateway/src/traffic/send_request.rs
+++ b/crates/barleyspool_gateway/src/traffic/send_request.rs
@@ -1,7 +1,7 @@
 //! Builds requests to targets and answer headers to callers, without the headers that belong to one connection.
 
 use super::call::Call;
-use crate::edges::SendHead;
+use crate::adapters::SendHead;
 use barleyspool_core::TargetChoice;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -23,7 +23,7 @@
         .body(Full::new(call.body.clone()))
         .ok()?;
     let mut headers = call.headers.clone();
-    drop_connection_headers(&mut headers, call.traffic.edges.target.of_caller);
+    drop_connection_headers(&mut headers, call.traffic.adapters.target.of_caller);
     let head = SendHead {
         incarnation: chosen.id.clone(),
         organisation: call.organisation.clone(),
@@ -33,7 +33,7 @@
         resume_after,
         source: chosen.source.clone(),
     };
-    (call.traffic.edges.target.prepare)(&mut headers, &head);
+    (call.traffic.adapters.target.prepare)(&mut headers, &head);
     *request.headers_mut() = headers;
     Some(request)
 }
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -1,7 +1,7 @@
 //! Reads what targets report of themselves in the headers of their answers.
 
 use super::Traffic;
-use crate::edges::AnswerHead;
+use crate::adapters::AnswerHead;
 use crate::event_log::Line;
 use crate::shared::Sighting;
 use barleyspool_core::{CooldownReport, Counter, LimitReport, Time};
@@ -40,7 +40,7 @@
 /// Reads the header of an answer, and records what it reports of its target. All answers of targets are read
 /// here.
 pub fn read_head(traffic: &Traffic, request: SentRequest, parts: &Parts) -> AnswerHead {
-    let head = (traffic.edges.target.answer)(parts);
+    let head = (traffic.adapters.target.answer)(parts);
     if head.misdirected {
         // Another target uses the address now.
         return head;
