--- a/crates/barleyspool_gateway/src/control/http_port.rs
+++ b/crates/barleyspool_gateway/src/control/http_port.rs
@@ -15,50 +15,53 @@
 use tokio::task::spawn_local;
 
 /// How long a connection may rest.
-const IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// The pause after a connection that could not be accepted, for want of descriptors for example.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// An answer, and what is done when its connection ends.
-pub struct PortAnswer {
+pub struct PortResponse {
     /// The answer.
     pub response: Response<Full<Bytes>>,
     /// Called when the caller has closed the connection, as it does once it has the whole answer.
-    pub closed: Option<Box<dyn FnOnce()>>,
+    pub on_close: Option<Box<dyn FnOnce()>>,
 }
 
-impl From<Response<Full<Bytes>>> for PortAnswer {
+impl From<Response<Full<Bytes>>> for PortResponse {
     fn from(response: Response<Full<Bytes>>) -> Self {
         Self {
             response,
-            closed: None,
+            on_close: None,
         }
     }
 }
 
 /// Answers requests until the process ends.
-pub async fn serve(listener: TcpListener, answer: impl Fn(&Request<Incoming>) -> PortAnswer + 'static) {
-    let answer = Rc::new(answer);
+pub async fn serve(listener: TcpListener, handle: impl Fn(&Request<Incoming>) -> PortResponse + 'static) {
+    let handle = Rc::new(handle);
     loop {
         let Ok(stream) = net::accept(&listener).await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let answer = Rc::clone(&answer);
+        let handle = Rc::clone(&handle);
         spawn_local(async move {
-            let at_end = RefCell::new(Vec::new());
+            let close_callbacks = RefCell::new(Vec::new());
             let service = service_fn(|request| {
-                let PortAnswer { response, closed } = answer(&request);
-                at_end.borrow_mut().extend(closed);
+                let PortResponse { response, on_close } = handle(&request);
+                close_callbacks.borrow_mut().extend(on_close);
                 async { Ok::<_, Infallible>(response) }
             });
             // A caller that goes away in the middle is no matter of ours.
             let _ = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
-            at_end.into_inner().into_iter().for_each(|closed| closed());
+            close_callbacks
+                .into_inner()
+                .into_iter()
+                .for_each(|on_close| on_close());
         });
     }
 }
--- a/crates/barleyspool_gateway/src/control/members.rs
+++ b/crates/barleyspool_gateway/src/control/members.rs
@@ -16,31 +16,31 @@
 
 /// Datagrams that are read while a probe is due: what a fleet of 400 may have sent in a pause of a few seconds. After them the probe
 /// goes out, so that a node that cannot keep up with its datagrams is not silent too.
-const MOST_IN_ROW: usize = 1024;
+const MAX_CONSECUTIVE_DATAGRAMS: usize = 1024;
 
 /// Runs the membership until the process ends.
 pub async fn run(state: Rc<ControlState>, socket: UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM];
-    let mut in_row = 0;
+    let mut consecutive_datagrams = 0;
     loop {
-        send_all(&state, &socket).await;
+        send_outbox(&state, &socket).await;
         let wake = state.membership.borrow().next_wake();
         let wait = Duration::from_micros(wake.since(state.now()).0.max(1000));
         if wake > state.now() {
-            in_row = 0;
+            consecutive_datagrams = 0;
         }
         tokio::select! {
             // Answers that came while the process was paused go before suspicions.
             biased;
-            received = socket.recv_from(&mut buffer), if in_row < MOST_IN_ROW => {
-                in_row += 1;
+            received = socket.recv_from(&mut buffer), if consecutive_datagrams < MAX_CONSECUTIVE_DATAGRAMS => {
+                consecutive_datagrams += 1;
                 // Whatever cannot be received is as good as a lost datagram; probes find out.
                 let Ok((length, from)) = received else { continue };
-                take(&state, &buffer[..length], from);
+                handle_datagram(&state, &buffer[..length], from);
             }
             () = state.outbox_filled.notified() => {}
             () = timer::sleep(wait) => {
-                in_row = 0;
+                consecutive_datagrams = 0;
                 state.step_members(MemberEvent::Tick);
             }
         }
@@ -48,7 +48,7 @@
 }
 
 /// Takes what the traffic thread sees of targets, until the process ends.
-pub async fn take_sightings(state: Rc<ControlState>, mut sightings: mpsc::UnboundedReceiver<Sighting>) {
+pub async fn apply_sightings(state: Rc<ControlState>, mut sightings: mpsc::UnboundedReceiver<Sighting>) {
     while let Some(sighting) = sightings.recv().await {
         state.step_members(match sighting {
             Sighting::Ended { print, run } => MemberEvent::Crashed {
@@ -64,7 +64,7 @@
     }
 }
 
-fn take(state: &ControlState, datagram: &[u8], from: SocketAddr) {
+fn handle_datagram(state: &ControlState, datagram: &[u8], from: SocketAddr) {
     match rmp_serde::from_slice::<MemberMessage>(datagram) {
         Ok(message) => {
             let from = from.to_string();
@@ -77,7 +77,7 @@
     }
 }
 
-async fn send_all(state: &ControlState, socket: &UdpSocket) {
+async fn send_outbox(state: &ControlState, socket: &UdpSocket) {
     let outbox = std::mem::take(&mut *state.outbox.borrow_mut());
     for action in outbox {
         let MemberAction::Send { to, message } = action else {
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -2,11 +2,11 @@
 
 mod directory;
 mod feed_reader;
-mod follow;
 mod http_port;
 mod members;
-mod reading;
+mod peer_sync;
 mod relay;
+mod source_access;
 mod source_changes;
 mod state;
 mod stop;
@@ -53,15 +53,15 @@
 ) {
     let state = Rc::new(state);
     let mut tasks = EssentialTasks::default();
-    tasks.spawn_local(members::take_sightings(Rc::clone(&state), sightings));
+    tasks.spawn_local(members::apply_sightings(Rc::clone(&state), sightings));
     tasks.spawn_local(members::run(Rc::clone(&state), ports.members));
     for feed in [Feed::Configuration, Feed::Targets] {
         tasks.spawn_local(feed_reader::run(Rc::clone(&state), Rc::clone(&source), feed));
     }
-    tasks.spawn_local(follow::run(Rc::clone(&state)));
+    tasks.spawn_local(peer_sync::run(Rc::clone(&state)));
     tasks.spawn_local(watch_suspensions(Rc::clone(&state)));
     let publisher = Rc::clone(&state);
-    tasks.spawn_local(async move { publisher.publish_members().await });
+    tasks.spawn_local(async move { publisher.publish_member_changes().await });
     let metrics = Rc::new(metrics);
     tasks.spawn_local(relay::serve(Rc::clone(&state), ports.relay, Rc::clone(&metrics)));
     if let Some(listener) = ports.metrics {
@@ -75,7 +75,7 @@
     ));
     tasks.spawn_local(directory::serve(Rc::clone(&state), adapter, ports.directory));
     let signals = ports.signals;
-    tasks.spawn_local(stop::reload(Rc::clone(&state), file, signals.hangup));
+    tasks.spawn_local(stop::reload_settings(Rc::clone(&state), file, signals.hangup));
     tokio::select! {
         () = stop::stop_on_signal(state, signals.terminate, signals.interrupt) => {}
         () = tasks.watch() => {}
@@ -84,10 +84,10 @@
 
 /// Ends the waits that are over when the machine goes on after a suspension, and tells the log.
 async fn watch_suspensions(state: Rc<ControlState>) {
-    let ahead = || boot_time().saturating_sub(awake_time());
-    let noted = |slept: Duration| {
+    let suspended_time = || boot_time().saturating_sub(awake_time());
+    let log_suspension = |slept: Duration| {
         let slept_ms = slept.as_millis() as u64;
         state.log.write(state.now(), &Line::Suspended { slept_ms });
     };
-    timer::watch_suspensions(ahead, noted).await;
+    timer::watch_suspensions(suspended_time, log_suspension).await;
 }
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -1,6 +1,6 @@
 //! Telling other nodes what the source told this one; and metrics.
 
-use super::http_port::{self, PortAnswer};
+use super::http_port::{self, PortResponse};
 use super::state::ControlState;
 use crate::metrics::Metrics;
 use barleyspool_core::{
@@ -19,54 +19,63 @@
 /// Where metrics are read.
 const METRICS_PATH: &str = "/metrics";
 /// Where other nodes read what this one knows.
-const KNOWN_PATH: &str = "/known";
+const RELAY_PATH: &str = "/known";
 
 /// What one node tells another of a configuration or of a list of targets.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Part<W, C> {
+pub enum FeedUpdate<Document, Change> {
     /// The asking node has the same, or something newer.
-    Same,
+    #[serde(rename = "Same")]
+    Unchanged,
     /// What has changed since.
-    Changes(Vec<C>),
+    Changes(Vec<Change>),
     /// The whole.
-    Whole(W),
+    #[serde(rename = "Whole")]
+    Full(Document),
     /// What has changed since is not known any more, and the whole was not asked for.
-    Unknown,
+    #[serde(rename = "Unknown")]
+    HistoryGone,
     /// What has changed since is not known any more, and as many others as this node's link bears are taking the whole.
     Busy,
 }
 
 /// What one node knows, for another.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct RelayAnswer {
     /// The configuration.
-    pub configuration: Part<CatalogDocument, CatalogChange>,
+    pub configuration: FeedUpdate<CatalogDocument, CatalogChange>,
     /// The zones that are evacuated.
     pub evacuations: Evacuations,
     /// The revision of the list of targets.
-    pub at: Revision,
+    #[serde(rename = "at")]
+    pub targets_revision: Revision,
     /// The list; as a whole it is a [`PackedList`].
-    pub targets: Part<ByteBuf, TargetChange>,
+    pub targets: FeedUpdate<ByteBuf, TargetChange>,
     /// Entries of the list that are missing at the source and may come back.
     #[serde(rename = "lapsing")]
     pub expiring: ExpiringEntries,
 }
 
 /// The question for what is newer than `held`; `whole` when the configuration may come as a whole.
-pub fn known_query(held: HeldRevisions, whole: bool) -> String {
-    format!("{KNOWN_PATH}?{},{},{}", held.version, held.list, u8::from(whole))
+pub fn relay_path(held: HeldRevisions, accepts_full: bool) -> String {
+    format!(
+        "{RELAY_PATH}?{},{},{}",
+        held.version,
+        held.list,
+        u8::from(accepts_full)
+    )
 }
 
 /// Serves other nodes and readers of metrics until the process ends.
 pub async fn serve(state: Rc<ControlState>, listener: TcpListener, metrics: Rc<Metrics>) {
-    http_port::serve(listener, move |request| answer(&state, &metrics, request)).await;
+    http_port::serve(listener, move |request| handle_request(&state, &metrics, request)).await;
 }
 
-fn answer(state: &Rc<ControlState>, metrics: &Metrics, request: &Request<Incoming>) -> PortAnswer {
+fn handle_request(state: &Rc<ControlState>, metrics: &Metrics, request: &Request<Incoming>) -> PortResponse {
     let mut transfer = None;
     let body = match request.uri().path() {
         METRICS_PATH => metrics.text(),
-        KNOWN_PATH => known(state, request.uri().query().unwrap_or_default(), &mut transfer),
+        RELAY_PATH => encode_answer(state, request.uri().query().unwrap_or_default(), &mut transfer),
         _ => Vec::new(),
     };
     let found = !body.is_empty();
@@ -75,72 +84,74 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
     }
     let state = Rc::clone(state);
-    let closed = transfer
+    let on_close = transfer
         .map(|key| Box::new(move || state.list_transfers.borrow_mut().finish(key)) as Box<dyn FnOnce()>);
-    PortAnswer { response, closed }
+    PortResponse { response, on_close }
 }
 
-/// What this node knows beyond what the query names; see [`known_query`]. `transfer` is set when that is a whole list.
-fn known(state: &ControlState, query: &str, transfer: &mut Option<TransferKey>) -> Vec<u8> {
+/// What this node knows beyond what the query names; see [`relay_path`]. `transfer` is set when that is a whole list.
+fn encode_answer(state: &ControlState, query: &str, transfer: &mut Option<TransferKey>) -> Vec<u8> {
     // What cannot be read counts as nothing known, and is answered with everything.
-    let mut have = query.split(',').map(|text| text.parse().unwrap_or(0));
+    let mut fields = query.split(',').map(|text| text.parse().unwrap_or(0));
     let held = HeldRevisions {
-        version: Revision(have.next().unwrap_or(0)),
-        list: Revision(have.next().unwrap_or(0)),
+        version: Revision(fields.next().unwrap_or(0)),
+        list: Revision(fields.next().unwrap_or(0)),
         // They are told in any case.
         evacuations: Revision(0),
     };
-    let whole = have.next() == Some(1);
-    let known = Known {
-        configuration: configuration(state, held, whole),
+    let accepts_full = fields.next() == Some(1);
+    let answer = RelayAnswer {
+        configuration: configuration_update(state, held, accepts_full),
         evacuations: state.evacuations.borrow().clone(),
-        at: state.targets.borrow().at,
-        targets: targets(state, held, transfer),
+        targets_revision: state.targets.borrow().at,
+        targets: targets_update(state, held, transfer),
         expiring: state.targets.borrow().expiring(state.now()),
     };
-    rmp_serde::to_vec(&known).unwrap_or_default()
+    rmp_serde::to_vec(&answer).unwrap_or_default()
 }
 
-fn configuration(
+fn configuration_update(
     state: &ControlState,
     held: HeldRevisions,
-    whole: bool,
-) -> Part<CatalogDocument, CatalogChange> {
+    accepts_full: bool,
+) -> FeedUpdate<CatalogDocument, CatalogChange> {
     let catalogs = state.catalogs.borrow();
     let newer = catalogs
         .catalog
         .as_ref()
         .filter(|catalog| catalog.version() > held.version);
-    let Some(catalog) = newer else { return Part::Same };
+    let Some(catalog) = newer else {
+        return FeedUpdate::Unchanged;
+    };
     match catalogs.changes_since(held.version) {
-        Some(changes) => Part::Changes(changes),
-        None if whole => Part::Whole(catalog.document.clone()),
-        None => Part::Unknown,
+        Some(changes) => FeedUpdate::Changes(changes),
+        None if accepts_full => FeedUpdate::Full(catalog.document.clone()),
+        None => FeedUpdate::HistoryGone,
     }
 }
 
-fn targets(
+fn targets_update(
     state: &ControlState,
     held: HeldRevisions,
     transfer: &mut Option<TransferKey>,
-) -> Part<ByteBuf, TargetChange> {
+) -> FeedUpdate<ByteBuf, TargetChange> {
     let targets = state.targets.borrow();
-    if !state.targets_known.get() || targets.at <= held.list {
-        return Part::Same;
+    if !state.has_target_list.get() || targets.at <= held.list {
+        return FeedUpdate::Unchanged;
     }
     if let Some(changes) = targets.changes_since(held.list) {
-        return Part::Changes(changes);
+        return FeedUpdate::Changes(changes);
     }
     *transfer = state.list_transfers.borrow_mut().admit(state.now());
-    let list = transfer.and_then(|_| packed(state));
-    list.map_or(Part::Busy, Part::Whole)
+    let list = transfer.and_then(|_| encode_packed_list(state));
+    list.map_or(FeedUpdate::Busy, FeedUpdate::Full)
 }
 
 /// The whole list, packed once for all who take it at one revision; `None` when it cannot be.
-fn packed(state: &ControlState) -> Option<ByteBuf> {
+fn encode_packed_list(state: &ControlState) -> Option<ByteBuf> {
     let targets = state.targets.borrow();
-    let mut packed = state.packed.borrow_mut();
-    if let Some((at, bytes)) = &*packed
+    let mut cached = state.packed_list.borrow_mut();
+    if let Some((at, bytes)) = &*cached
         && *at == targets.at
     {
         return Some(bytes.clone());
@@ -149,11 +160,11 @@
     match rmp_serde::to_vec(&list) {
         Ok(bytes) => {
             let bytes = ByteBuf::from(bytes);
-            *packed = Some((targets.at, bytes.clone()));
+            *cached = Some((targets.at, bytes.clone()));
             Some(bytes)
         }
         Err(cause) => {
-            state.skipped("targets", &cause.to_string());
+            state.log_skipped_item("targets", &cause.to_string());
             None
         }
     }
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -13,47 +13,47 @@
     /// Takes a configuration that `from` offers.
     ///
     /// Returns whether it is in force now.
-    pub fn offer(&self, document: CatalogDocument, from: Origin) -> bool {
+    pub fn offer_configuration(&self, document: CatalogDocument, origin: Origin) -> bool {
         let version = document.version;
-        self.take_configuration(version, from, |catalogs| catalogs.offer(document))
+        self.apply_configuration(version, origin, |catalogs| catalogs.offer(document))
     }
 
     /// Takes what another node says has changed in the configuration.
     ///
     /// Returns whether a newer one is in force now.
-    pub fn offer_changes(&self, changes: Vec<CatalogChange>, from: Origin) -> bool {
+    pub fn offer_configuration_changes(&self, changes: Vec<CatalogChange>, origin: Origin) -> bool {
         let version = changes.last().map(CatalogChange::version).unwrap_or_default();
-        self.take_configuration(version, from, |catalogs| catalogs.apply(changes))
+        self.apply_configuration(version, origin, |catalogs| catalogs.apply(changes))
     }
 
-    fn take_configuration(
+    fn apply_configuration(
         &self,
         version: Revision,
-        from: Origin,
-        take: impl FnOnce(&mut CatalogStore) -> OfferResult,
+        origin: Origin,
+        apply: impl FnOnce(&mut CatalogStore) -> OfferResult,
     ) -> bool {
         let before = self.catalogs.borrow().version().0;
-        let offered = take(&mut self.catalogs.borrow_mut());
-        let accepted = offered == OfferResult::Accepted;
-        let (version, from_name) = (version.0, from.name());
-        match offered {
+        let result = apply(&mut self.catalogs.borrow_mut());
+        let accepted = result == OfferResult::Accepted;
+        let (version, origin_name) = (version.0, origin.name());
+        match result {
             OfferResult::Accepted => {
                 let line = Line::Configuration {
                     version,
                     before,
-                    from: from_name,
+                    from: origin_name,
                 };
                 self.log.write(self.now(), &line);
-                self.publish();
-                self.source_moved(from == Origin::Source);
+                self.publish_plan();
+                self.source_state_changed(origin == Origin::Source);
             }
             OfferResult::Outdated => {}
-            OfferResult::Invalid(faults) => {
-                let cause = faults.first().map(ToString::to_string).unwrap_or_default();
+            OfferResult::Invalid(errors) => {
+                let cause = errors.first().map(ToString::to_string).unwrap_or_default();
                 let line = Line::ConfigurationRefused {
                     version,
                     cause: &cause,
-                    from: from_name,
+                    from: origin_name,
                 };
                 self.log.write(self.now(), &line);
             }
@@ -62,28 +62,28 @@
     }
 
     /// Takes a whole list of targets. Returns whether it is another one than before.
-    pub fn replace_targets(&self, at: Revision, table: TargetTable, from: Origin) -> bool {
-        let first = !self.targets_known.replace(true);
-        self.notice_era(at, from);
+    pub fn replace_targets(&self, at: Revision, table: TargetTable, origin: Origin) -> bool {
+        let is_first = !self.has_target_list.replace(true);
+        self.log_era_change(at, origin);
         let changed = self.targets.borrow_mut().replace(self.now(), at, table);
-        if changed || first {
-            self.targets_changed(from);
+        if changed || is_first {
+            self.targets_changed(origin);
         }
         changed
     }
 
     /// Takes changes of the list of targets. Returns whether it is another one than before.
-    pub fn apply_targets(&self, at: Revision, changes: Vec<TargetChange>, from: Origin) -> bool {
-        self.notice_era(at, from);
+    pub fn apply_targets(&self, at: Revision, changes: Vec<TargetChange>, origin: Origin) -> bool {
+        self.log_era_change(at, origin);
         let changed = self.targets.borrow_mut().apply(self.now(), at, changes);
         if changed {
-            self.targets_changed(from);
+            self.targets_changed(origin);
         }
         changed
     }
 
     /// Logs that the list of targets is about to stand at a revision of a later era.
-    fn notice_era(&self, at: Revision, from: Origin) {
+    fn log_era_change(&self, at: Revision, origin: Origin) {
         let before = self.targets.borrow().at;
         if before == Revision(0) || at.era() <= before.era() {
             return;
@@ -92,7 +92,7 @@
             era: at.era(),
             at: at.number(),
             before: before.number(),
-            from: from.name(),
+            from: origin.name(),
         };
         self.log.write(self.now(), &line);
     }
@@ -104,22 +104,22 @@
     }
 
     /// Takes the zones that were evacuated at revision `at`.
-    pub fn replace_evacuations(&self, at: Revision, zones: BTreeSet<String>, from: Origin) {
+    pub fn replace_evacuations(&self, at: Revision, zones: BTreeSet<String>, origin: Origin) {
         let changed = self.evacuations.borrow_mut().replace(self.now(), at, zones);
         if changed {
-            self.evacuations_changed(from);
+            self.evacuations_changed(origin);
         }
     }
 
     /// Takes the zones that another node knows to be evacuated.
-    pub fn take_evacuations(&self, evacuations: Evacuations, from: Origin) {
+    pub fn merge_evacuations(&self, evacuations: Evacuations, origin: Origin) {
         let changed = self.evacuations.borrow_mut().merge(self.now(), evacuations);
         if changed {
-            self.evacuations_changed(from);
+            self.evacuations_changed(origin);
         }
     }
 
-    fn evacuations_changed(&self, from: Origin) {
+    fn evacuations_changed(&self, origin: Origin) {
         let (zones, at) = {
             let evacuations = self.evacuations.borrow();
             (evacuations.zones.clone(), evacuations.at)
@@ -127,19 +127,19 @@
         let line = Line::Evacuated {
             zones: &zones.iter().map(String::as_str).collect::<Vec<_>>().join(","),
             at: at.number(),
-            from: from.name(),
+            from: origin.name(),
         };
         self.log.write(self.now(), &line);
         let changed = self.targets.borrow_mut().apply_evacuations(self.now(), &zones);
         if changed {
-            self.targets_changed(from);
+            self.targets_changed(origin);
         } else {
-            self.source_moved(from == Origin::Source);
+            self.source_state_changed(origin == Origin::Source);
         }
     }
 
     /// Takes changes that the source told.
-    pub fn take_changes(&self, feed: Feed, at: Revision, changes: Vec<SourceChange>) {
+    pub fn apply_source_changes(&self, feed: Feed, at: Revision, changes: Vec<SourceChange>) {
         let mut targets = Vec::new();
         let mut evacuations = Vec::new();
         let mut configurations = Vec::new();
@@ -150,10 +150,10 @@
                 SourceChange::Target(entry) => targets.push(TargetChange::Put(entry)),
                 SourceChange::TargetGone(id) => targets.push(TargetChange::Gone(id)),
                 SourceChange::TargetUnreadable { id, key, cause } => {
-                    self.unreadable(&id, &key, &cause);
+                    self.log_unreadable_target(&id, &key, &cause);
                     targets.push(TargetChange::Put(TargetEntry::unreadable(&id)));
                 }
-                SourceChange::Malformed { key, cause } => self.skipped(&key, &cause),
+                SourceChange::Malformed { key, cause } => self.log_skipped_item(&key, &cause),
             }
         }
         // The revision of one feed says nothing of how far the other was heard.
@@ -167,7 +167,7 @@
                     self.evacuations_changed(Origin::Source);
                 }
                 for document in configurations {
-                    self.offer(*document, Origin::Source);
+                    self.offer_configuration(*document, Origin::Source);
                 }
             }
         }
@@ -185,30 +185,33 @@
     }
 
     /// Runs of targets have said in answers that they leave.
-    pub fn note_leaving(&self, runs: &[IncarnationId]) {
+    pub fn note_leaving(&self, incarnations: &[IncarnationId]) {
         let now = self.now();
         let mut targets = self.targets.borrow_mut();
-        let noted = runs.iter().filter(|run| targets.note_leaving(now, **run)).count();
+        let changed_count = incarnations
+            .iter()
+            .filter(|incarnation| targets.note_leaving(now, **incarnation))
+            .count();
         drop(targets);
-        if noted > 0 {
+        if changed_count > 0 {
             self.targets_changed(Origin::Answers);
         }
     }
 
     /// An item of the source cannot be read.
-    pub fn skipped(&self, key: &str, cause: &str) {
+    pub fn log_skipped_item(&self, key: &str, cause: &str) {
         self.log.write(self.now(), &Line::ItemSkipped { key, cause });
     }
 
     /// The entry of a target cannot be read: told once, until it can be read again.
-    pub fn unreadable(&self, id: &str, key: &str, cause: &str) {
-        let known = |entry: &TargetEntry| entry.unreadable;
-        if !self.targets.borrow().table.get(id).is_some_and(known) {
-            self.skipped(key, cause);
+    pub fn log_unreadable_target(&self, id: &str, key: &str, cause: &str) {
+        let already_logged = |entry: &TargetEntry| entry.unreadable;
+        if !self.targets.borrow().table.get(id).is_some_and(already_logged) {
+            self.log_skipped_item(key, cause);
         }
     }
 
-    fn targets_changed(&self, from: Origin) {
+    fn targets_changed(&self, origin: Origin) {
         let (counts, at) = {
             let store = self.targets.borrow();
             (TargetCounts::of(&store.table), store.at.number())
@@ -221,10 +224,10 @@
             restarted: counts.restarted,
             doubted: counts.unverified,
             at,
-            from: from.name(),
+            from: origin.name(),
         };
         self.log.write(self.now(), &line);
-        self.publish();
-        self.source_moved(from == Origin::Source);
+        self.publish_plan();
+        self.source_state_changed(origin == Origin::Source);
     }
 }
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -1,6 +1,6 @@
 //! What the control thread knows, and how it becomes a plan.
 
-use super::reading::Reading;
+use super::source_access::SourceAccess;
 use crate::event_log::{EventLog, Line};
 use crate::shared::Shared;
 use barleyspool_core::{
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 /// How long changes of members are gathered for one plan.
-const GATHER: Duration = Duration::from_millis(20);
+const MEMBER_CHANGE_DELAY: Duration = Duration::from_millis(20);
 
 /// From whom something came.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     /// The list of targets.
     pub targets: RefCell<TargetStore>,
     /// Whether the list was ever read whole.
-    pub targets_known: Cell<bool>,
+    pub has_target_list: Cell<bool>,
     /// The other nodes.
     pub membership: RefCell<Membership>,
     /// Messages to other nodes that wait to be sent.
@@ -66,13 +66,13 @@
     /// Tells that members have changed since the last plan.
     members_changed: Notify,
     /// What this node does at the source.
-    pub reading: Reading,
+    pub source_access: SourceAccess,
     /// The list as it is handed out whole, and the revision at which it stands.
-    pub packed: RefCell<Option<(Revision, ByteBuf)>>,
+    pub packed_list: RefCell<Option<(Revision, ByteBuf)>>,
     /// Whole lists that other nodes are taking from this one.
     pub list_transfers: RefCell<ListTransfers>,
     /// Whether the nodes that are known are likely to be all there are.
-    pub settled: Cell<bool>,
+    pub converged: Cell<bool>,
     /// When the last answers of a planned stop are given; `None` while no stop was asked for.
     pub abort_at: Cell<Option<Time>>,
 }
@@ -99,7 +99,7 @@
             seed: rand::random(),
             ..MembershipSettings::default()
         });
-        let reading = Reading::new(shared.clock.now(), shared.settings.is_seed());
+        let source_access = SourceAccess::new(shared.clock.now(), shared.settings.is_seed());
         let list_transfers = ListTransfers::new(shared.settings.link());
         Self {
             shared,
@@ -107,15 +107,15 @@
             catalogs: RefCell::default(),
             evacuations: RefCell::default(),
             targets: RefCell::default(),
-            targets_known: Cell::new(false),
+            has_target_list: Cell::new(false),
             membership: RefCell::new(membership),
             outbox: RefCell::default(),
             outbox_filled: Notify::new(),
             members_changed: Notify::new(),
-            reading,
-            packed: RefCell::default(),
+            source_access,
+            packed_list: RefCell::default(),
             list_transfers: RefCell::new(list_transfers),
-            settled: Cell::new(false),
+            converged: Cell::new(false),
             abort_at: Cell::new(None),
         }
     }
@@ -126,13 +126,13 @@
     }
 
     /// Whether a planned stop is under way.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.abort_at.get().is_some()
     }
 
     /// Whether this node takes calls.
-    pub fn ready(&self) -> bool {
-        !self.stopping() && self.catalogs.borrow().catalog.is_some() && self.targets_known.get()
+    pub fn is_ready(&self) -> bool {
+        !self.is_stopping() && self.catalogs.borrow().catalog.is_some() && self.has_target_list.get()
     }
 
     // ------------------------------------------------------------------------
@@ -142,12 +142,12 @@
     pub fn step_members(&self, event: MemberEvent) {
         let now = self.now();
         let actions = self.membership.borrow_mut().step(now, event);
-        let settled = self.membership.borrow().converged(now);
-        let mut changed = self.settled.replace(settled) != settled;
-        if changed && settled {
+        let converged = self.membership.borrow().converged(now);
+        let mut changed = self.converged.replace(converged) != converged;
+        if changed && converged {
             self.log_members(now);
         }
-        self.count_updates();
+        self.publish_update_counts();
         if actions.is_empty() && !changed {
             return;
         }
@@ -155,9 +155,9 @@
         for action in actions {
             match action {
                 MemberAction::Send { .. } => self.outbox.borrow_mut().push(action),
-                MemberAction::SourceReported { source, reads } => self.source_reported(source, reads),
-                MemberAction::BlockedCallsChanged => self.publish_refused(now),
-                MemberAction::TargetLeaves { incarnation: run } => leaving.push(run),
+                MemberAction::SourceReported { source, reads } => self.handle_source_report(source, reads),
+                MemberAction::BlockedCallsChanged => self.publish_blocked_calls(now),
+                MemberAction::TargetLeaves { incarnation } => leaving.push(incarnation),
                 MemberAction::ReachabilityChanged => changed = true,
                 MemberAction::LimitsChanged => {
                     changed = true;
@@ -170,7 +170,7 @@
                     evidence,
                 } => {
                     changed = true;
-                    if !settled && health == MemberHealth::Alive {
+                    if !converged && health == MemberHealth::Alive {
                         // One line a node and member of a fleet that starts: `Line::Members` counts them.
                         continue;
                     }
@@ -202,17 +202,17 @@
     }
 
     /// Hands the calls that get no target to the traffic thread.
-    fn publish_refused(&self, now: Time) {
-        let refused = self.membership.borrow().crashes().blocked(now);
+    fn publish_blocked_calls(&self, now: Time) {
+        let blocked = self.membership.borrow().crashes().blocked(now);
         let line = Line::CallsRefused {
-            calls: refused.count(now),
+            calls: blocked.count(now),
             known: self.membership.borrow().crashes().len(),
         };
         self.log.write(now, &line);
-        self.shared.refused.store(Arc::new(refused));
+        self.shared.refused.store(Arc::new(blocked));
     }
 
-    fn count_updates(&self) {
+    fn publish_update_counts(&self) {
         let counts = self.membership.borrow().counts();
         self.shared
             .updates_waiting
@@ -222,13 +222,13 @@
             .store(counts.outdated_suspicions, Ordering::Relaxed);
     }
 
-    /// Makes a plan after members have changed, at most one every [`GATHER`]: when a fleet starts, hundreds of
+    /// Makes a plan after members have changed, at most one every [`MEMBER_CHANGE_DELAY`]: when a fleet starts, hundreds of
     /// changes come within a second.
-    pub async fn publish_members(&self) {
+    pub async fn publish_member_changes(&self) {
         loop {
             self.members_changed.notified().await;
-            tokio::time::sleep(GATHER).await;
-            self.publish();
+            tokio::time::sleep(MEMBER_CHANGE_DELAY).await;
+            self.publish_plan();
         }
     }
 
@@ -236,17 +236,17 @@
     // The plan
 
     /// Hands everything to the traffic thread.
-    pub fn publish(&self) {
+    pub fn publish_plan(&self) {
         // Before the others hear that this node serves, so that they hear with it what it has.
         self.step_members(MemberEvent::Source(self.source_state()));
-        self.step_members(MemberEvent::Serving(self.ready()));
-        self.set_role();
-        let plan = self.plan();
+        self.step_members(MemberEvent::Serving(self.is_ready()));
+        self.update_source_role();
+        let plan = self.build_plan();
         self.shared.plan.store(Arc::new(plan));
         self.shared.plan_changed.send_modify(|count| *count += 1);
     }
 
-    fn plan(&self) -> ForwardPlan {
+    fn build_plan(&self) -> ForwardPlan {
         let membership = self.membership.borrow();
         let view = |facts: &MemberFacts| MemberView {
             key: rendezvous::text_key(&facts.address) as u64,
@@ -258,14 +258,14 @@
         ForwardPlan {
             created_at: self.now(),
             catalog: self.catalogs.borrow().catalog.clone(),
-            listed: self.targets_known.get(),
+            listed: self.has_target_list.get(),
             zones: Arc::clone(&self.targets.borrow().zones),
             restarts: Arc::clone(&self.targets.borrow().restarts),
             services: Arc::clone(&self.targets.borrow().services),
             targets: Arc::clone(&self.targets.borrow().table),
             members: Arc::new(members),
-            me: self.key(),
-            converged: self.settled.get(),
+            me: self.own_key(),
+            converged: self.converged.get(),
             reachability: membership.reachability(self.now()),
             limits: Arc::new(membership.limits().clone()),
             abort_at: self.abort_at.get(),
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -12,19 +12,19 @@
 use tokio::signal::unix::Signal;
 
 /// How often the settings file is looked at; one call to the operating system each time.
-const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 /// How often a stopping node looks whether anything is left to do; what a stop may take longer than it has to.
-const LOOK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// When a file was written; `None` while it is not there, as when it is being replaced.
-fn written_at(file: &Path) -> Option<SystemTime> {
+fn modified_at(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|file| file.modified()).ok()
 }
 
 /// Waits for SIGTERM or SIGINT, then stops in order, phase by phase ([`StopPhase`]), and ends the process.
 pub async fn stop_on_signal(state: Rc<ControlState>, mut terminate: Signal, mut interrupt: Signal) {
     Signals::stop(&mut terminate, &mut interrupt).await;
-    let mut stop = begin(&state);
+    let mut stop = begin_stop(&state);
     let shared = &state.shared;
     loop {
         if shared.listener_closed.load(Ordering::Acquire) {
@@ -37,8 +37,8 @@
         }
         shared
             .stop
-            .send_if_modified(|last| std::mem::replace(last, phase) != phase);
-        tokio::time::sleep(LOOK).await;
+            .send_if_modified(|current| std::mem::replace(current, phase) != phase);
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     let line = Line::Stopped {
         cut: shared.in_flight.load(Ordering::Relaxed),
@@ -50,7 +50,7 @@
 }
 
 /// Takes this node out of all answers, and tells the traffic thread.
-fn begin(state: &ControlState) -> PlannedStop {
+fn begin_stop(state: &ControlState) -> PlannedStop {
     let settings = &state.shared.settings;
     let accept = Span::from_millis(settings.stop_accept_ms);
     let end = Span::from_millis(settings.stop_end_ms);
@@ -61,25 +61,25 @@
     state.log.write(state.now(), &line);
     state.abort_at.set(Some(stop.abort_at()));
     state.step_members(MemberEvent::Leave);
-    state.publish();
+    state.publish_plan();
     stop
 }
 
 /// Reads the settings again on SIGHUP, and when their file has changed without one. Seeds come into force; whatever
 /// else changed waits for a restart. A bad file is refused whole.
-pub async fn reload(state: Rc<ControlState>, file: PathBuf, mut hangup: Signal) {
-    let mut read_at = written_at(&file);
+pub async fn reload_settings(state: Rc<ControlState>, file: PathBuf, mut hangup: Signal) {
+    let mut last_modified = modified_at(&file);
     loop {
         tokio::select! {
             signal = hangup.recv() => if signal.is_none() { return },
-            () = tokio::time::sleep(SETTINGS_LOOK) => {
-                let now = written_at(&file);
-                if now.is_none() || now == read_at {
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => {
+                let modified = modified_at(&file);
+                if modified.is_none() || modified == last_modified {
                     continue;
                 }
             }
         }
-        read_at = written_at(&file);
+        last_modified = modified_at(&file);
         let loaded = GatewaySettings::load(&file);
         let cause = loaded.as_ref().err().map(ToString::to_string).unwrap_or_default();
         let line = Line::Reloaded {
