--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -1,4 +1,4 @@
-//! Answering whether this node is ready, and which addresses to use.
+//! Serves readiness checks and the addresses of nodes that accept calls.
 
 use super::http_port;
 use super::state::ControlState;
@@ -13,16 +13,17 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// The most addresses that one answer names.
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 16;
-/// For so long after its start a node may know few of those that serve.
+/// Time after the start of a node during which it may know only few of the serving nodes.
 const STARTUP_PERIOD: Span = Span::from_secs(3);
-/// How long callers may keep the addresses that it names: all callers of a fleet that starts would go on with the first nodes that serve.
+/// How long callers may cache addresses from a node within [`STARTUP_PERIOD`]. With the normal TTL, all
+/// callers of a starting fleet would keep using the first nodes that serve.
 const STARTUP_ADDRESS_TTL: Span = Span::from_millis(300);
-/// A zone's own nodes are named alone when there are at least this many of them.
+/// Number of serving nodes in the caller's zone from which only those are returned.
 const MIN_ZONE_NODES: usize = 2;
 
-/// Serves one of the two ports until the process ends.
+/// Serves the readiness port or the directory port until the process ends.
 pub async fn serve(state: Rc<ControlState>, adapter: Rc<DirectoryAdapter>, listener: TcpListener) {
     http_port::serve(listener, move |request| {
         handle_request(&state, &adapter, request).into()
@@ -59,7 +60,7 @@
     response
 }
 
-/// How long callers may keep the addresses.
+/// How long callers may cache the addresses.
 fn address_ttl(state: &ControlState) -> Span {
     let ttl = state.shared.settings.address_keep();
     let age = state.now().since(state.shared.clock.started());
@@ -76,7 +77,8 @@
     response
 }
 
-/// The addresses for a caller in `zone`: its own zone's nodes when there are enough of them, else all.
+/// Addresses for a caller in `zone`: nodes of that zone if there are at least [`MIN_ZONE_NODES`], otherwise
+/// nodes of all zones.
 fn select_addresses(state: &ControlState, zone: &str) -> Vec<String> {
     let serving = state.membership.borrow().serving();
     let same_zone: Vec<String> = serving
--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -1,4 +1,5 @@
-//! Following one feed of the source: read whole, then watch; again after an error or a gap.
+//! Follows one feed of the source: a full read, then watches for changes. An error is retried, and lost
+//! history leads to another full read.
 
 use super::state::{ControlState, Origin};
 use crate::adapters::{Feed, Source, SourceChange, SourceError};
@@ -12,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a read may take: an answer of a slow source takes some 250 ms, and a silent one is asked again.
+/// Timeout of a read. A slow source takes about 250 ms to respond; a read without a response is retried.
 const READ_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The least time between a change of the list of targets and the next watch of it. Targets come and go many
-/// at a time, and each answer of a watch is a call: what changes meanwhile comes with one answer.
+/// Delay between a response of the targets feed and the next watch. Many targets appear and disappear at
+/// once, and each response to a watch costs a call: all changes during the delay arrive in one response.
 const TARGET_WATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// Follows a feed until the process ends.
@@ -51,7 +52,7 @@
     }
 }
 
-/// A wait of `longest` at the most, so that nodes do not come back together.
+/// A random delay between half of `max_delay` and `max_delay`, so that nodes do not retry at the same time.
 fn with_jitter(max_delay: Span) -> Span {
     Span(rand::rng().random_range(max_delay.0 / 2..=max_delay.0))
 }
@@ -67,12 +68,13 @@
     let needed_full_read = state.source_access.needs_full_read(feed);
     loop {
         if needed_full_read && !state.source_access.needs_full_read(feed) {
-            // Another node's list came meanwhile.
+            // Another node has delivered the feed in the meantime.
             return Err(SourceError::Overtaken);
         }
         state.shared.count_source_call();
         let page = with_timeout(READ_TIMEOUT, source.read(feed, from)).await?;
-        // Pages are no snapshot: what changes while they are read is told by the watch from the first one on.
+        // The pages are not a consistent snapshot. The watch starts at the revision of the first page, so it
+        // delivers the changes that were made while the pages were read.
         let at = *first_revision.get_or_insert(page.at);
         if page.at.era() != at.era() {
             return Err(SourceError::WentBack);
@@ -89,7 +91,7 @@
     }
 }
 
-/// What a whole read of a feed has told so far.
+/// The items of a full read of a feed.
 #[derive(Default)]
 struct FeedSnapshot {
     targets: TargetTable,
@@ -126,7 +128,7 @@
                 state.replace_targets(at, self.targets, Origin::Source);
             }
             Feed::Configuration => {
-                // Before the configuration, with which a node takes its first call.
+                // Applied before the configuration, with which the node starts to accept calls.
                 state.replace_evacuations(at, self.evacuated, Origin::Source);
                 if let Some(document) = self.configuration {
                     state.offer_configuration(*document, Origin::Source);
@@ -147,7 +149,7 @@
     state.shared.count_source_call();
     let changes = with_timeout(timeout, source.watch(feed, since, wait)).await?;
     if changes.at.era() != since.era() {
-        // Its changes follow another revision of that number.
+        // In another era the number of `since` denotes a different state, so the changes do not apply to it.
         return Err(SourceError::WentBack);
     }
     state.apply_source_changes(feed, changes.at, changes.changes);
--- a/crates/barleyspool_gateway/src/control/http_port.rs
+++ b/crates/barleyspool_gateway/src/control/http_port.rs
@@ -1,4 +1,5 @@
-//! A port of the control thread that answers each HTTP request at once, from what the thread knows.
+//! A minimal HTTP server for the ports of the control thread. Each response is built synchronously from the
+//! state of the thread.
 
 use barleyspool_wire::net;
 use bytes::Bytes;
@@ -14,16 +15,16 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// How long a connection may rest.
+/// Timeout for the header of the next request on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The pause after a connection that could not be accepted, for want of descriptors for example.
+/// Delay after a connection could not be accepted, for example because file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// An answer, and what is done when its connection ends.
+/// A response, and a callback for the end of its connection.
 pub struct PortResponse {
-    /// The answer.
+    /// The response.
     pub response: Response<Full<Bytes>>,
-    /// Called when the caller has closed the connection, as it does once it has the whole answer.
+    /// Called when the connection has ended. Clients close it once they have received the whole response.
     pub on_close: Option<Box<dyn FnOnce()>>,
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// Answers requests until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve(listener: TcpListener, handle: impl Fn(&Request<Incoming>) -> PortResponse + 'static) {
     let handle = Rc::new(handle);
     loop {
@@ -52,7 +53,7 @@
                 close_callbacks.borrow_mut().extend(on_close);
                 async { Ok::<_, Infallible>(response) }
             });
-            // A caller that goes away in the middle is no matter of ours.
+            // A client that disconnects early is not an error of this node.
             let _ = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(IDLE_TIMEOUT)
--- a/crates/barleyspool_gateway/src/control/members.rs
+++ b/crates/barleyspool_gateway/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Probes and updates of other nodes, by UDP.
+//! Membership messages between nodes, over UDP.
 
 use super::state::ControlState;
 use crate::shared::Sighting;
@@ -11,14 +11,15 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// The largest datagram that is read.
+/// Size of the receive buffer; longer datagrams are truncated.
 const MAX_DATAGRAM: usize = 16 * 1024;
 
-/// Datagrams that are read while a probe is due: what a fleet of 400 may have sent in a pause of a few seconds. After them the probe
-/// goes out, so that a node that cannot keep up with its datagrams is not silent too.
+/// Maximum number of datagrams that are read while a probe is due: as many as a fleet of 400 nodes may have
+/// sent during a pause of a few seconds. After them the probe is sent, so that a node that cannot keep up
+/// with its datagrams does not also appear unresponsive.
 const MAX_CONSECUTIVE_DATAGRAMS: usize = 1024;
 
-/// Runs the membership until the process ends.
+/// Sends and receives membership messages until the process ends.
 pub async fn run(state: Rc<ControlState>, socket: UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     let mut consecutive_datagrams = 0;
@@ -30,11 +31,11 @@
             consecutive_datagrams = 0;
         }
         tokio::select! {
-            // Answers that came while the process was paused go before suspicions.
+            // Acks that arrived while the process was paused are handled before timeouts raise suspicions.
             biased;
             received = socket.recv_from(&mut buffer), if consecutive_datagrams < MAX_CONSECUTIVE_DATAGRAMS => {
                 consecutive_datagrams += 1;
-                // Whatever cannot be received is as good as a lost datagram; probes find out.
+                // A receive error is treated like a lost datagram, which the probes detect.
                 let Ok((length, from)) = received else { continue };
                 handle_datagram(&state, &buffer[..length], from);
             }
@@ -47,7 +48,7 @@
     }
 }
 
-/// Takes what the traffic thread sees of targets, until the process ends.
+/// Applies what the traffic thread observes about targets to the membership state, until the process ends.
 pub async fn apply_sightings(state: Rc<ControlState>, mut sightings: mpsc::UnboundedReceiver<Sighting>) {
     while let Some(sighting) = sightings.recv().await {
         state.step_members(match sighting {
@@ -70,7 +71,7 @@
             let from = from.to_string();
             state.step_members(MemberEvent::Message { from, message });
         }
-        // Counted and not logged: a node of another version sends several a second.
+        // Counted instead of logged: a node of another version may send several of these per second.
         Err(_) => {
             state.shared.datagrams_unreadable.fetch_add(1, Ordering::Relaxed);
         }
@@ -87,7 +88,7 @@
             continue;
         };
         if let Ok(bytes) = rmp_serde::to_vec(&message) {
-            // A datagram that is not sent is as good as a lost one.
+            // A send error is treated like a lost datagram.
             let _ = socket.send_to(&bytes, address).await;
         }
     }
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: what is in force, which targets there are, which nodes serve.
+//! The control thread: tracks the configuration, the target list and the membership of nodes.
 
 mod directory;
 mod feed_reader;
@@ -24,20 +24,20 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 
-/// What the control thread listens on.
+/// Listeners and signals of the control thread.
 #[derive(Debug)]
 pub struct ControlPorts {
-    /// For questions whether this node is ready.
+    /// Serves readiness checks.
     pub ready: TcpListener,
-    /// For callers that ask for addresses.
+    /// Serves callers that request the addresses of nodes.
     pub directory: TcpListener,
-    /// For other nodes that read configuration and targets.
+    /// Serves other nodes that request configuration and target updates.
     pub relay: TcpListener,
-    /// For readers of metrics; `None` when the port was taken.
+    /// Serves metrics; `None` when the port was already in use.
     pub metrics: Option<TcpListener>,
-    /// For probes of other nodes.
+    /// Carries membership messages between nodes.
     pub members: UdpSocket,
-    /// From operators.
+    /// Signals to the process.
     pub signals: Signals,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Ends the waits that are over when the machine goes on after a suspension, and tells the log.
+/// After a suspension of the machine, wakes the timers that expired meanwhile and logs the duration.
 async fn watch_suspensions(state: Rc<ControlState>) {
     let suspended_time = || boot_time().saturating_sub(awake_time());
     let log_suspension = |slept: Duration| {
--- a/crates/barleyspool_gateway/src/control/peer_sync.rs
+++ b/crates/barleyspool_gateway/src/control/peer_sync.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes for what the source told them.
+//! Requests source data (configuration, evacuated zones, targets) from other nodes that have newer data.
 
 use super::relay::{FeedUpdate, RelayAnswer, relay_path};
 use super::state::{ControlState, Origin};
@@ -19,26 +19,29 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How often it is looked whether another node is to be asked, or notified, besides when one reports something newer.
+/// Interval between checks of whether to request data from another node or to announce this node's state. A
+/// report of newer data triggers a check at once.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a question may take.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a node that did not answer is not asked again while another one can be.
+/// How long other nodes are preferred over a node that failed to answer.
 const FAILURE_BACKOFF: Span = Span::from_secs(2);
-/// The least time between two questions: configurations can come ten a second, and each question is a connection and a
-/// request to a node that many others ask too.
+/// Minimum interval between two requests. Configurations can change ten times per second, and each request
+/// costs a connection to a node that receives requests from many others as well.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// The largest answer, in bytes.
+/// Maximum size of an answer.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// How long a node that was busy handing out lists is not asked again while another one can be: a list takes some 0.1 s on a weak link.
+/// How long other nodes are preferred over a node that was busy transferring lists: a list takes about 0.1 s
+/// on a slow link.
 const BUSY_BACKOFF: Span = Span::from_millis(100);
-/// The least time between two questions while those that have the list are busy.
+/// Minimum interval between two requests while the nodes that have the list are busy.
 const BUSY_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Nodes that did not answer or were busy, and until when others are asked before them.
+/// Nodes that failed to answer or were busy, and until when other nodes are preferred over them.
 type AvoidedPeers = HashMap<SocketAddr, Time>;
 
-/// Asks another node whenever one has something newer, and notifies others now and then of how far this one is.
+/// Requests newer data from other nodes, and periodically announces the source state of this node, until the
+/// process ends.
 pub async fn run(state: Rc<ControlState>) {
     let mut avoided = AvoidedPeers::new();
     let mut next_check = CHECK_INTERVAL;
@@ -63,7 +66,8 @@
     }
 }
 
-/// Asks a node and takes what it answers. Returns false when it was too busy to hand out its list.
+/// Requests newer data from a node and applies it. Returns false when the node was too busy to transfer its
+/// list.
 async fn request_and_apply(state: &ControlState, peer: &SocketAddr, avoided: &mut AvoidedPeers) -> bool {
     avoided.retain(|_, until| state.now() < *until);
     let result = request(state, peer).await;
@@ -89,7 +93,8 @@
     }
 }
 
-/// The relay address of the node to ask now, if any has something newer.
+/// Chooses the node to request data from and returns its relay address; `None` if no suitable node has newer
+/// data.
 fn choose_peer(state: &ControlState, avoided: &AvoidedPeers) -> Option<SocketAddr> {
     let held = state.held_revisions();
     let settings = &state.shared.settings;
@@ -97,7 +102,7 @@
         link_mbps: settings.link(),
         waited: state.source_access.behind_for(state.now()),
     };
-    // Differences are small, so they come from anywhere.
+    // A node that has a list normally receives only the changes, which are small enough to cross zones.
     let may_ask_other_zones = state.has_target_list.get() || requester.may_ask_other_zones();
     let membership = state.membership.borrow();
     let is_ahead = |member: &&Member| {
@@ -106,7 +111,7 @@
     };
     let list_holder = |member: &Member| {
         let address: SocketAddr = member.facts.address.parse().ok()?;
-        // All nodes use the same ports.
+        // All nodes use the same relay port.
         let relay_address = SocketAddr::new(address.ip(), settings.relay.port());
         Some(ListHolder {
             address: relay_address,
@@ -122,26 +127,27 @@
     choose_list_holder(holders, &mut rand::rng())
 }
 
-/// Whether a whole configuration is to come from another node. Differences do; the whole is one call and some ten KB at the source, which
-/// is better fit for it while it answers.
+/// Whether this node accepts a full configuration from another node rather than only the changes. It does so
+/// only while the source fails: a full read is one call and about 10 KB, which the source handles better than
+/// another node.
 fn accepts_full_configuration(state: &ControlState) -> bool {
     [Feed::Configuration, Feed::Targets]
         .iter()
         .any(|feed| state.source_access.is_failing(*feed))
 }
 
-/// Why another node did not tell what it knows.
+/// Why a request to another node failed.
 #[derive(Debug, displaydoc::Display)]
 enum RequestError {
-    /// no answer in time
+    /// no answer within the timeout
     TimedOut,
-    /// it cannot be reached: {0}
+    /// cannot connect to the node: {0}
     Unreachable(std::io::Error),
     /// the connection failed: {0}
     ConnectionFailed(hyper::Error),
-    /// the question cannot be written: {0}
+    /// the request is not valid: {0}
     InvalidRequest(hyper::http::Error),
-    /// the answer cannot be read: {0}
+    /// the answer is not valid: {0}
     InvalidResponse(String),
 }
 
@@ -154,7 +160,8 @@
 fn apply_answer(state: &ControlState, answer: RelayAnswer, peer: &SocketAddr) {
     let address = peer.to_string();
     let origin = Origin::Node(&address);
-    // Before what may open a first way to targets of these zones.
+    // Applied before the configuration and the targets, which could otherwise cause calls to be sent to
+    // targets of evacuated zones.
     state.merge_evacuations(answer.evacuations, origin);
     let accepted = match answer.configuration {
         FeedUpdate::Unchanged => false,
@@ -175,7 +182,7 @@
         FeedUpdate::Unchanged => false,
         FeedUpdate::Changes(changes) => state.apply_targets(revision, changes, origin),
         FeedUpdate::Full(list) => apply_full_list(state, revision, &list, origin),
-        // Asked again, or another node.
+        // A later check repeats the request, to this node or to another one.
         FeedUpdate::HistoryGone | FeedUpdate::Busy => false,
     };
     if changed {
@@ -183,7 +190,7 @@
     }
 }
 
-/// Takes a whole list. Returns whether it is another one than before.
+/// Applies a full target list. Returns whether the list changed.
 fn apply_full_list(state: &ControlState, revision: Revision, bytes: &[u8], origin: Origin) -> bool {
     let invalid = |error: &dyn ToString| RequestError::InvalidResponse(error.to_string());
     let list = rmp_serde::from_slice::<PackedList>(bytes).map_err(|error| invalid(&error));
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -1,4 +1,4 @@
-//! Telling other nodes what the source told this one; and metrics.
+//! Serves source data to other nodes, and metrics.
 
 use super::http_port::{self, PortResponse};
 use super::state::ControlState;
@@ -16,47 +16,49 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Where metrics are read.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Where other nodes read what this one knows.
+/// Path on which other nodes request source data.
 const RELAY_PATH: &str = "/known";
 
-/// What one node tells another of a configuration or of a list of targets.
+/// The answer for one kind of source data: the configuration or the target list.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum FeedUpdate<Document, Change> {
-    /// The asking node has the same, or something newer.
+    /// The requesting node already has this revision or a newer one.
     #[serde(rename = "Same")]
     Unchanged,
-    /// What has changed since.
+    /// The changes since the revision that the requesting node has.
     Changes(Vec<Change>),
-    /// The whole.
+    /// The full data.
     #[serde(rename = "Whole")]
     Full(Document),
-    /// What has changed since is not known any more, and the whole was not asked for.
+    /// The changes are no longer kept, and the requesting node did not accept the full data.
     #[serde(rename = "Unknown")]
     HistoryGone,
-    /// What has changed since is not known any more, and as many others as this node's link bears are taking the whole.
+    /// The changes are no longer kept, and this node already serves as many full transfers as its link
+    /// carries.
     Busy,
 }
 
-/// What one node knows, for another.
+/// The answer to a request of another node for newer source data.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RelayAnswer {
     /// The configuration.
     pub configuration: FeedUpdate<CatalogDocument, CatalogChange>,
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     pub evacuations: Evacuations,
-    /// The revision of the list of targets.
+    /// The revision of the target list.
     #[serde(rename = "at")]
     pub targets_revision: Revision,
-    /// The list; as a whole it is a [`PackedList`].
+    /// The target list; the full data is an encoded [`PackedList`].
     pub targets: FeedUpdate<ByteBuf, TargetChange>,
-    /// Entries of the list that are missing at the source and may come back.
+    /// Entries of the list that are missing at the source and may reappear.
     #[serde(rename = "lapsing")]
     pub expiring: ExpiringEntries,
 }
 
-/// The question for what is newer than `held`; `whole` when the configuration may come as a whole.
+/// Path and query of a request for data newer than `held`. `accepts_full` permits a full configuration in the
+/// answer.
 pub fn relay_path(held: HeldRevisions, accepts_full: bool) -> String {
     format!(
         "{RELAY_PATH}?{},{},{}",
@@ -66,7 +68,7 @@
     )
 }
 
-/// Serves other nodes and readers of metrics until the process ends.
+/// Serves source data and metrics on one port until the process ends.
 pub async fn serve(state: Rc<ControlState>, listener: TcpListener, metrics: Rc<Metrics>) {
     http_port::serve(listener, move |request| handle_request(&state, &metrics, request)).await;
 }
@@ -89,14 +91,15 @@
     PortResponse { response, on_close }
 }
 
-/// What this node knows beyond what the query names; see [`relay_path`]. `transfer` is set when that is a whole list.
+/// Encodes the data that is newer than the revisions in the query; see [`relay_path`]. Sets `transfer` when
+/// the answer contains a full target list.
 fn encode_answer(state: &ControlState, query: &str, transfer: &mut Option<TransferKey>) -> Vec<u8> {
-    // What cannot be read counts as nothing known, and is answered with everything.
+    // A revision that does not parse counts as zero, so the answer contains everything.
     let mut fields = query.split(',').map(|text| text.parse().unwrap_or(0));
     let held = HeldRevisions {
         version: Revision(fields.next().unwrap_or(0)),
         list: Revision(fields.next().unwrap_or(0)),
-        // They are told in any case.
+        // The evacuated zones are always part of the answer.
         evacuations: Revision(0),
     };
     let accepts_full = fields.next() == Some(1);
@@ -147,7 +150,8 @@
     list.map_or(FeedUpdate::Busy, FeedUpdate::Full)
 }
 
-/// The whole list, packed once for all who take it at one revision; `None` when it cannot be.
+/// The full target list in packed form, encoded once per revision and cached for all receivers; `None` when
+/// it cannot be encoded.
 fn encode_packed_list(state: &ControlState) -> Option<ByteBuf> {
     let targets = state.targets.borrow();
     let mut cached = state.packed_list.borrow_mut();
--- a/crates/barleyspool_gateway/src/control/source_access.rs
+++ b/crates/barleyspool_gateway/src/control/source_access.rs
@@ -1,4 +1,5 @@
-//! What this node does at the source: whether its feeds read it, and whom it tells or asks instead.
+//! Decides when this node reads the feeds of the source, which nodes it announces its source state to, and
+//! when it requests data from other nodes instead.
 
 use super::state::ControlState;
 use crate::adapters::Feed;
@@ -12,38 +13,39 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How long a feed may be silent after an error before what is missing in it counts as expired.
+/// Duration of feed failures after which entries that are missing from the feed may only have expired.
 const SOURCE_LOSS_TIMEOUT: Span = Span::from_millis(300);
-/// The feeds.
+/// All feeds.
 const FEEDS: [Feed; 2] = [Feed::Configuration, Feed::Targets];
 
-/// What this node does at the source.
+/// Tracks how this node reads the source.
 pub struct SourceAccess {
     watch: RefCell<SourceWatch>,
-    /// Whom this node tells what it reads.
+    /// Addresses of the nodes that receive the announcements of this node.
     recipients: RefCell<Vec<String>>,
-    /// Feeds that have to be read whole.
+    /// Whether each feed needs a full read.
     needs_full_read: [Cell<bool>; 2],
-    /// When a node without a list reads it although others may have it.
+    /// Decides when a node without a target list reads it from the source instead of another node.
     initial_list_read: InitialListRead,
-    /// What this node knows of the fleet, for that.
+    /// The fleet as known to this node, for `initial_list_read`.
     fleet_view: Cell<FleetView>,
-    /// Since when each feed has failed, and why it did last; `None` while it answers.
+    /// Start and last cause of the current failure of each feed; `None` while it responds.
     failures: RefCell<[Option<(Time, String)>; 2]>,
-    /// Whether the members are likely to be all there are; before that no node watches the source.
+    /// Whether the known members most likely include all nodes. Before that, no node watches the source as a
+    /// reader.
     converged: Cell<bool>,
-    /// What was last told to others.
+    /// The source state in the last announcement.
     last_announced: Cell<SourceState>,
-    /// Tells the feeds that they may have to read now.
+    /// Makes the tasks of the feeds check again whether they should read the source.
     recheck: watch::Sender<()>,
-    /// Ends the watch of each feed: it may hear nothing any more, or should be a shorter one.
+    /// Cancels the current watch of each feed, because it may never return or needs a shorter timeout.
     watch_cancels: [Notify; 2],
-    /// Notified when another node has something newer.
+    /// Notified when another node reports newer data.
     newer_reported: Notify,
 }
 
 impl SourceAccess {
-    /// A node that starts at `now` and has read nothing; whether it is one of its seeds.
+    /// The state of a node that starts at `now`; `seed` is whether the node is one of the seeds.
     pub fn new(now: Time, seed: bool) -> Self {
         let fleet_view = FleetView {
             nodes: 1,
@@ -65,53 +67,55 @@
         }
     }
 
-    /// Whether this node watches the feeds for a short time only: as one of the few that find out whether watches are lost, or because no other
-    /// node would tell it what a lost watch does not.
+    /// Whether this node uses a short watch timeout: as one of the few readers that detect lost watches, or
+    /// as a node that is not a reader and watches because it receives no announcements. No other node would
+    /// notify it of changes that a lost watch misses.
     pub fn uses_short_watch(&self) -> bool {
         let watch = self.watch.borrow();
         watch.uses_short_watch() || !watch.is_reader()
     }
 
-    /// How long another node has been known to have something newer.
+    /// Time since this node learned that another node has newer data.
     pub fn behind_for(&self, now: Time) -> Span {
         self.watch.borrow().behind_for(now)
     }
 
-    /// Waits until the watch of a feed may hear nothing any more, or should be a shorter one.
+    /// Waits until the current watch of a feed is cancelled.
     pub async fn watch_cancelled(&self, feed: Feed) {
         self.watch_cancels[feed as usize].notified().await;
     }
 
-    /// Ends the watch of a feed that is under way.
+    /// Cancels the current watch of a feed.
     fn cancel_watch(&self, feed: Feed) {
         self.watch_cancels[feed as usize].notify_waiters();
     }
 
-    /// Waits until another node has something newer, `longest` at the most.
+    /// Waits until another node reports newer data, for at most `max_wait`.
     pub async fn wait_for_newer_report(&self, max_wait: Duration) {
-        // Either is a reason to look.
+        // The caller checks in both cases.
         let _ = tokio::time::timeout(max_wait, self.newer_reported.notified()).await;
     }
 
-    /// The feed has to be read whole at the source. A watch of it that is under way ends: it should have told what is missing,
-    /// and may hear nothing for as long as it waits, 20 s (five seconds of an older configuration were seen).
+    /// Requests a full read of a feed from the source, and cancels its current watch: that watch should have
+    /// delivered the missing data, so it may be lost and deliver nothing until its timeout of 20 s. Without
+    /// the cancellation, a node was seen to use an outdated configuration for five seconds.
     pub fn request_full_read(&self, feed: Feed) {
         self.needs_full_read[feed as usize].set(true);
         self.cancel_watch(feed);
         self.recheck.send_replace(());
     }
 
-    /// Whether nothing of a feed is known yet.
+    /// Whether a feed needs a full read.
     pub fn needs_full_read(&self, feed: Feed) -> bool {
         self.needs_full_read[feed as usize].get()
     }
 
-    /// The feed was read whole, at the source or at another node.
+    /// Records that the full data of a feed was received, from the source or from another node.
     pub fn record_full_read(&self, feed: Feed) {
         self.needs_full_read[feed as usize].set(false);
     }
 
-    /// Whether a feed does not answer this node.
+    /// Whether the source currently fails to respond to this node for a feed.
     pub fn is_failing(&self, feed: Feed) -> bool {
         self.failures.borrow()[feed as usize].is_some()
     }
@@ -120,12 +124,13 @@
         FEEDS.iter().any(|feed| self.is_failing(*feed))
     }
 
-    /// The longest wait before the next try at a source that does not answer.
+    /// Maximum delay before the next retry of a source that does not respond, where a reader would wait
+    /// `wait`.
     pub fn retry_delay(&self, wait: Span) -> Span {
         self.watch.borrow().retry_delay(wait)
     }
 
-    /// Whether a feed reads the source now.
+    /// Whether this node should read a feed from the source now.
     fn should_read(&self, now: Time, feed: Feed) -> bool {
         let watch = self.watch.borrow();
         let reads_as_fallback = !watch.is_reader() && watch.reads(now);
@@ -133,14 +138,14 @@
         reads_as_fallback || reads_as_reader || self.should_read_full(now, feed)
     }
 
-    /// Whether a feed reads the source now because this node has nothing of it.
+    /// Whether this node should make a full read of a feed from the source now.
     fn should_read_full(&self, now: Time, feed: Feed) -> bool {
         let needs_full_read = self.needs_full_read[feed as usize].get();
         needs_full_read
             && (feed == Feed::Configuration || self.initial_list_read.should_read(now, self.fleet_view.get()))
     }
 
-    /// When a feed that does not read the source looks again whether it should.
+    /// When to check again whether a feed that is not read from the source should be.
     fn next_check(&self, now: Time, feed: Feed) -> Time {
         let fallback_at = self.watch.borrow().next_check();
         if feed == Feed::Targets && self.needs_full_read[feed as usize].get() {
@@ -151,18 +156,19 @@
 }
 
 impl ControlState {
-    /// Waits until a feed has to read the source. Returns whether it had to wait, so that what it read before is old.
+    /// Waits until a feed should be read from the source. Returns whether it had to wait; if so, the position
+    /// of the feed may be outdated.
     pub async fn wait_until_read_due(&self, feed: Feed) -> bool {
         let mut changed = self.source_access.recheck.subscribe();
         let mut waited = false;
         while !self.source_access.should_read(self.now(), feed) {
             waited = true;
-            // Whether the source would answer this node is not known any more.
+            // While this node does not read, it does not know whether the source would respond.
             self.source_access.failures.borrow_mut()[feed as usize] = None;
             let next_check = self.source_access.next_check(self.now(), feed);
             let delay = Duration::from_micros(next_check.since(self.now()).0.max(1000));
             tokio::select! {
-                // The sender lives as long as this state.
+                // This never fails, since `self` holds the sender.
                 _ = changed.changed() => {}
                 () = tokio::time::sleep(delay) => {}
             }
@@ -170,7 +176,8 @@
         waited
     }
 
-    /// Waits before the next try at a source that does not answer, or until there is no need for it any more.
+    /// Waits before the next retry of a source that does not respond. Returns early if the feed should no
+    /// longer be read.
     pub async fn wait_for_retry(&self, feed: Feed, wait: Span) {
         let mut changed = self.source_access.recheck.subscribe();
         let retry_timer = tokio::time::sleep(Duration::from_micros(wait.0));
@@ -184,9 +191,9 @@
     }
 
     // ------------------------------------------------------------------------
-    // What the source answers
+    // Responses of the source
 
-    /// A feed answered, or failed with `cause`.
+    /// Records that a request of a feed succeeded, or failed with `cause`.
     pub fn record_feed_result(&self, feed: Feed, cause: Option<&str>) {
         let now = self.now();
         let index = feed as usize;
@@ -208,7 +215,8 @@
         self.source_state_changed(false);
     }
 
-    /// A feed is about to be taken after it failed: what is missing in it now may only have expired.
+    /// Called before the result of a full read is applied. If the feed failed for longer than
+    /// [`SOURCE_LOSS_TIMEOUT`] before, targets that are missing from it may only have expired.
     pub fn note_feed_recovery(&self, feed: Feed) {
         let since = self.source_access.failures.borrow()[feed as usize]
             .as_ref()
@@ -219,7 +227,8 @@
         }
     }
 
-    /// Another node had something newer than this one: unless the feed is known to fail, its watch hears nothing.
+    /// Cancels the watch of a feed after another node delivered newer data: unless the feed is known to fail,
+    /// its watch may be lost.
     pub fn cancel_overtaken_watch(&self, feed: Feed) {
         if !self.source_access.is_failing(feed) {
             self.source_access.cancel_watch(feed);
@@ -232,9 +241,9 @@
     }
 
     // ------------------------------------------------------------------------
-    // What this node tells
+    // Announcements of this node
 
-    /// How far this node has read the source.
+    /// The source state that this node reports to others.
     pub(super) fn source_state(&self) -> SourceState {
         SourceState {
             version: self.catalogs.borrow().version(),
@@ -244,14 +253,14 @@
         }
     }
 
-    /// From which revision on a watch of a feed tells all that this node has not; `None` when the feed has to be read whole. The configuration
-    /// is one call, so it is read again.
+    /// Revision from which a watch of a feed delivers everything that this node does not have yet; `None`
+    /// when the feed needs a full read. The configuration is always read again, since that is a single call.
     pub fn held_revision(&self, feed: Feed) -> Option<Revision> {
         let known = feed == Feed::Targets && self.has_target_list.get();
         known.then(|| self.targets.borrow().at)
     }
 
-    /// What this node has, for questions to others.
+    /// The revisions of the source data that this node holds, for requests to other nodes.
     pub fn held_revisions(&self) -> HeldRevisions {
         HeldRevisions {
             version: self.catalogs.borrow().version(),
@@ -260,8 +269,8 @@
         }
     }
 
-    /// What this node has of the source may be another than before. Whoever has it from the source itself (`first_hand`)
-    /// or reads for others tells them at once.
+    /// Handles a possible change of the source state. It is announced immediately if the data came from the
+    /// source (`first_hand`) or this node is a reader of its zone.
     pub fn source_state_changed(&self, first_hand: bool) {
         let state = self.source_state();
         self.step_members(MemberEvent::Source(state));
@@ -271,7 +280,7 @@
         }
     }
 
-    /// Tells others how far this node has read, when it has not for a while.
+    /// Announces the source state when the announcement interval of a reader has passed.
     pub fn announce_if_due(&self) {
         let due = || self.source_access.watch.borrow_mut().announcement_due(self.now());
         if self.source_access.converged.get() && due() {
@@ -290,9 +299,9 @@
     }
 
     // ------------------------------------------------------------------------
-    // What others tell
+    // Reports of other nodes
 
-    /// Another node told how far it has read the source.
+    /// Handles the source state reported by another node; `reads` is whether that node reads the source.
     pub fn handle_source_report(&self, state: SourceState, reads: bool) {
         let now = self.now();
         if reads && !state.failing {
@@ -308,7 +317,7 @@
         }
     }
 
-    /// Whether this node asks another one for what is newer there.
+    /// Whether this node should request newer data from another node.
     pub fn should_ask(&self) -> bool {
         let failing = self.source_access.any_failing();
         let held = self.held_revisions();
@@ -318,7 +327,7 @@
             .should_ask(self.now(), held, failing)
     }
 
-    /// Takes the role at the source that follows from the members.
+    /// Derives the role of this node in reading the source from the current members, and applies it.
     pub fn update_source_role(&self) {
         let membership = self.membership.borrow();
         let settings = &self.shared.settings;
@@ -334,7 +343,7 @@
             link_mbps: member.facts.link_mbps,
         });
         let own_address = settings.members.to_string();
-        // A node on its way out hears of changes from those that stay.
+        // A stopping node is not a reader; the remaining nodes notify it of changes.
         let own_candidate = (!self.is_stopping()).then_some(ReaderCandidate {
             address: &own_address,
             key: own_key,
@@ -362,7 +371,7 @@
         let converged = self.converged.get();
         let was_converged = self.source_access.converged.replace(converged);
         if role.short_watch && !had_short_watch {
-            // The long watches of before end.
+            // Current watches still use the long timeout.
             FEEDS
                 .iter()
                 .for_each(|feed| self.source_access.cancel_watch(*feed));
@@ -385,7 +394,7 @@
         self.source_access.recheck.send_replace(());
     }
 
-    /// This node's key among the members.
+    /// The key of this node among the members.
     pub fn own_key(&self) -> u64 {
         rendezvous::text_key(&self.shared.settings.members.to_string()) as u64
     }
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -1,4 +1,5 @@
-//! Taking what the source, or another node for it, tells of configuration, evacuated zones and targets.
+//! Applies configurations, evacuated zones and target changes, read from the source or received from another
+//! node.
 
 use super::state::{ControlState, Origin};
 use crate::adapters::{Feed, SourceChange};
@@ -10,17 +11,14 @@
 use std::collections::BTreeSet;
 
 impl ControlState {
-    /// Takes a configuration that `from` offers.
-    ///
-    /// Returns whether it is in force now.
+    /// Applies a configuration if it is valid and newer than the current one. Returns whether it was applied.
     pub fn offer_configuration(&self, document: CatalogDocument, origin: Origin) -> bool {
         let version = document.version;
         self.apply_configuration(version, origin, |catalogs| catalogs.offer(document))
     }
 
-    /// Takes what another node says has changed in the configuration.
-    ///
-    /// Returns whether a newer one is in force now.
+    /// Applies configuration changes from another node if they are valid and newer than the current
+    /// configuration. Returns whether they were applied.
     pub fn offer_configuration_changes(&self, changes: Vec<CatalogChange>, origin: Origin) -> bool {
         let version = changes.last().map(CatalogChange::version).unwrap_or_default();
         self.apply_configuration(version, origin, |catalogs| catalogs.apply(changes))
@@ -61,7 +59,7 @@
         accepted
     }
 
-    /// Takes a whole list of targets. Returns whether it is another one than before.
+    /// Applies a full target list. Returns whether the list changed.
     pub fn replace_targets(&self, at: Revision, table: TargetTable, origin: Origin) -> bool {
         let is_first = !self.has_target_list.replace(true);
         self.log_era_change(at, origin);
@@ -72,7 +70,7 @@
         changed
     }
 
-    /// Takes changes of the list of targets. Returns whether it is another one than before.
+    /// Applies changes of the target list. Returns whether the list changed.
     pub fn apply_targets(&self, at: Revision, changes: Vec<TargetChange>, origin: Origin) -> bool {
         self.log_era_change(at, origin);
         let changed = self.targets.borrow_mut().apply(self.now(), at, changes);
@@ -82,7 +80,7 @@
         changed
     }
 
-    /// Logs that the list of targets is about to stand at a revision of a later era.
+    /// Logs when the target list is about to advance to a later era: the source was restored from a backup.
     fn log_era_change(&self, at: Revision, origin: Origin) {
         let before = self.targets.borrow().at;
         if before == Revision(0) || at.era() <= before.era() {
@@ -97,13 +95,13 @@
         self.log.write(self.now(), &line);
     }
 
-    /// Notes which entries of a list that stands at `at` are missing at the source and may come back.
+    /// Records which entries of a list at revision `at` are missing at the source and may reappear.
     pub fn note_expiring(&self, at: Revision, expiring: ExpiringEntries) {
         let now = self.now();
         self.targets.borrow_mut().note_expiring(now, at, expiring);
     }
 
-    /// Takes the zones that were evacuated at revision `at`.
+    /// Applies the complete set of evacuated zones at revision `at`.
     pub fn replace_evacuations(&self, at: Revision, zones: BTreeSet<String>, origin: Origin) {
         let changed = self.evacuations.borrow_mut().replace(self.now(), at, zones);
         if changed {
@@ -111,7 +109,7 @@
         }
     }
 
-    /// Takes the zones that another node knows to be evacuated.
+    /// Merges the evacuated zones that another node knows.
     pub fn merge_evacuations(&self, evacuations: Evacuations, origin: Origin) {
         let changed = self.evacuations.borrow_mut().merge(self.now(), evacuations);
         if changed {
@@ -138,7 +136,7 @@
         }
     }
 
-    /// Takes changes that the source told.
+    /// Applies changes from a watch of the source.
     pub fn apply_source_changes(&self, feed: Feed, at: Revision, changes: Vec<SourceChange>) {
         let mut targets = Vec::new();
         let mut evacuations = Vec::new();
@@ -156,7 +154,7 @@
                 SourceChange::Malformed { key, cause } => self.log_skipped_item(&key, &cause),
             }
         }
-        // The revision of one feed says nothing of how far the other was heard.
+        // The revision applies only to the data of this feed; the other feed may be at another revision.
         match feed {
             Feed::Targets => {
                 self.apply_targets(at, targets, Origin::Source);
@@ -173,8 +171,9 @@
         }
     }
 
-    /// Takes entries as gone that expired while the source was away and did not come back, and relies again on what is still listed after the source came back
-    /// from a copy.
+    /// Removes targets that expired during an outage of the source and did not reappear in time. After the
+    /// source was restored from a backup, also reopens evacuated zones that it does not list, and marks targets
+    /// that reappeared as verified, each after its waiting time.
     pub fn expire_targets(&self) {
         if self.evacuations.borrow_mut().expire(self.now()) {
             self.evacuations_changed(Origin::Expiry);
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Runs of targets have said in answers that they leave.
+    /// Records target incarnations that have reported in answers that they are leaving.
     pub fn note_leaving(&self, incarnations: &[IncarnationId]) {
         let now = self.now();
         let mut targets = self.targets.borrow_mut();
@@ -198,12 +197,12 @@
         }
     }
 
-    /// An item of the source cannot be read.
+    /// Logs a source item that is not valid and is skipped.
     pub fn log_skipped_item(&self, key: &str, cause: &str) {
         self.log.write(self.now(), &Line::ItemSkipped { key, cause });
     }
 
-    /// The entry of a target cannot be read: told once, until it can be read again.
+    /// Logs a target entry that is not valid, once until it becomes valid again.
     pub fn log_unreadable_target(&self, id: &str, key: &str, cause: &str) {
         let already_logged = |entry: &TargetEntry| entry.unreadable;
         if !self.targets.borrow().table.get(id).is_some_and(already_logged) {
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and how it becomes a plan.
+//! The state of the control thread, and the plan for the traffic thread that is derived from it.
 
 use super::source_access::SourceAccess;
 use crate::event_log::{EventLog, Line};
@@ -15,24 +15,24 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long changes of members are gathered for one plan.
+/// Time during which membership changes are collected for one plan.
 const MEMBER_CHANGE_DELAY: Duration = Duration::from_millis(20);
 
-/// From whom something came.
+/// Where data came from.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Origin<'a> {
     /// The source itself.
     Source,
-    /// Another node, at this address.
+    /// Another node, with its address.
     Node(&'a str),
-    /// Targets themselves, in their answers to this node or another one.
+    /// Answers of targets, received by this node or another one.
     Answers,
-    /// Time: entries did not come back after an outage of the source.
+    /// A timeout after an outage or a restore of the source.
     Expiry,
 }
 
 impl<'a> Origin<'a> {
-    /// Its name in log lines.
+    /// The name in log events.
     pub(super) fn name(self) -> &'a str {
         match self {
             Self::Source => "source",
@@ -43,42 +43,42 @@
     }
 }
 
-/// What the control thread knows.
+/// The state of the control thread.
 pub struct ControlState {
-    /// What the threads share.
+    /// State shared with the traffic thread.
     pub shared: Arc<Shared>,
-    /// The log.
+    /// The event log.
     pub log: EventLog,
-    /// The configuration in force.
+    /// The current configuration.
     pub catalogs: RefCell<CatalogStore>,
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     pub evacuations: RefCell<Evacuations>,
-    /// The list of targets.
+    /// The target list.
     pub targets: RefCell<TargetStore>,
-    /// Whether the list was ever read whole.
+    /// Whether a full target list has been received.
     pub has_target_list: Cell<bool>,
-    /// The other nodes.
+    /// The membership table.
     pub membership: RefCell<Membership>,
-    /// Messages to other nodes that wait to be sent.
+    /// Messages that wait to be sent to other nodes.
     pub outbox: RefCell<Vec<MemberAction>>,
-    /// Tells the members task that the outbox is not empty.
+    /// Wakes the task that sends the messages in `outbox`.
     pub outbox_filled: Notify,
-    /// Tells that members have changed since the last plan.
+    /// Wakes the task that publishes a new plan after membership changes.
     members_changed: Notify,
-    /// What this node does at the source.
+    /// When and how this node reads the source.
     pub source_access: SourceAccess,
-    /// The list as it is handed out whole, and the revision at which it stands.
+    /// The target list, encoded for transfers to other nodes, with its revision.
     pub packed_list: RefCell<Option<(Revision, ByteBuf)>>,
-    /// Whole lists that other nodes are taking from this one.
+    /// Active transfers of full lists to other nodes.
     pub list_transfers: RefCell<ListTransfers>,
-    /// Whether the nodes that are known are likely to be all there are.
+    /// Whether the known members most likely include all nodes of the fleet.
     pub converged: Cell<bool>,
-    /// When the last answers of a planned stop are given; `None` while no stop was asked for.
+    /// When a planned stop aborts unfinished calls; `None` while no stop is requested.
     pub abort_at: Cell<Option<Time>>,
 }
 
 impl ControlState {
-    /// A control state that knows only its settings.
+    /// Creates the state of a node that has started and has received no data yet.
     pub fn new(shared: Arc<Shared>, log: EventLog) -> Self {
         let settings = &shared.settings;
         let seeds = settings.seeds.iter();
@@ -120,17 +120,17 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.shared.clock.now()
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub fn is_stopping(&self) -> bool {
         self.abort_at.get().is_some()
     }
 
-    /// Whether this node takes calls.
+    /// Whether this node accepts calls.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.catalogs.borrow().catalog.is_some() && self.has_target_list.get()
     }
@@ -138,7 +138,8 @@
     // ------------------------------------------------------------------------
     // Members
 
-    /// Steps the membership and puts what it wants sent into the outbox.
+    /// Passes an event to the membership table and executes the resulting actions. Messages go into the
+    /// outbox.
     pub fn step_members(&self, event: MemberEvent) {
         let now = self.now();
         let actions = self.membership.borrow_mut().step(now, event);
@@ -171,7 +172,8 @@
                 } => {
                     changed = true;
                     if !converged && health == MemberHealth::Alive {
-                        // One line a node and member of a fleet that starts: `Line::Members` counts them.
+                        // In a starting fleet, every node would log an event for every other node.
+                        // `Line::Members` reports their number instead.
                         continue;
                     }
                     let serving = self.membership.borrow().serving().len();
@@ -201,7 +203,8 @@
         self.log.write(now, &line);
     }
 
-    /// Hands the calls that get no target to the traffic thread.
+    /// Publishes the blocked calls to the traffic thread: calls that are not sent to any target because
+    /// targets have crashed while processing them.
     fn publish_blocked_calls(&self, now: Time) {
         let blocked = self.membership.borrow().crashes().blocked(now);
         let line = Line::CallsRefused {
@@ -222,8 +225,8 @@
             .store(counts.outdated_suspicions, Ordering::Relaxed);
     }
 
-    /// Makes a plan after members have changed, at most one every [`MEMBER_CHANGE_DELAY`]: when a fleet starts, hundreds of
-    /// changes come within a second.
+    /// Publishes a plan after membership changes, at most once per [`MEMBER_CHANGE_DELAY`]: when a fleet
+    /// starts, hundreds of changes occur within a second.
     pub async fn publish_member_changes(&self) {
         loop {
             self.members_changed.notified().await;
@@ -235,9 +238,9 @@
     // ------------------------------------------------------------------------
     // The plan
 
-    /// Hands everything to the traffic thread.
+    /// Publishes a plan with the current state to the traffic thread.
     pub fn publish_plan(&self) {
-        // Before the others hear that this node serves, so that they hear with it what it has.
+        // The source state is updated first, so that the announcement that this node serves contains it.
         self.step_members(MemberEvent::Source(self.source_state()));
         self.step_members(MemberEvent::Serving(self.is_ready()));
         self.update_source_role();
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop, and reading the settings again.
+//! The planned stop, and reloading of the settings.
 
 use super::state::ControlState;
 use crate::event_log::Line;
@@ -11,17 +11,18 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::Signal;
 
-/// How often the settings file is looked at; one call to the operating system each time.
+/// Interval between checks for a changed settings file; each check is one system call.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
-/// How often a stopping node looks whether anything is left to do; what a stop may take longer than it has to.
+/// Interval between checks of whether a planned stop has reached its next phase, and therefore the longest
+/// delay that the checks add to a phase.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When a file was written; `None` while it is not there, as when it is being replaced.
+/// Modification time of a file; `None` while it does not exist, for example while it is being replaced.
 fn modified_at(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|file| file.modified()).ok()
 }
 
-/// Waits for SIGTERM or SIGINT, then stops in order, phase by phase ([`StopPhase`]), and ends the process.
+/// Waits for SIGTERM or SIGINT, performs a planned stop ([`StopPhase`]) and exits the process.
 pub async fn stop_on_signal(state: Rc<ControlState>, mut terminate: Signal, mut interrupt: Signal) {
     Signals::stop(&mut terminate, &mut interrupt).await;
     let mut stop = begin_stop(&state);
@@ -49,7 +50,8 @@
     std::process::exit(0);
 }
 
-/// Takes this node out of all answers, and tells the traffic thread.
+/// Starts a planned stop: announces to other nodes that this node is leaving, and publishes a plan with the
+/// time at which unfinished calls are aborted.
 fn begin_stop(state: &ControlState) -> PlannedStop {
     let settings = &state.shared.settings;
     let accept = Span::from_millis(settings.stop_accept_ms);
@@ -65,8 +67,8 @@
     stop
 }
 
-/// Reads the settings again on SIGHUP, and when their file has changed without one. Seeds come into force; whatever
-/// else changed waits for a restart. A bad file is refused whole.
+/// Reloads the settings on SIGHUP and when the modification time of their file changes. Only the seeds are
+/// applied; other changes take effect at the next start. An invalid file is rejected as a whole.
 pub async fn reload_settings(state: Rc<ControlState>, file: PathBuf, mut hangup: Signal) {
     let mut last_modified = modified_at(&file);
     loop {
