--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -54,9 +54,9 @@
 /// time at which unfinished calls are aborted.
 fn begin_stop(state: &ControlState) -> PlannedStop {
     let settings = &state.shared.settings;
-    let accept = Span::from_millis(settings.stop_accept_ms);
-    let end = Span::from_millis(settings.stop_end_ms);
-    let stop = PlannedStop::new(state.now(), accept, end);
+    let accept_for = Span::from_millis(settings.stop_accept_ms);
+    let max_duration = Span::from_millis(settings.stop_end_ms);
+    let stop = PlannedStop::new(state.now(), accept_for, max_duration);
     let line = Line::Stopping {
         in_flight: state.shared.in_flight.load(Ordering::Relaxed),
     };
