--- a/crates/barleyspool_gateway/src/adapters.rs
+++ b/crates/barleyspool_gateway/src/adapters.rs
@@ -31,9 +31,9 @@
 #[derive(Clone)]
 pub struct CallerAdapter {
     /// Reads a call's head; the error says what is wrong with it.
-    pub read: fn(&request::Parts) -> Result<CallHead, String>,
+    pub read_call: fn(&request::Parts) -> Result<CallHead, String>,
     /// The answer to a call that no target answered.
-    pub fail: fn(&CallFailure) -> response::Response<Bytes>,
+    pub failure_response: fn(&CallFailure) -> response::Response<Bytes>,
 }
 
 /// What is said to a target with a call.
@@ -44,7 +44,7 @@
     /// The organisation that the call's key belongs to; empty for none.
     pub organisation: String,
     /// How long the target may work.
-    pub left: Span,
+    pub time_left: Span,
     /// The priority; 0 is the most important.
     pub rank: Option<u8>,
     /// The results that the call needs.
@@ -52,7 +52,7 @@
     /// The last event that the caller has, when a stream goes on.
     pub resume_after: Option<u64>,
     /// The address of an engine that most likely holds the shared beginning of the prompt.
-    pub source: Option<String>,
+    pub prefix_source: Option<String>,
 }
 
 /// What a target says in the head of its answer.
@@ -75,11 +75,11 @@
     /// Its load, if it tells.
     pub load: Option<LoadReport>,
     /// How long it keeps the connection open at rest, if it tells.
-    pub keep: Option<Span>,
+    pub keep_alive: Option<Span>,
     /// Whether it is on its way out.
     pub leaving: bool,
     /// Whether it wants nothing from this node for a while.
-    pub rest: CooldownReport,
+    pub cooldown: CooldownReport,
     /// Whether it limits what it takes.
     pub limit: LimitReport,
 }
@@ -88,24 +88,24 @@
 #[derive(Clone)]
 pub struct TargetAdapter {
     /// The headers that belong to a call, whatever a caller's `Connection` header says of them.
-    pub of_caller: &'static [HeaderName],
+    pub caller_headers: &'static [HeaderName],
     /// Turns a caller's headers into those for the target.
-    pub prepare: fn(&mut HeaderMap, &SendHead),
+    pub prepare_headers: fn(&mut HeaderMap, &SendHead),
     /// Reads the head of an answer.
-    pub answer: fn(&response::Parts) -> AnswerHead,
+    pub read_answer_head: fn(&response::Parts) -> AnswerHead,
 }
 
 /// How stage pools speak.
 #[derive(Clone)]
 pub struct PoolAdapter {
     /// The path and body that ask for pieces.
-    pub run: fn(&[PieceRequest]) -> (&'static str, Bytes),
+    pub run_request: fn(&[PieceRequest]) -> (&'static str, Bytes),
     /// What became of each piece; `None` for an answer that is none.
-    pub run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
+    pub read_run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
     /// The path and body that free results.
-    pub free: fn(&[String]) -> (&'static str, Bytes),
+    pub release_request: fn(&[String]) -> (&'static str, Bytes),
     /// Turns a send head into headers.
-    pub prepare: fn(&mut HeaderMap, &str),
+    pub prepare_headers: fn(&mut HeaderMap, &str),
 }
 
 /// What a caller asks the directory.
@@ -119,13 +119,13 @@
 #[derive(Clone)]
 pub struct DirectoryAdapter {
     /// Where addresses are asked for.
-    pub ask_path: &'static str,
+    pub addresses_path: &'static str,
     /// Where readiness is asked for.
     pub ready_path: &'static str,
     /// Reads the query of a question.
-    pub read: fn(&str) -> AddressQuery,
+    pub read_query: fn(&str) -> AddressQuery,
     /// The body that names addresses, and how long they may be kept.
-    pub answer: fn(&[String], Span) -> Bytes,
+    pub addresses_body: fn(&[String], Span) -> Bytes,
 }
 
 // ----------------------------------------------------------------------------
@@ -156,9 +156,9 @@
     /// A configuration.
     Configuration(Box<CatalogDocument>),
     /// A target is new or different.
-    Target(TargetEntry),
+    TargetUpserted(TargetEntry),
     /// A target is gone.
-    TargetGone(String),
+    TargetRemoved(String),
     /// The entry of a target cannot be read, so it names none to use.
     TargetUnreadable {
         /// The target's id.
@@ -192,7 +192,7 @@
     /// Where the next page begins; `None` after the last.
     pub next: Option<String>,
     /// The source's revision.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// What has changed since a revision.
@@ -201,7 +201,7 @@
     /// The changes in order.
     pub changes: Vec<SourceChange>,
     /// Where to go on.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// Why the source could not be read.
@@ -210,7 +210,7 @@
     /// the source has forgotten its history
     HistoryGone,
     /// the source has come back from a copy since
-    WentBack,
+    Restored,
     /// another node knows what this watch should have told
     Overtaken,
     /// the source refused: status {0}
--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -45,16 +45,16 @@
         };
         return build_response(status, Bytes::new());
     }
-    if path != adapter.ask_path {
+    if path != adapter.addresses_path {
         return build_response(StatusCode::NOT_FOUND, Bytes::new());
     }
-    let query = (adapter.read)(request.uri().query().unwrap_or_default());
+    let query = (adapter.read_query)(request.uri().query().unwrap_or_default());
     let addresses = select_addresses(state, &query.zone);
     if addresses.is_empty() {
         return build_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
     let ttl = address_ttl(state);
-    let mut response = build_response(StatusCode::OK, (adapter.answer)(&addresses, ttl));
+    let mut response = build_response(StatusCode::OK, (adapter.addresses_body)(&addresses, ttl));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
@@ -62,7 +62,7 @@
 
 /// How long callers may cache the addresses.
 fn address_ttl(state: &ControlState) -> Span {
-    let ttl = state.shared.settings.address_keep();
+    let ttl = state.shared.settings.address_ttl();
     let age = state.now().since(state.shared.clock.started());
     if age < STARTUP_PERIOD {
         ttl.min(STARTUP_ADDRESS_TTL)
--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -41,7 +41,7 @@
                     tokio::time::sleep(TARGET_WATCH_DELAY).await;
                 }
             }
-            Err(SourceError::HistoryGone | SourceError::WentBack) => cursor.reset(),
+            Err(SourceError::HistoryGone | SourceError::Restored) => cursor.reset(),
             Err(SourceError::Overtaken) => cursor.resume(state.held_revision(feed)),
             Err(error) => {
                 state.record_feed_result(feed, Some(&error.to_string()));
@@ -75,9 +75,9 @@
         let page = with_timeout(READ_TIMEOUT, source.read(feed, from)).await?;
         // The pages are not a consistent snapshot. The watch starts at the revision of the first page, so it
         // delivers the changes that were made while the pages were read.
-        let at = *first_revision.get_or_insert(page.at);
-        if page.at.era() != at.era() {
-            return Err(SourceError::WentBack);
+        let at = *first_revision.get_or_insert(page.revision);
+        if page.revision.era() != at.era() {
+            return Err(SourceError::Restored);
         }
         for item in page.items {
             snapshot.add(state, item);
@@ -102,7 +102,7 @@
 impl FeedSnapshot {
     fn add(&mut self, state: &ControlState, item: SourceChange) {
         match item {
-            SourceChange::Target(entry) => {
+            SourceChange::TargetUpserted(entry) => {
                 self.targets.insert(entry.id.clone(), entry);
             }
             SourceChange::TargetUnreadable { id, key, cause } => {
@@ -117,7 +117,7 @@
             }
             SourceChange::Configuration(document) => self.configuration = Some(document),
             SourceChange::Malformed { key, cause } => state.log_skipped_item(&key, &cause),
-            SourceChange::TargetGone(_) | SourceChange::Evacuation { evacuated: false, .. } => {}
+            SourceChange::TargetRemoved(_) | SourceChange::Evacuation { evacuated: false, .. } => {}
         }
     }
 
@@ -148,12 +148,12 @@
     let timeout = Duration::from_micros((wait + WATCH_MARGIN).0);
     state.shared.count_source_call();
     let changes = with_timeout(timeout, source.watch(feed, since, wait)).await?;
-    if changes.at.era() != since.era() {
+    if changes.revision.era() != since.era() {
         // In another era the number of `since` denotes a different state, so the changes do not apply to it.
-        return Err(SourceError::WentBack);
+        return Err(SourceError::Restored);
     }
-    state.apply_source_changes(feed, changes.at, changes.changes);
-    Ok(changes.at.max(since))
+    state.apply_source_changes(feed, changes.revision, changes.changes);
+    Ok(changes.revision.max(since))
 }
 
 async fn with_timeout<T>(
--- a/crates/barleyspool_gateway/src/control/members.rs
+++ b/crates/barleyspool_gateway/src/control/members.rs
@@ -1,7 +1,7 @@
 //! Membership messages between nodes, over UDP.
 
 use super::state::ControlState;
-use crate::shared::Sighting;
+use crate::shared::TargetObservation;
 use barleyspool_core::{MemberAction, MemberEvent, MemberMessage};
 use barleyspool_wire::timer;
 use std::net::SocketAddr;
@@ -49,18 +49,23 @@
 }
 
 /// Applies what the traffic thread observes about targets to the membership state, until the process ends.
-pub async fn apply_sightings(state: Rc<ControlState>, mut sightings: mpsc::UnboundedReceiver<Sighting>) {
-    while let Some(sighting) = sightings.recv().await {
-        state.step_members(match sighting {
-            Sighting::Ended { print, run } => MemberEvent::Crashed {
-                fingerprint: print,
-                incarnation: run,
-            },
-            Sighting::Leaves { run } => MemberEvent::TargetLeaves { incarnation: run },
-            Sighting::Limit { run, per_s } => MemberEvent::LimitReceived {
-                incarnation: run,
-                per_s,
+pub async fn apply_observations(
+    state: Rc<ControlState>,
+    mut observations: mpsc::UnboundedReceiver<TargetObservation>,
+) {
+    while let Some(observation) = observations.recv().await {
+        state.step_members(match observation {
+            TargetObservation::Crashed {
+                fingerprint,
+                incarnation,
+            } => MemberEvent::Crashed {
+                fingerprint,
+                incarnation,
             },
+            TargetObservation::Leaving { incarnation } => MemberEvent::TargetLeaves { incarnation },
+            TargetObservation::RateLimit { incarnation, per_s } => {
+                MemberEvent::LimitReceived { incarnation, per_s }
+            }
         });
     }
 }
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -12,9 +12,9 @@
 mod stop;
 
 use crate::adapters::{DirectoryAdapter, Feed, Source};
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::metrics::Metrics;
-use crate::shared::Sighting;
+use crate::shared::TargetObservation;
 use barleyspool_wire::process::{EssentialTasks, Signals};
 use barleyspool_wire::{awake_time, boot_time, timer};
 pub use state::ControlState;
@@ -49,11 +49,11 @@
     file: PathBuf,
     ports: ControlPorts,
     metrics: Metrics,
-    sightings: mpsc::UnboundedReceiver<Sighting>,
+    observations: mpsc::UnboundedReceiver<TargetObservation>,
 ) {
     let state = Rc::new(state);
     let mut tasks = EssentialTasks::default();
-    tasks.spawn_local(members::apply_sightings(Rc::clone(&state), sightings));
+    tasks.spawn_local(members::apply_observations(Rc::clone(&state), observations));
     tasks.spawn_local(members::run(Rc::clone(&state), ports.members));
     for feed in [Feed::Configuration, Feed::Targets] {
         tasks.spawn_local(feed_reader::run(Rc::clone(&state), Rc::clone(&source), feed));
@@ -87,7 +87,7 @@
     let suspended_time = || boot_time().saturating_sub(awake_time());
     let log_suspension = |slept: Duration| {
         let slept_ms = slept.as_millis() as u64;
-        state.log.write(state.now(), &Line::Suspended { slept_ms });
+        state.log.write(state.now(), &LogEvent::Suspended { slept_ms });
     };
     timer::watch_suspensions(suspended_time, log_suspension).await;
 }
--- a/crates/barleyspool_gateway/src/control/peer_sync.rs
+++ b/crates/barleyspool_gateway/src/control/peer_sync.rs
@@ -3,7 +3,7 @@
 use super::relay::{FeedUpdate, RelayAnswer, relay_path};
 use super::state::{ControlState, Origin};
 use crate::adapters::Feed;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use barleyspool_core::{
     ListHolder, ListRequester, Member, MemberHealth, PackedList, Revision, Span, Time, choose_list_holder,
 };
@@ -71,7 +71,7 @@
 async fn request_and_apply(state: &ControlState, peer: &SocketAddr, avoided: &mut AvoidedPeers) -> bool {
     avoided.retain(|_, until| state.now() < *until);
     let result = request(state, peer).await;
-    state.shared.count_asked(result.is_ok());
+    state.shared.count_peer_request(result.is_ok());
     match result {
         Ok(answer) => {
             let busy = matches!(answer.targets, FeedUpdate::Busy);
@@ -82,7 +82,7 @@
             !busy
         }
         Err(error) => {
-            let line = Line::AskFailed {
+            let line = LogEvent::PeerRequestFailed {
                 peer: &peer.to_string(),
                 cause: &error.to_string(),
             };
@@ -99,7 +99,7 @@
     let held = state.held_revisions();
     let settings = &state.shared.settings;
     let requester = ListRequester {
-        link_mbps: settings.link(),
+        link_mbps: settings.link_mbps(),
         waited: state.source_access.behind_for(state.now()),
     };
     // A node that has a list normally receives only the changes, which are small enough to cross zones.
@@ -200,7 +200,7 @@
             state.replace_targets(revision, table, origin)
         }
         Err(cause) => {
-            let line = Line::AskFailed {
+            let line = LogEvent::PeerRequestFailed {
                 peer: origin.name(),
                 cause: &cause.to_string(),
             };
--- a/crates/barleyspool_gateway/src/control/source_access.rs
+++ b/crates/barleyspool_gateway/src/control/source_access.rs
@@ -3,7 +3,7 @@
 
 use super::state::ControlState;
 use crate::adapters::Feed;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use barleyspool_core::{
     FleetView, HeldRevisions, InitialListRead, Member, MemberEvent, MemberHealth, ReaderCandidate, Revision,
     SourceState, SourceWatch, Span, Time, rendezvous, source_recipients, source_role,
@@ -206,9 +206,9 @@
         }
         let since = previous.as_ref().map_or(now, |(since, _)| *since);
         self.source_access.failures.borrow_mut()[index] = cause.map(|cause| (since, cause.to_owned()));
-        let line = Line::Source {
+        let line = LogEvent::SourceStatus {
             feed: feed.name(),
-            answers: cause.is_none(),
+            available: cause.is_none(),
             cause: cause.unwrap_or_default(),
         };
         self.log.write(now, &line);
@@ -237,7 +237,7 @@
 
     fn record_reader_answer(&self, now: Time) {
         self.source_access.watch.borrow_mut().record_reader_answer(now);
-        self.shared.source_answered.store(now.0, Ordering::Relaxed);
+        self.shared.source_answered_at.store(now.0, Ordering::Relaxed);
     }
 
     // ------------------------------------------------------------------------
@@ -349,7 +349,7 @@
             key: own_key,
             zone: &settings.zone,
             failing: self.source_access.any_failing(),
-            link_mbps: settings.link(),
+            link_mbps: settings.link_mbps(),
         });
         let members: Vec<ReaderCandidate> = other_candidates.chain(own_candidate).collect();
         let role = source_role(&members, own_key);
@@ -382,11 +382,11 @@
         if !changed && converged == was_converged {
             return;
         }
-        self.shared.source_reader.store(role.reads, Ordering::Relaxed);
+        self.shared.is_source_reader.store(role.reads, Ordering::Relaxed);
         if converged {
-            let line = Line::Reader {
-                reads: role.reads,
-                short: role.short_watch,
+            let line = LogEvent::ReaderRole {
+                is_reader: role.reads,
+                short_watch: role.short_watch,
                 members: members.len(),
             };
             self.log.write(self.now(), &line);
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -3,7 +3,7 @@
 
 use super::state::{ControlState, Origin};
 use crate::adapters::{Feed, SourceChange};
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use barleyspool_core::{
     CatalogChange, CatalogDocument, CatalogStore, Evacuations, ExpiringEntries, IncarnationId, OfferResult,
     Revision, TargetChange, TargetCounts, TargetEntry, TargetTable,
@@ -30,15 +30,15 @@
         origin: Origin,
         apply: impl FnOnce(&mut CatalogStore) -> OfferResult,
     ) -> bool {
-        let before = self.catalogs.borrow().version().0;
+        let previous = self.catalogs.borrow().version().0;
         let result = apply(&mut self.catalogs.borrow_mut());
         let accepted = result == OfferResult::Accepted;
         let (version, origin_name) = (version.0, origin.name());
         match result {
             OfferResult::Accepted => {
-                let line = Line::Configuration {
+                let line = LogEvent::ConfigurationApplied {
                     version,
-                    before,
+                    previous,
                     from: origin_name,
                 };
                 self.log.write(self.now(), &line);
@@ -48,7 +48,7 @@
             OfferResult::Outdated => {}
             OfferResult::Invalid(errors) => {
                 let cause = errors.first().map(ToString::to_string).unwrap_or_default();
-                let line = Line::ConfigurationRefused {
+                let line = LogEvent::ConfigurationRejected {
                     version,
                     cause: &cause,
                     from: origin_name,
@@ -86,10 +86,10 @@
         if before == Revision(0) || at.era() <= before.era() {
             return;
         }
-        let line = Line::SourceWentBack {
+        let line = LogEvent::SourceRestored {
             era: at.era(),
-            at: at.number(),
-            before: before.number(),
+            revision: at.number(),
+            previous_revision: before.number(),
             from: origin.name(),
         };
         self.log.write(self.now(), &line);
@@ -122,9 +122,9 @@
             let evacuations = self.evacuations.borrow();
             (evacuations.zones.clone(), evacuations.at)
         };
-        let line = Line::Evacuated {
+        let line = LogEvent::EvacuationsChanged {
             zones: &zones.iter().map(String::as_str).collect::<Vec<_>>().join(","),
-            at: at.number(),
+            revision: at.number(),
             from: origin.name(),
         };
         self.log.write(self.now(), &line);
@@ -145,8 +145,8 @@
             match change {
                 SourceChange::Configuration(document) => configurations.push(document),
                 SourceChange::Evacuation { zone, evacuated } => evacuations.push((zone, evacuated)),
-                SourceChange::Target(entry) => targets.push(TargetChange::Put(entry)),
-                SourceChange::TargetGone(id) => targets.push(TargetChange::Gone(id)),
+                SourceChange::TargetUpserted(entry) => targets.push(TargetChange::Put(entry)),
+                SourceChange::TargetRemoved(id) => targets.push(TargetChange::Gone(id)),
                 SourceChange::TargetUnreadable { id, key, cause } => {
                     self.log_unreadable_target(&id, &key, &cause);
                     targets.push(TargetChange::Put(TargetEntry::unreadable(&id)));
@@ -199,7 +199,7 @@
 
     /// Logs a source item that is not valid and is skipped.
     pub fn log_skipped_item(&self, key: &str, cause: &str) {
-        self.log.write(self.now(), &Line::ItemSkipped { key, cause });
+        self.log.write(self.now(), &LogEvent::ItemSkipped { key, cause });
     }
 
     /// Logs a target entry that is not valid, once until it becomes valid again.
@@ -211,18 +211,18 @@
     }
 
     fn targets_changed(&self, origin: Origin) {
-        let (counts, at) = {
+        let (counts, revision) = {
             let store = self.targets.borrow();
             (TargetCounts::of(&store.table), store.at.number())
         };
-        let line = Line::Targets {
-            targets: counts.listed,
+        let line = LogEvent::TargetsChanged {
+            listed: counts.listed,
             leaving: counts.leaving,
             evacuated: counts.evacuated,
             unreadable: counts.unreadable,
             restarted: counts.restarted,
-            doubted: counts.unverified,
-            at,
+            unverified: counts.unverified,
+            revision,
             from: origin.name(),
         };
         self.log.write(self.now(), &line);
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -1,7 +1,7 @@
 //! The state of the control thread, and the plan for the traffic thread that is derived from it.
 
 use super::source_access::SourceAccess;
-use crate::event_log::{EventLog, Line};
+use crate::event_log::{EventLog, LogEvent};
 use crate::shared::Shared;
 use barleyspool_core::{
     CatalogStore, Evacuations, Evidence, ForwardPlan, Incarnation, ListTransfers, MemberAction, MemberEvent,
@@ -90,7 +90,7 @@
                 peer_address: settings.pieces.to_string(),
                 zone: settings.zone.clone(),
                 serving: false,
-                link_mbps: settings.link(),
+                link_mbps: settings.link_mbps(),
             },
             incarnation: Incarnation(shared.clock.started().0),
             seeds: seeds
@@ -100,7 +100,7 @@
             ..MembershipSettings::default()
         });
         let source_access = SourceAccess::new(shared.clock.now(), shared.settings.is_seed());
-        let list_transfers = ListTransfers::new(shared.settings.link());
+        let list_transfers = ListTransfers::new(shared.settings.link_mbps());
         Self {
             shared,
             log,
@@ -163,7 +163,7 @@
                 MemberAction::LimitsChanged => {
                     changed = true;
                     let limited = self.membership.borrow().limits().limited_count();
-                    self.log.write(now, &Line::LimitsChanged { limited });
+                    self.log.write(now, &LogEvent::LimitsChanged { limited });
                 }
                 MemberAction::Changed {
                     address,
@@ -173,11 +173,11 @@
                     changed = true;
                     if !converged && health == MemberHealth::Alive {
                         // In a starting fleet, every node would log an event for every other node.
-                        // `Line::Members` reports their number instead.
+                        // `LogEvent::MembersConverged` reports their number instead.
                         continue;
                     }
                     let serving = self.membership.borrow().serving().len();
-                    let line = Line::Member {
+                    let line = LogEvent::MemberChanged {
                         address: &address,
                         health: health_name(health),
                         evidence: evidence_name(evidence),
@@ -196,7 +196,7 @@
 
     fn log_members(&self, now: Time) {
         let membership = self.membership.borrow();
-        let line = Line::Members {
+        let line = LogEvent::MembersConverged {
             known: membership.members().count(),
             serving: membership.serving().len(),
         };
@@ -207,21 +207,21 @@
     /// targets have crashed while processing them.
     fn publish_blocked_calls(&self, now: Time) {
         let blocked = self.membership.borrow().crashes().blocked(now);
-        let line = Line::CallsRefused {
-            calls: blocked.count(now),
-            known: self.membership.borrow().crashes().len(),
+        let line = LogEvent::BlockedCallsChanged {
+            blocked: blocked.count(now),
+            crash_records: self.membership.borrow().crashes().len(),
         };
         self.log.write(now, &line);
-        self.shared.refused.store(Arc::new(blocked));
+        self.shared.blocked_calls.store(Arc::new(blocked));
     }
 
     fn publish_update_counts(&self) {
         let counts = self.membership.borrow().counts();
         self.shared
-            .updates_waiting
+            .queued_updates
             .store(counts.queued_updates, Ordering::Relaxed);
         self.shared
-            .updates_outdated
+            .outdated_suspicions
             .store(counts.outdated_suspicions, Ordering::Relaxed);
     }
 
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -1,7 +1,7 @@
 //! The planned stop, and reloading of the settings.
 
 use super::state::ControlState;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::settings::GatewaySettings;
 use barleyspool_core::{MemberEvent, PlannedStop, Span, StopPhase};
 use barleyspool_wire::process::Signals;
@@ -31,7 +31,7 @@
         if shared.listener_closed.load(Ordering::Acquire) {
             stop.listener_closed(state.now());
         }
-        let open = shared.open_callers.load(Ordering::Acquire);
+        let open = shared.caller_connections.load(Ordering::Acquire);
         let phase = stop.phase(state.now(), open);
         if phase == StopPhase::Finished {
             break;
@@ -41,9 +41,9 @@
             .send_if_modified(|current| std::mem::replace(current, phase) != phase);
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    let line = Line::Stopped {
-        cut: shared.in_flight.load(Ordering::Relaxed),
-        open: shared.open_callers.load(Ordering::Relaxed),
+    let line = LogEvent::Stopped {
+        aborted_calls: shared.in_flight.load(Ordering::Relaxed),
+        open_connections: shared.caller_connections.load(Ordering::Relaxed),
     };
     state.log.write(state.now(), &line);
     state.log.flush();
@@ -57,7 +57,7 @@
     let accept_for = Span::from_millis(settings.stop_accept_ms);
     let max_duration = Span::from_millis(settings.stop_end_ms);
     let stop = PlannedStop::new(state.now(), accept_for, max_duration);
-    let line = Line::Stopping {
+    let line = LogEvent::Stopping {
         in_flight: state.shared.in_flight.load(Ordering::Relaxed),
     };
     state.log.write(state.now(), &line);
@@ -84,8 +84,8 @@
         last_modified = modified_at(&file);
         let loaded = GatewaySettings::load(&file);
         let cause = loaded.as_ref().err().map(ToString::to_string).unwrap_or_default();
-        let line = Line::Reloaded {
-            good: loaded.is_ok(),
+        let line = LogEvent::SettingsReloaded {
+            valid: loaded.is_ok(),
             cause: &cause,
         };
         state.log.write(state.now(), &line);
--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -14,7 +14,7 @@
 /// One line. docs/OPERATIONS.md says what each means.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Line<'a> {
+pub enum LogEvent<'a> {
     /// The process started.
     Started {
         /// The version of the program.
@@ -30,9 +30,11 @@
     /// The process ends.
     Stopped {
         /// Calls that were cut off.
-        cut: usize,
+        #[serde(rename = "cut")]
+        aborted_calls: usize,
         /// Callers' connections that were still open: answers may have been on their way on them.
-        open: usize,
+        #[serde(rename = "open")]
+        open_connections: usize,
     },
     /// The machine goes on after a suspension.
     Suspended {
@@ -40,23 +42,28 @@
         slept_ms: u64,
     },
     /// The settings were read again.
-    Reloaded {
+    #[serde(rename = "reloaded")]
+    SettingsReloaded {
         /// Whether they are in use.
-        good: bool,
+        #[serde(rename = "good")]
+        valid: bool,
         /// What is wrong with them, if anything.
         cause: &'a str,
     },
     /// A configuration came into force.
-    Configuration {
+    #[serde(rename = "configuration")]
+    ConfigurationApplied {
         /// Its version.
         version: u64,
         /// The version before.
-        before: u64,
+        #[serde(rename = "before")]
+        previous: u64,
         /// From whom it came.
         from: &'a str,
     },
     /// A configuration was offered and refused.
-    ConfigurationRefused {
+    #[serde(rename = "configuration_refused")]
+    ConfigurationRejected {
         /// Its version.
         version: u64,
         /// The first thing that is wrong with it.
@@ -72,13 +79,16 @@
         cause: &'a str,
     },
     /// The list of targets changed.
-    Targets {
+    #[serde(rename = "targets")]
+    TargetsChanged {
         /// How many there are.
-        targets: usize,
+        #[serde(rename = "targets")]
+        listed: usize,
         /// How many of them are leaving.
         leaving: usize,
         /// The source's revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// From whom it came.
         from: &'a str,
         /// How many get nothing because their zone is evacuated.
@@ -88,62 +98,76 @@
         /// How many were seen to run again under their id.
         restarted: usize,
         /// How many get nothing because their entries came back with an older copy of the source.
-        doubted: usize,
+        #[serde(rename = "doubted")]
+        unverified: usize,
     },
     /// The source has come back from an older copy of itself, so that its revisions go back.
-    SourceWentBack {
+    #[serde(rename = "source_went_back")]
+    SourceRestored {
         /// Its era: how often it has, by its own count.
         era: u16,
         /// The revision in the era at which the list of targets stands now.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The revision at which it stood, in the era before.
-        before: u64,
+        #[serde(rename = "before")]
+        previous_revision: u64,
         /// From whom it came.
         from: &'a str,
     },
     /// Other zones than before are evacuated.
-    Evacuated {
+    #[serde(rename = "evacuated")]
+    EvacuationsChanged {
         /// The zones, separated by commas; empty when none is.
         zones: &'a str,
         /// The source's revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// From whom it came.
         from: &'a str,
     },
     /// The source was lost or is back.
-    Source {
+    #[serde(rename = "source")]
+    SourceStatus {
         /// What was read.
         feed: &'a str,
         /// Whether it answers.
-        answers: bool,
+        #[serde(rename = "answers")]
+        available: bool,
         /// What went wrong.
         cause: &'a str,
     },
     /// This node reads the source for its zone from now on, or no more.
-    Reader {
+    #[serde(rename = "reader")]
+    ReaderRole {
         /// Whether it does.
-        reads: bool,
+        #[serde(rename = "reads")]
+        is_reader: bool,
         /// Whether it watches for a short time only.
-        short: bool,
+        #[serde(rename = "short")]
+        short_watch: bool,
         /// The nodes that answer, itself among them.
         members: usize,
     },
     /// Another node was asked for what is newer there and did not tell.
-    AskFailed {
+    #[serde(rename = "ask_failed")]
+    PeerRequestFailed {
         /// Its address.
         peer: &'a str,
         /// What went wrong.
         cause: &'a str,
     },
     /// This node takes the others that it knows for all there are, after a start.
-    Members {
+    #[serde(rename = "members")]
+    MembersConverged {
         /// The others that are known.
         known: usize,
         /// Nodes that take calls.
         serving: usize,
     },
     /// What is thought of another node changed.
-    Member {
+    #[serde(rename = "member")]
+    MemberChanged {
         /// Its address.
         address: &'a str,
         /// How it is now.
@@ -154,7 +178,8 @@
         serving: usize,
     },
     /// A target was put into quarantine by this node.
-    Quarantine {
+    #[serde(rename = "quarantine")]
+    TargetQuarantined {
         /// Its id.
         target: &'a str,
         /// What it did last.
@@ -163,14 +188,15 @@
         id: &'a str,
     },
     /// A target ended while it had a call.
-    TargetEnded {
+    #[serde(rename = "target_ended")]
+    TargetCrashed {
         /// The target's id.
         target: &'a str,
         /// The call's id.
         id: &'a str,
         /// What it has in common with other tries of the same call.
-        #[serde(serialize_with = "as_text")]
-        print: CallFingerprint,
+        #[serde(rename = "print", serialize_with = "as_text")]
+        fingerprint: CallFingerprint,
         /// Whether it counts against the call: not when targets have answered the same call lately.
         counts: bool,
     },
@@ -184,7 +210,8 @@
         id: &'a str,
     },
     /// The answer of a target named another limit than before.
-    TargetLimit {
+    #[serde(rename = "target_limit")]
+    TargetRateLimit {
         /// The target's id.
         target: &'a str,
         /// Its service.
@@ -195,18 +222,21 @@
         id: &'a str,
     },
     /// A target refused a request and wants nothing from this node for a while.
-    TargetRests {
+    #[serde(rename = "target_rests")]
+    TargetCooldown {
         /// The target's id.
         target: &'a str,
         /// Its service.
         service: &'a str,
         /// For how long, in milliseconds.
-        rest_ms: u64,
+        #[serde(rename = "rest_ms")]
+        cooldown_ms: u64,
         /// The call that it refused; empty for pieces.
         id: &'a str,
     },
     /// A call was turned away because every target that may get it wants nothing from this node.
-    AtRest {
+    #[serde(rename = "at_rest")]
+    TargetsCoolingDown {
         /// The call's id.
         id: &'a str,
         /// The service.
@@ -215,7 +245,8 @@
         wait_ms: u64,
     },
     /// A call found no room at any target that is usable, since each takes so many calls a second and no more.
-    AtLimit {
+    #[serde(rename = "at_limit")]
+    TargetsAtLimit {
         /// The call's id.
         id: &'a str,
         /// The service.
@@ -233,29 +264,34 @@
         limited: usize,
     },
     /// Other calls than before get no target, since targets have ended under them.
-    CallsRefused {
+    #[serde(rename = "calls_refused")]
+    BlockedCallsChanged {
         /// How many get none.
-        calls: usize,
+        #[serde(rename = "calls")]
+        blocked: usize,
         /// Calls under which this node knows of any target that has ended.
-        known: usize,
+        #[serde(rename = "known")]
+        crash_records: usize,
     },
     /// A call was turned away, or not sent again, because targets end under it.
-    KeptAway {
+    #[serde(rename = "kept_away")]
+    CallBlocked {
         /// The call's id.
         id: &'a str,
         /// What it has in common with the tries under which they ended.
-        #[serde(serialize_with = "as_text")]
-        print: CallFingerprint,
+        #[serde(rename = "print", serialize_with = "as_text")]
+        fingerprint: CallFingerprint,
         /// Milliseconds until it may go to a target again.
         wait_ms: u64,
     },
     /// A call was taken.
-    Admitted {
+    #[serde(rename = "admitted")]
+    CallAdmitted {
         /// The call's id.
         id: &'a str,
         /// What it has in common with other tries of the same call.
-        #[serde(serialize_with = "as_text")]
-        print: CallFingerprint,
+        #[serde(rename = "print", serialize_with = "as_text")]
+        fingerprint: CallFingerprint,
         /// Its route.
         route: &'a str,
         /// Its organisation.
@@ -263,14 +299,16 @@
         /// Its priority.
         rank: u8,
         /// Milliseconds that it has.
-        left_ms: u64,
+        #[serde(rename = "left_ms")]
+        time_left_ms: u64,
         /// Milliseconds that it is expected to take.
         expected_ms: u64,
         /// The configuration's version.
         version: u64,
     },
     /// A call was refused because it would be late.
-    Refused {
+    #[serde(rename = "refused")]
+    CallRefused {
         /// The call's id.
         id: &'a str,
         /// Its route.
@@ -278,18 +316,21 @@
         /// Its priority.
         rank: u8,
         /// Milliseconds within which its first output should come.
-        aim_ms: u64,
+        #[serde(rename = "aim_ms")]
+        objective_ms: u64,
         /// Milliseconds that it was expected to take.
         expected_ms: u64,
         /// How many of them it would wait.
         wait_ms: u64,
         /// The pool that it would wait for longest.
-        slowest: &'a str,
+        #[serde(rename = "slowest")]
+        slowest_pool: &'a str,
         /// The configuration's version.
         version: u64,
     },
     /// A stage of a call ended.
-    Stage {
+    #[serde(rename = "stage")]
+    StageEnded {
         /// The call's id.
         id: &'a str,
         /// The stage's place.
@@ -301,29 +342,35 @@
         /// The node that made the calls.
         owner: &'a str,
         /// What became of it.
-        end: &'a str,
+        #[serde(rename = "end")]
+        outcome: &'a str,
         /// Milliseconds that it took.
         took_ms: u64,
     },
     /// A call with pieces of several requests ended at a pool's target.
-    PoolCall {
+    #[serde(rename = "pool_call")]
+    BatchEnded {
         /// The target's id.
         target: &'a str,
         /// Its pieces.
         pieces: usize,
         /// How many of them were made.
-        made: usize,
+        #[serde(rename = "made")]
+        computed: usize,
         /// Pieces that still wait for the pool.
         waiting: u32,
         /// Kilobytes of inputs that were fetched from another zone.
-        far_kb: u64,
+        #[serde(rename = "far_kb")]
+        cross_zone_kb: u64,
         /// What became of the call.
-        end: &'a str,
+        #[serde(rename = "end")]
+        outcome: &'a str,
         /// Milliseconds that it took.
         took_ms: u64,
     },
     /// A call was sent to a target.
-    Sent {
+    #[serde(rename = "sent")]
+    CallSent {
         /// The call's id.
         id: &'a str,
         /// The service.
@@ -331,16 +378,21 @@
         /// The target's id.
         target: &'a str,
         /// Which send it is, from 1.
-        send: u32,
+        #[serde(rename = "send")]
+        send_number: u32,
         /// Milliseconds that the target may take.
-        left_ms: u64,
+        #[serde(rename = "left_ms")]
+        time_left_ms: u64,
         /// Kilobytes of inputs that it fetches from another zone.
-        far_kb: u64,
+        #[serde(rename = "far_kb")]
+        cross_zone_kb: u64,
         /// Why it was sent again; empty the first time.
-        retry: &'a str,
+        #[serde(rename = "retry")]
+        retry_reason: &'a str,
     },
     /// A call ended.
-    Ended {
+    #[serde(rename = "ended")]
+    CallEnded {
         /// The call's id.
         id: &'a str,
         /// Its route.
@@ -356,44 +408,48 @@
         /// The target or node at which it failed.
         peer: &'a str,
         /// When it may come back, in milliseconds.
-        come_back_ms: u64,
+        #[serde(rename = "come_back_ms")]
+        retry_after_ms: u64,
         /// Milliseconds until the first output.
-        first_ms: u64,
+        #[serde(rename = "first_ms")]
+        first_output_ms: u64,
         /// Milliseconds all in all.
         took_ms: u64,
     },
     /// A caller's connection ended while the kernel had not taken all of an answer.
-    Undelivered {
+    #[serde(rename = "undelivered")]
+    AnswerUndelivered {
         /// The id of the call that was answered last on it.
         id: &'a str,
         /// What went wrong.
         cause: &'a str,
     },
     /// Lines were dropped in the last second.
-    Dropped {
+    #[serde(rename = "dropped")]
+    LinesDropped {
         /// How many.
         lines: u64,
     },
 }
 
 /// A number of 64 bits as text: many readers of JSON keep 53.
-fn as_text<S: Serializer>(print: &CallFingerprint, serializer: S) -> Result<S::Ok, S::Error> {
-    serializer.collect_str(print)
+fn as_text<S: Serializer>(fingerprint: &CallFingerprint, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.collect_str(fingerprint)
 }
 
 #[derive(Serialize)]
-struct Stamped<'a> {
+struct LogLine<'a> {
     at_ms: u64,
     node: &'a str,
     #[serde(flatten)]
-    line: &'a Line<'a>,
+    event: &'a LogEvent<'a>,
 }
 
 #[derive(Debug, Default)]
-struct Budget {
+struct LineBudget {
     second: u64,
-    good: u32,
-    all: u32,
+    routine: u32,
+    total: u32,
     dropped: u64,
 }
 
@@ -403,7 +459,7 @@
     logger: Arc<Logger>,
     node: Rc<str>,
     settings: LogSettings,
-    budget: Rc<RefCell<Budget>>,
+    budget: Rc<RefCell<LineBudget>>,
 }
 
 impl EventLog {
@@ -437,54 +493,54 @@
     }
 
     /// Writes a line that tells of a change or a failure.
-    pub fn write(&self, now: Time, line: &Line) {
-        self.write_within(now, line, false);
+    pub fn write(&self, now: Time, event: &LogEvent) {
+        self.write_limited(now, event, false);
     }
 
     /// Writes a line of a call that goes well; these are dropped first.
-    pub fn write_good(&self, now: Time, line: &Line) {
-        self.write_within(now, line, true);
+    pub fn write_routine(&self, now: Time, event: &LogEvent) {
+        self.write_limited(now, event, true);
     }
 
-    fn write_within(&self, now: Time, line: &Line, good: bool) {
-        if let Some(dropped) = self.new_second(now) {
-            self.put(now, &Line::Dropped { lines: dropped });
+    fn write_limited(&self, now: Time, event: &LogEvent, routine: bool) {
+        if let Some(dropped) = self.start_second(now) {
+            self.emit(now, &LogEvent::LinesDropped { lines: dropped });
         }
         let mut budget = self.budget.borrow_mut();
-        let over = budget.all >= self.settings.lines_per_s
-            || (good && budget.good >= self.settings.good_lines_per_s);
-        if over {
+        let exceeded = budget.total >= self.settings.lines_per_s
+            || (routine && budget.routine >= self.settings.routine_lines_per_s);
+        if exceeded {
             budget.dropped += 1;
             return;
         }
-        budget.all += 1;
-        budget.good += u32::from(good);
+        budget.total += 1;
+        budget.routine += u32::from(routine);
         drop(budget);
-        self.put(now, line);
+        self.emit(now, event);
     }
 
     /// Starts a new second's budget; tells how many lines the last one dropped, if any.
-    fn new_second(&self, now: Time) -> Option<u64> {
+    fn start_second(&self, now: Time) -> Option<u64> {
         let second = now.0 / 1_000_000;
         let mut budget = self.budget.borrow_mut();
         if budget.second == second {
             return None;
         }
         let dropped = budget.dropped;
-        *budget = Budget {
+        *budget = LineBudget {
             second,
-            ..Budget::default()
+            ..LineBudget::default()
         };
         (dropped > 0).then_some(dropped)
     }
 
-    fn put(&self, now: Time, line: &Line) {
-        let stamped = Stamped {
+    fn emit(&self, now: Time, event: &LogEvent) {
+        let line = LogLine {
             at_ms: now.as_millis(),
             node: &self.node,
-            line,
+            event,
         };
-        if let Ok(text) = serde_json::to_string(&stamped) {
+        if let Ok(text) = serde_json::to_string(&line) {
             spdlog::info!(logger: self.logger, "{text}");
         }
     }
--- a/crates/barleyspool_gateway/src/failure.rs
+++ b/crates/barleyspool_gateway/src/failure.rs
@@ -14,7 +14,7 @@
     /// The target or node at which it arose; empty for this node.
     pub peer: String,
     /// When to come back; zero when coming back does not help.
-    pub come_back: Span,
+    pub retry_after: Span,
 }
 
 impl CallFailure {
@@ -25,7 +25,7 @@
             verdict: Verdict::NotRun,
             step: String::new(),
             peer: String::new(),
-            come_back: Span::ZERO,
+            retry_after: Span::ZERO,
         }
     }
 
@@ -38,8 +38,8 @@
     }
 
     /// The same, with when to come back.
-    pub fn after(mut self, come_back: Span) -> Self {
-        self.come_back = come_back;
+    pub fn with_retry_after(mut self, retry_after: Span) -> Self {
+        self.retry_after = retry_after;
         self
     }
 
--- a/crates/barleyspool_gateway/src/gateway.rs
+++ b/crates/barleyspool_gateway/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::adapters::{Adapters, Source};
 use crate::control::ControlState;
-use crate::event_log::{EventLog, Line};
+use crate::event_log::{EventLog, LogEvent};
 use crate::settings::GatewaySettings;
 use crate::shared::Shared;
 use crate::{control, traffic};
@@ -72,18 +72,18 @@
             clock,
             plan: ArcSwap::default(),
             plan_changed: watch::Sender::new(0),
-            refused: ArcSwap::default(),
+            blocked_calls: ArcSwap::default(),
             counters: ArcSwap::default(),
-            updates_waiting: AtomicUsize::new(0),
-            updates_outdated: AtomicU64::new(0),
+            queued_updates: AtomicUsize::new(0),
+            outdated_suspicions: AtomicU64::new(0),
             datagrams_unreadable: AtomicU64::new(0),
             source_calls: AtomicU64::new(0),
-            source_answered: AtomicU64::new(0),
-            source_reader: AtomicBool::new(true),
-            asked: AtomicU64::new(0),
-            ask_failed: AtomicU64::new(0),
+            source_answered_at: AtomicU64::new(0),
+            is_source_reader: AtomicBool::new(true),
+            peer_requests: AtomicU64::new(0),
+            failed_peer_requests: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
-            open_callers: AtomicUsize::new(0),
+            caller_connections: AtomicUsize::new(0),
             stop: watch::Sender::default(),
             listener_closed: AtomicBool::new(false),
             listening: AtomicBool::new(false),
@@ -106,28 +106,35 @@
         let pieces = bind(&traffic_runtime, settings.pieces)?;
         let forwarder = Forwarder::new(forward_settings(&shared)).map_err(GatewayError::Chart)?;
 
-        let (of_traffic, adapters_of_traffic, logger_of_traffic) =
+        let (traffic_shared, traffic_adapters, traffic_logger) =
             (Arc::clone(&shared), adapters.clone(), Arc::clone(&logger));
-        let (sightings, seen) = mpsc::unbounded_channel();
+        let (observations, observed) = mpsc::unbounded_channel();
         let mut threads = Threads::default();
         let traffic = move || {
-            let log = log_of(&of_traffic, logger_of_traffic);
+            let log = event_log(&traffic_shared, traffic_logger);
             let ports = traffic::TrafficPorts { callers, pieces };
-            let work = traffic::run(of_traffic, adapters_of_traffic, forwarder, log, ports, sightings);
+            let work = traffic::run(
+                traffic_shared,
+                traffic_adapters,
+                forwarder,
+                log,
+                ports,
+                observations,
+            );
             LocalSet::new().block_on(&traffic_runtime, work);
         };
         threads.spawn("traffic", traffic).map_err(GatewayError::Thread)?;
-        let of_control = Arc::clone(&shared);
+        let control_shared = Arc::clone(&shared);
         let control = move || {
-            let log = log_of(&of_control, logger);
-            let started = Line::Started {
+            let log = event_log(&control_shared, logger);
+            let started = LogEvent::Started {
                 version: env!("CARGO_PKG_VERSION"),
-                zone: &of_control.settings.zone,
+                zone: &control_shared.settings.zone,
             };
-            log.write(of_control.clock.now(), &started);
-            let source: Rc<dyn Source> = Rc::new(source(&of_control.settings));
-            let state = ControlState::new(of_control, log);
-            let work = control::run(state, adapters.directory, source, file, ports, metrics, seen);
+            log.write(control_shared.clock.now(), &started);
+            let source: Rc<dyn Source> = Rc::new(source(&control_shared.settings));
+            let state = ControlState::new(control_shared, log);
+            let work = control::run(state, adapters.directory, source, file, ports, metrics, observed);
             LocalSet::new().block_on(&control_runtime, work);
         };
         threads.spawn("control", control).map_err(GatewayError::Thread)?;
@@ -154,7 +161,7 @@
     }
 }
 
-fn log_of(shared: &Shared, logger: Arc<spdlog::Logger>) -> EventLog {
+fn event_log(shared: &Shared, logger: Arc<spdlog::Logger>) -> EventLog {
     EventLog::new(logger, &shared.settings.node, shared.settings.log.clone())
 }
 
--- a/crates/barleyspool_gateway/src/lib.rs
+++ b/crates/barleyspool_gateway/src/lib.rs
@@ -22,7 +22,7 @@
     Adapters, AddressQuery, AnswerHead, CallerAdapter, DirectoryAdapter, Feed, PoolAdapter, SendHead, Source,
     SourceChange, SourceChanges, SourceError, SourceFuture, SourcePage, TargetAdapter,
 };
-pub use event_log::{EventLog, Line};
+pub use event_log::{EventLog, LogEvent};
 pub use failure::CallFailure;
 pub use gateway::{Gateway, GatewayError};
 pub use settings::{GatewaySettings, LogSettings, RetrySettings};
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// One example of each counter, for its name.
-const KINDS: &[Counter] = &[
+const COUNTER_EXAMPLES: &[Counter] = &[
     Counter::Arrived,
     Counter::Complete(0),
     Counter::RefusedNotRun(Reason::InvalidCall),
@@ -48,8 +48,8 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("barleyspool");
-        for kind in KINDS {
-            register(&meter, kind.name(), shared);
+        for example in COUNTER_EXAMPLES {
+            register_counter(&meter, example.name(), shared);
         }
         register_gauges(&meter, shared);
         Ok(Self {
@@ -67,7 +67,7 @@
     }
 }
 
-fn register(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
+fn register_counter(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter(format!("barleyspool_{name}"))
@@ -82,70 +82,72 @@
 }
 
 fn register_gauges(meter: &Meter, shared: &Arc<Shared>) {
-    gauge(meter, shared, "configuration_version", |shared| {
+    register_gauge(meter, shared, "configuration_version", |shared| {
         let plan = shared.plan.load();
         plan.catalog.as_ref().map_or(0, |catalog| catalog.version().0)
     });
-    gauge(meter, shared, "targets_limited", |shared| {
+    register_gauge(meter, shared, "targets_limited", |shared| {
         shared.plan.load().count_rate_limited() as u64
     });
-    gauge(meter, shared, "members_serving", |shared| {
+    register_gauge(meter, shared, "members_serving", |shared| {
         shared.plan.load().members.len() as u64
     });
-    gauge(meter, shared, "member_updates_waiting", |shared| {
-        shared.updates_waiting.load(Ordering::Relaxed) as u64
+    register_gauge(meter, shared, "member_updates_waiting", |shared| {
+        shared.queued_updates.load(Ordering::Relaxed) as u64
     });
-    total(meter, shared, "member_updates_outdated", |shared| {
-        &shared.updates_outdated
+    register_total(meter, shared, "member_updates_outdated", |shared| {
+        &shared.outdated_suspicions
     });
-    total(meter, shared, "member_datagrams_unreadable", |shared| {
+    register_total(meter, shared, "member_datagrams_unreadable", |shared| {
         &shared.datagrams_unreadable
     });
-    gauge(meter, shared, "source_reader", |shared| {
-        u64::from(shared.source_reader.load(Ordering::Relaxed))
+    register_gauge(meter, shared, "source_reader", |shared| {
+        u64::from(shared.is_source_reader.load(Ordering::Relaxed))
     });
-    gauge(meter, shared, "source_silence_ms", |shared| {
-        let answered = Time(shared.source_answered.load(Ordering::Relaxed));
+    register_gauge(meter, shared, "source_silence_ms", |shared| {
+        let answered = Time(shared.source_answered_at.load(Ordering::Relaxed));
         shared.clock.now().since(answered).as_millis()
     });
-    total(meter, shared, "source_calls", |shared| &shared.source_calls);
-    total(meter, shared, "source_asked", |shared| &shared.asked);
-    total(meter, shared, "source_ask_failed", |shared| &shared.ask_failed);
-    gauge(meter, shared, "targets_listed", |shared| {
-        counts(shared).listed as u64
+    register_total(meter, shared, "source_calls", |shared| &shared.source_calls);
+    register_total(meter, shared, "source_asked", |shared| &shared.peer_requests);
+    register_total(meter, shared, "source_ask_failed", |shared| {
+        &shared.failed_peer_requests
     });
-    gauge(meter, shared, "targets_leaving", |shared| {
-        counts(shared).leaving as u64
+    register_gauge(meter, shared, "targets_listed", |shared| {
+        target_counts(shared).listed as u64
     });
-    gauge(meter, shared, "targets_evacuated", |shared| {
-        counts(shared).evacuated as u64
+    register_gauge(meter, shared, "targets_leaving", |shared| {
+        target_counts(shared).leaving as u64
     });
-    gauge(meter, shared, "targets_unreadable", |shared| {
-        counts(shared).unreadable as u64
+    register_gauge(meter, shared, "targets_evacuated", |shared| {
+        target_counts(shared).evacuated as u64
     });
-    gauge(meter, shared, "targets_doubted", |shared| {
-        counts(shared).unverified as u64
+    register_gauge(meter, shared, "targets_unreadable", |shared| {
+        target_counts(shared).unreadable as u64
     });
-    gauge(meter, shared, "targets_restarted", |shared| {
-        counts(shared).restarted as u64
+    register_gauge(meter, shared, "targets_doubted", |shared| {
+        target_counts(shared).unverified as u64
     });
-    gauge(meter, shared, "calls_refused_by_print", |shared| {
-        shared.refused.load().count(shared.clock.now()) as u64
+    register_gauge(meter, shared, "targets_restarted", |shared| {
+        target_counts(shared).restarted as u64
     });
-    gauge(meter, shared, "calls_in_flight", |shared| {
+    register_gauge(meter, shared, "calls_refused_by_print", |shared| {
+        shared.blocked_calls.load().count(shared.clock.now()) as u64
+    });
+    register_gauge(meter, shared, "calls_in_flight", |shared| {
         shared.in_flight.load(Ordering::Relaxed) as u64
     });
-    gauge(meter, shared, "callers_connected", |shared| {
-        shared.open_callers.load(Ordering::Relaxed) as u64
+    register_gauge(meter, shared, "callers_connected", |shared| {
+        shared.caller_connections.load(Ordering::Relaxed) as u64
     });
 }
 
-fn counts(shared: &Shared) -> TargetCounts {
+fn target_counts(shared: &Shared) -> TargetCounts {
     TargetCounts::of(&shared.plan.load().targets)
 }
 
 /// A value that goes up and down, read when somebody looks.
-fn gauge(meter: &Meter, shared: &Arc<Shared>, name: &str, value: fn(&Shared) -> u64) {
+fn register_gauge(meter: &Meter, shared: &Arc<Shared>, name: &str, value: fn(&Shared) -> u64) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_gauge(format!("barleyspool_{name}"))
@@ -154,7 +156,7 @@
 }
 
 /// A count that only rises, read when somebody looks.
-fn total(meter: &Meter, shared: &Arc<Shared>, name: &str, count: fn(&Shared) -> &AtomicU64) {
+fn register_total(meter: &Meter, shared: &Arc<Shared>, name: &str, count: fn(&Shared) -> &AtomicU64) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter(format!("barleyspool_{name}"))
--- a/crates/barleyspool_gateway/src/settings.rs
+++ b/crates/barleyspool_gateway/src/settings.rs
@@ -57,7 +57,8 @@
     /// Lines a second at the most; what is over is dropped and counted.
     pub lines_per_s: u32,
     /// Lines a second for calls that went well; the rest of the budget is kept for the others.
-    pub good_lines_per_s: u32,
+    #[serde(rename = "good_lines_per_s")]
+    pub routine_lines_per_s: u32,
     /// Lines that may wait to be written.
     pub queue: u32,
 }
@@ -92,7 +93,8 @@
     /// The source of configuration and targets.
     pub source: SocketAddr,
     /// How long callers may keep addresses, in milliseconds; at least 100.
-    pub address_keep_ms: u64,
+    #[serde(rename = "address_keep_ms")]
+    pub address_ttl_ms: u64,
     /// How long after a stop was asked for new calls are still taken, in milliseconds.
     pub stop_accept_ms: u64,
     /// How long after a stop was asked for the process ends at the latest, in milliseconds.
@@ -138,8 +140,8 @@
     }
 
     fn check(&self, name: &str) -> Result<(), GatewaySettingsError> {
-        let must = |good: bool, field: &'static str, value: String, allowed: &'static str| {
-            if good {
+        let require = |valid: bool, field: &'static str, value: String, allowed: &'static str| {
+            if valid {
                 return Ok(());
             }
             Err(GatewaySettingsError::Value {
@@ -149,56 +151,56 @@
                 allowed,
             })
         };
-        must(!self.node.is_empty(), "node", self.node.clone(), "a name")?;
-        must(!self.zone.is_empty(), "zone", self.zone.clone(), "a name")?;
-        must(
-            self.address_keep_ms >= 100,
+        require(!self.node.is_empty(), "node", self.node.clone(), "a name")?;
+        require(!self.zone.is_empty(), "zone", self.zone.clone(), "a name")?;
+        require(
+            self.address_ttl_ms >= 100,
             "address_keep_ms",
-            self.address_keep_ms.to_string(),
+            self.address_ttl_ms.to_string(),
             "100 or more",
         )?;
-        must(
+        require(
             self.stop_accept_ms < self.stop_end_ms,
             "stop_end_ms",
             self.stop_end_ms.to_string(),
             "more than stop_accept_ms",
         )?;
         let ratio = self.retry.ratio;
-        must(
+        require(
             (0.0..=1.0).contains(&ratio),
             "retry.ratio",
             ratio.to_string(),
             "0 to 1",
         )?;
         let fixed = self.retry.fixed;
-        must(fixed >= 0.0, "retry.fixed", fixed.to_string(), "0 or more")?;
+        require(fixed >= 0.0, "retry.fixed", fixed.to_string(), "0 or more")?;
         let window = self.retry.window_s;
-        must(window > 0.0, "retry.window_s", window.to_string(), "above 0")?;
-        must(
+        require(window > 0.0, "retry.window_s", window.to_string(), "above 0")?;
+        require(
             self.link_mbps >= 1.0,
             "link_mbps",
             self.link_mbps.to_string(),
             "1 or more",
         )?;
-        must(
+        require(
             self.body_memory_mb >= 1,
             "body_memory_mb",
             self.body_memory_mb.to_string(),
             "1 or more",
         )?;
-        must(
+        require(
             !self.callers_resend_keys,
             "callers_resend_keys",
             self.callers_resend_keys.to_string(),
             "false: keys are remembered by barleyspool-entry only",
         )?;
-        must(
-            self.log.good_lines_per_s <= self.log.lines_per_s,
+        require(
+            self.log.routine_lines_per_s <= self.log.lines_per_s,
             "log.good_lines_per_s",
-            self.log.good_lines_per_s.to_string(),
+            self.log.routine_lines_per_s.to_string(),
             "at most log.lines_per_s",
         )?;
-        must(
+        require(
             self.log.queue >= 1,
             "log.queue",
             self.log.queue.to_string(),
@@ -207,8 +209,8 @@
     }
 
     /// How long callers may keep addresses.
-    pub fn address_keep(&self) -> Span {
-        Span::from_millis(self.address_keep_ms)
+    pub fn address_ttl(&self) -> Span {
+        Span::from_millis(self.address_ttl_ms)
     }
 
     /// Whether this node is one of its seeds, which others ask first.
@@ -217,7 +219,7 @@
     }
 
     /// The node's link, in whole Mbit/s.
-    pub fn link(&self) -> u32 {
+    pub fn link_mbps(&self) -> u32 {
         self.link_mbps as u32
     }
 
--- a/crates/barleyspool_gateway/src/shared.rs
+++ b/crates/barleyspool_gateway/src/shared.rs
@@ -9,23 +9,23 @@
 
 /// What the traffic thread has seen of a run of a target and tells the control thread, for other nodes.
 #[derive(Copy, Clone, Debug)]
-pub enum Sighting {
+pub enum TargetObservation {
     /// It ended while it had a call.
-    Ended {
+    Crashed {
         /// The call.
-        print: CallFingerprint,
+        fingerprint: CallFingerprint,
         /// The run.
-        run: IncarnationId,
+        incarnation: IncarnationId,
     },
     /// An answer said that it leaves.
-    Leaves {
+    Leaving {
         /// The run.
-        run: IncarnationId,
+        incarnation: IncarnationId,
     },
     /// An answer said what it takes.
-    Limit {
+    RateLimit {
         /// The run.
-        run: IncarnationId,
+        incarnation: IncarnationId,
         /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
         per_s: Option<f64>,
     },
@@ -43,29 +43,29 @@
     /// Tells the traffic thread that the plan was replaced.
     pub plan_changed: watch::Sender<u64>,
     /// Calls that get no target for a while, since targets have ended under them.
-    pub refused: ArcSwap<BlockedCalls>,
+    pub blocked_calls: ArcSwap<BlockedCalls>,
     /// What the traffic thread last counted.
     pub counters: ArcSwap<Counters>,
     /// Nodes whose updates wait to be passed on.
-    pub updates_waiting: AtomicUsize,
+    pub queued_updates: AtomicUsize,
     /// Suspicions that were ignored because the teller knew older facts.
-    pub updates_outdated: AtomicU64,
+    pub outdated_suspicions: AtomicU64,
     /// Datagrams of other nodes that could not be read.
     pub datagrams_unreadable: AtomicU64,
     /// Calls to the source.
     pub source_calls: AtomicU64,
     /// When the source, or a node that reads it, last told how things are, in microseconds of the clock.
-    pub source_answered: AtomicU64,
+    pub source_answered_at: AtomicU64,
     /// Whether this node reads the source for its zone.
-    pub source_reader: AtomicBool,
+    pub is_source_reader: AtomicBool,
     /// Questions to other nodes for what is newer there.
-    pub asked: AtomicU64,
+    pub peer_requests: AtomicU64,
     /// Those that were not answered.
-    pub ask_failed: AtomicU64,
+    pub failed_peer_requests: AtomicU64,
     /// Calls in flight.
     pub in_flight: AtomicUsize,
     /// Callers' connections that are open.
-    pub open_callers: AtomicUsize,
+    pub caller_connections: AtomicUsize,
     /// How far a planned stop is.
     pub stop: watch::Sender<StopPhase>,
     /// Set when every connection of a caller that had been made was taken, and no new one can be made.
@@ -86,8 +86,9 @@
     }
 
     /// Counts a question to another node for what is newer there.
-    pub fn count_asked(&self, answered: bool) {
-        self.asked.fetch_add(1, Ordering::Relaxed);
-        self.ask_failed.fetch_add(u64::from(!answered), Ordering::Relaxed);
+    pub fn count_peer_request(&self, answered: bool) {
+        self.peer_requests.fetch_add(1, Ordering::Relaxed);
+        self.failed_peer_requests
+            .fetch_add(u64::from(!answered), Ordering::Relaxed);
     }
 }
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -6,7 +6,7 @@
 use super::stages;
 use super::stopping;
 use super::target_crashes;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
 use barleyspool_core::{ForwardPlan, PoolSpec, Reason, Route, Span, StopPhase};
 use std::cell::RefCell;
@@ -37,7 +37,7 @@
     target_crashes::check_blocked(call)?;
     if let Some(service) = unserved(call) {
         let failure = CallFailure::not_run(Reason::NoTarget).at(service, "");
-        return Err(failure.after(NO_TARGET_RETRY_AFTER));
+        return Err(failure.with_retry_after(NO_TARGET_RETRY_AFTER));
     }
     let forecast = forecast(call);
     let expected = forecast.total();
@@ -48,31 +48,31 @@
         return Err(stopping::refusal());
     }
     if late || hopeless {
-        let line = Line::Refused {
+        let line = LogEvent::CallRefused {
             id: &call.head.id,
             route: &call.route.name,
             rank: call.rank,
-            aim_ms: objective.as_millis(),
+            objective_ms: objective.as_millis(),
             expected_ms: expected.as_millis(),
             wait_ms: forecast.wait.as_millis(),
-            slowest: &forecast.slowest_pool,
+            slowest_pool: &forecast.slowest_pool,
             version: call.catalog.version().0,
         };
         call.traffic.log.write(now, &line);
         let failure = CallFailure::not_run(Reason::PoolBusy).at(&forecast.slowest_pool, "");
-        return Err(failure.after(forecast.wait));
+        return Err(failure.with_retry_after(forecast.wait));
     }
-    let line = Line::Admitted {
+    let line = LogEvent::CallAdmitted {
         id: &call.head.id,
-        print: call.fingerprint,
+        fingerprint: call.fingerprint,
         route: &call.route.name,
         organisation: &call.organisation,
         rank: call.rank,
-        left_ms: call.deadline.since(now).as_millis(),
+        time_left_ms: call.deadline.since(now).as_millis(),
         expected_ms: expected.as_millis(),
         version: call.catalog.version().0,
     };
-    call.traffic.log.write_good(now, &line);
+    call.traffic.log.write_routine(now, &line);
     Ok(())
 }
 
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -403,7 +403,7 @@
 
 /// Records a failure and builds the answer of this node that reports it.
 fn fail(traffic: &Traffic, guard: Rc<CallGuard>, failure: &CallFailure) -> Response<AnswerBody> {
-    let response = (traffic.adapters.caller.fail)(failure);
+    let response = (traffic.adapters.caller.failure_response)(failure);
     guard.record_failure(response.status().as_u16(), failure);
     response.map(|body| AnswerBody::Whole(WholeBody::refusal(body, guard)))
 }
--- a/crates/barleyspool_gateway/src/traffic/call_guard.rs
+++ b/crates/barleyspool_gateway/src/traffic/call_guard.rs
@@ -1,7 +1,7 @@
 //! Counts calls in flight, and counts and logs their outcomes.
 
 use super::Traffic;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
 use barleyspool_core::{Counter, Reason, Time, Verdict};
 use hyper::StatusCode;
@@ -64,7 +64,7 @@
         }
         let now = self.traffic.now();
         let first = self.first_output_at.get().unwrap_or(now);
-        let line = Line::Ended {
+        let line = LogEvent::CallEnded {
             id: &self.id,
             route: &self.route,
             status,
@@ -72,12 +72,12 @@
             verdict: failure.map_or("", |failure| verdict_name(failure.verdict)),
             step: failure.map_or("", |failure| &failure.step),
             peer: failure.map_or("", |failure| &failure.peer),
-            come_back_ms: failure.map_or(0, |failure| failure.come_back.as_millis()),
-            first_ms: first.since(self.arrived).as_millis(),
+            retry_after_ms: failure.map_or(0, |failure| failure.retry_after.as_millis()),
+            first_output_ms: first.since(self.arrived).as_millis(),
             took_ms: now.since(self.arrived).as_millis(),
         };
         if failure.is_none() && status < 400 {
-            self.traffic.log.write_good(now, &line);
+            self.traffic.log.write_routine(now, &line);
         } else {
             self.traffic.log.write(now, &line);
         }
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -4,7 +4,7 @@
 use super::call::{self, CallId};
 use super::caller_io::{CallerIo, WatchedBody};
 use super::connection_watch::{ConnectionWatch, Overdue};
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use barleyspool_core::{CallerLimits, Counter, Span, StopPhase};
 use barleyspool_wire::net;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -102,7 +102,7 @@
         return;
     };
     traffic.count(Counter::Undelivered);
-    let line = Line::Undelivered {
+    let line = LogEvent::AnswerUndelivered {
         id: &id,
         cause: &with_source(error),
     };
@@ -122,14 +122,14 @@
 
 impl OpenCaller {
     fn new(traffic: &Rc<Traffic>) -> Self {
-        traffic.shared.open_callers.fetch_add(1, Ordering::AcqRel);
+        traffic.shared.caller_connections.fetch_add(1, Ordering::AcqRel);
         Self(Rc::clone(traffic))
     }
 }
 
 impl Drop for OpenCaller {
     fn drop(&mut self) {
-        self.0.shared.open_callers.fetch_sub(1, Ordering::AcqRel);
+        self.0.shared.caller_connections.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -14,7 +14,7 @@
 use super::target_crashes;
 use super::target_reports::{self, SentRequest};
 use crate::adapters::AnswerHead;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
 use barleyspool_core::{
     Counter, NextStep, Reason, RouteKind, SendEnd, SendKey, Span, StageProgress, TargetChoice, next_step,
@@ -94,7 +94,7 @@
         let quarantined = traffic.forwarder.borrow_mut().end(now, key, end);
         if quarantined {
             traffic.count(Counter::Quarantined);
-            let line = Line::Quarantine {
+            let line = LogEvent::TargetQuarantined {
                 target: &self.chosen.id,
                 cause: end.retry_reason().name(),
                 id: &self.call.head.id,
@@ -145,7 +145,7 @@
                     guard: Rc::clone(guard),
                     send,
                     connection: Some(connection),
-                    keep: head.keep,
+                    keep: head.keep_alive,
                     parts: answer_parts(parts),
                     body: Some(body),
                     results,
@@ -191,7 +191,7 @@
             _ => {
                 let failure = CallFailure::not_run(Reason::TargetRefused);
                 return Err(failure
-                    .after(REFUSED_RETRY_AFTER)
+                    .with_retry_after(REFUSED_RETRY_AFTER)
                     .at(&call.service, &send.chosen.id));
             }
         }
@@ -256,8 +256,8 @@
     allowed
 }
 
-/// Logs that a call is sent. `retry` is the reason of a repeated send, and empty for the first one.
-pub fn log_sent(call: &Call, chosen: &TargetChoice, inputs: &[String], retry: &str) {
+/// Logs that a call is sent. `retry_reason` is the reason of a repeated send, and empty for the first one.
+pub fn log_sent(call: &Call, chosen: &TargetChoice, inputs: &[String], retry_reason: &str) {
     let now = call.traffic.now();
     let plan = call.traffic.plan();
     let cross_zone_inputs = plan
@@ -265,17 +265,17 @@
         .get(&chosen.id)
         .map_or(0, |target| plan.count_held_outside(inputs, &target.zone) as u64);
     let history = call.history.get();
-    let line = Line::Sent {
+    let line = LogEvent::CallSent {
         id: &call.head.id,
         service: &call.service,
         target: &chosen.id,
-        send: history.sends + history.unreached + 1,
-        left_ms: call.deadline.since(now).as_millis(),
-        far_kb: call.input_bytes() * cross_zone_inputs / inputs.len().max(1) as u64 / 1000,
-        retry,
+        send_number: history.sends + history.unreached + 1,
+        time_left_ms: call.deadline.since(now).as_millis(),
+        cross_zone_kb: call.input_bytes() * cross_zone_inputs / inputs.len().max(1) as u64 / 1000,
+        retry_reason,
     };
-    if retry.is_empty() {
-        call.traffic.log.write_good(now, &line);
+    if retry_reason.is_empty() {
+        call.traffic.log.write_routine(now, &line);
     } else {
         call.traffic.log.write(now, &line);
     }
@@ -350,7 +350,7 @@
 }
 
 fn keep_alive(head: &AnswerHead) -> Option<Duration> {
-    head.keep.map(duration)
+    head.keep_alive.map(duration)
 }
 
 /// How long a send may take until the header of its answer arrives. A repeatable call with a send left is
--- a/crates/barleyspool_gateway/src/traffic/mod.rs
+++ b/crates/barleyspool_gateway/src/traffic/mod.rs
@@ -31,7 +31,7 @@
 
 use crate::adapters::Adapters;
 use crate::event_log::EventLog;
-use crate::shared::{Shared, Sighting};
+use crate::shared::{Shared, TargetObservation};
 use barleyspool_core::{Counter, Counters, ForecastCorrection, ForwardPlan, Forwarder, Time};
 use barleyspool_wire::process::EssentialTasks;
 use connections::Connections;
@@ -144,7 +144,7 @@
     forwarder: Forwarder,
     log: EventLog,
     ports: TrafficPorts,
-    sightings: mpsc::UnboundedSender<Sighting>,
+    observations: mpsc::UnboundedSender<TargetObservation>,
 ) {
     let traffic = Rc::new(Traffic {
         shared,
@@ -161,8 +161,8 @@
         placements: RefCell::default(),
         planned: RefCell::default(),
         forecast_correction: RefCell::default(),
-        crashes: TargetCrashes::new(sightings.clone()),
-        reports: TargetReports::new(sightings),
+        crashes: TargetCrashes::new(observations.clone()),
+        reports: TargetReports::new(observations),
     });
     traffic.apply_plan();
     let mut tasks = EssentialTasks::default();
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -6,7 +6,7 @@
 use super::pools::PoolId;
 use super::target_reports::{self, SentRequest};
 use crate::adapters::AnswerHead;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use barleyspool_core::{
     BatchCall, BatchKey, BatchOutcome, Counter, OrderKey, OrderOutcome, PieceOrder, PieceOutcome, PieceQueue,
     PieceRequest, PoolSpec, Span, Time,
@@ -205,17 +205,17 @@
         answer.outcome = BatchOutcome::TargetCrashed;
     }
     let now = traffic.now();
-    let line = Line::PoolCall {
+    let line = LogEvent::BatchEnded {
         target: &target,
         pieces,
-        made: computed_count(&answer.outcome),
+        computed: computed_count(&answer.outcome),
         waiting: pool.queue.borrow().waiting(),
-        far_kb: cross_zone_kb,
-        end: outcome_name(&answer.outcome),
+        cross_zone_kb,
+        outcome: outcome_name(&answer.outcome),
         took_ms: now.since(started_at).as_millis(),
     };
     if matches!(answer.outcome, BatchOutcome::Done(_)) {
-        traffic.log.write_good(now, &line);
+        traffic.log.write_routine(now, &line);
     } else {
         traffic.log.write(now, &line);
     }
@@ -319,7 +319,7 @@
 
 async fn send_batch(traffic: &Traffic, call: &BatchCall) -> BatchAnswer {
     let sent_at = traffic.now();
-    let (path, body) = (traffic.adapters.pool.run)(&call.pieces);
+    let (path, body) = (traffic.adapters.pool.run_request)(&call.pieces);
     let Some(request) = request(traffic, path, &call.address, &call.id, body) else {
         return BatchAnswer::without_connection(BatchOutcome::BrokenOff);
     };
@@ -339,7 +339,7 @@
     };
     BatchAnswer {
         outcome: read_outcome(traffic, &head, parts.status, &body.to_bytes()),
-        connection: Some((connection, head.keep.map(duration))),
+        connection: Some((connection, head.keep_alive.map(duration))),
     }
 }
 
@@ -352,7 +352,7 @@
     if !status.is_success() {
         return BatchOutcome::BrokenOff;
     }
-    match (traffic.adapters.pool.run_answer)(body) {
+    match (traffic.adapters.pool.read_run_answer)(body) {
         Some(outcomes) => BatchOutcome::Done(outcomes),
         None => BatchOutcome::BrokenOff,
     }
@@ -370,7 +370,7 @@
         .header("content-type", "application/json")
         .body(Full::new(body))
         .ok()?;
-    (traffic.adapters.pool.prepare)(request.headers_mut(), target);
+    (traffic.adapters.pool.prepare_headers)(request.headers_mut(), target);
     Some(request)
 }
 
@@ -381,7 +381,7 @@
         tokio::time::sleep(RELEASE_DELAY).await;
         let releasable = pool.queue.borrow_mut().take_releasable(traffic.now());
         for (address, target, handles) in releasable {
-            let (path, body) = (traffic.adapters.pool.free)(&handles);
+            let (path, body) = (traffic.adapters.pool.release_request)(&handles);
             if let Some(request) = request(&traffic, path, &address, &target, body) {
                 let destination = (address, target);
                 spawn_local(send_release(
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -36,7 +36,7 @@
 /// Looks up the route and the organisation of a call, and refuses calls that are invalid or that the node
 /// cannot accept now.
 pub fn check_header(traffic: &Traffic, parts: &Parts) -> Result<AcceptedHeader, CallFailure> {
-    let head = (traffic.adapters.caller.read)(parts).map_err(|cause| {
+    let head = (traffic.adapters.caller.read_call)(parts).map_err(|cause| {
         let failure = CallFailure::not_run(Reason::InvalidCall);
         failure.at(&cause, "")
     })?;
@@ -45,7 +45,9 @@
     }
     let plan = traffic.plan();
     let Some(catalog) = plan.catalog.clone() else {
-        return Err(CallFailure::not_run(Reason::NoConfiguration).after(NO_CONFIGURATION_RETRY_AFTER));
+        return Err(
+            CallFailure::not_run(Reason::NoConfiguration).with_retry_after(NO_CONFIGURATION_RETRY_AFTER)
+        );
     };
     let Some(route) = catalog.route(&head.host, &head.path).cloned() else {
         return Err(CallFailure::not_run(Reason::UnknownRoute));
@@ -56,7 +58,7 @@
     }
     let limit = traffic.shared.settings.body_memory_mb << 20;
     if traffic.held_bytes.get() > limit {
-        return Err(CallFailure::not_run(Reason::MemoryFull).after(MEMORY_FULL_RETRY_AFTER));
+        return Err(CallFailure::not_run(Reason::MemoryFull).with_retry_after(MEMORY_FULL_RETRY_AFTER));
     }
     Ok(AcceptedHeader {
         organisation: organisation
--- a/crates/barleyspool_gateway/src/traffic/send_request.rs
+++ b/crates/barleyspool_gateway/src/traffic/send_request.rs
@@ -23,17 +23,17 @@
         .body(Full::new(call.body.clone()))
         .ok()?;
     let mut headers = call.headers.clone();
-    drop_connection_headers(&mut headers, call.traffic.adapters.target.of_caller);
+    drop_connection_headers(&mut headers, call.traffic.adapters.target.caller_headers);
     let head = SendHead {
         incarnation: chosen.id.clone(),
         organisation: call.organisation.clone(),
-        left: call.deadline.since(call.traffic.now()),
+        time_left: call.deadline.since(call.traffic.now()),
         rank: call.engine_memory.map(|_| call.rank),
         inputs: inputs.to_vec(),
         resume_after,
-        source: chosen.source.clone(),
+        prefix_source: chosen.source.clone(),
     };
-    (call.traffic.adapters.target.prepare)(&mut headers, &head);
+    (call.traffic.adapters.target.prepare_headers)(&mut headers, &head);
     *request.headers_mut() = headers;
     Some(request)
 }
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -5,7 +5,7 @@
 use super::pools::PoolId;
 use super::stage_results::StageResults;
 use super::target_crashes;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
 use barleyspool_core::{OrderOutcome, PieceOrder, ReadyStage, Reason, Span, StageProgress, rendezvous};
 use futures::StreamExt;
@@ -74,7 +74,9 @@
             }
             OrderOutcome::TooLate(retry_after) => {
                 let failure = CallFailure::not_run(Reason::PoolBusy);
-                return Err(failure.after(retry_after).at(&finished.pool.service, ""));
+                return Err(failure
+                    .with_retry_after(retry_after)
+                    .at(&finished.pool.service, ""));
             }
             OrderOutcome::Moved | OrderOutcome::Failed => {
                 return Err(CallFailure::not_run(Reason::StepFailed).at(&finished.pool.service, ""));
@@ -140,17 +142,17 @@
         Owner::Local => "self",
         Owner::Remote(address) => address,
     };
-    let line = Line::Stage {
+    let line = LogEvent::StageEnded {
         id: &call.head.id,
         stage: ready.stage,
         service,
         pieces: ready.pieces,
         owner,
-        end: outcome_name(&outcome),
+        outcome: outcome_name(&outcome),
         took_ms: now.since(started_at).as_millis(),
     };
     if matches!(outcome, OrderOutcome::Computed(_)) {
-        traffic.log.write_good(now, &line);
+        traffic.log.write_routine(now, &line);
     } else {
         traffic.log.write(now, &line);
     }
--- a/crates/barleyspool_gateway/src/traffic/starting.rs
+++ b/crates/barleyspool_gateway/src/traffic/starting.rs
@@ -27,7 +27,7 @@
 }
 
 fn objective(traffic: &Traffic, parts: &Parts) -> Option<Span> {
-    let head = (traffic.adapters.caller.read)(parts).ok()?;
+    let head = (traffic.adapters.caller.read_call)(parts).ok()?;
     let plan = traffic.plan();
     let route = plan.catalog.as_ref()?.route(&head.host, &head.path)?;
     Some(route.objective)
--- a/crates/barleyspool_gateway/src/traffic/stopping.rs
+++ b/crates/barleyspool_gateway/src/traffic/stopping.rs
@@ -9,7 +9,7 @@
 
 /// The refusal of a call that no work was done for and that another node should serve.
 pub fn refusal() -> CallFailure {
-    CallFailure::not_run(Reason::Leaving).after(RETRY_ELSEWHERE_AFTER)
+    CallFailure::not_run(Reason::Leaving).with_retry_after(RETRY_ELSEWHERE_AFTER)
 }
 
 /// Whether the stop has gone too far for new calls to be accepted.
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -218,7 +218,7 @@
                 call.history.set(history);
                 relay.body = Some(body);
                 relay.connection = Some(connection);
-                relay.keep = head.keep;
+                relay.keep = head.keep_alive;
                 return true;
             }
             Ok(TargetAnswer::Whole(..)) => {
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -4,7 +4,7 @@
 use super::callers::duration;
 use super::grants;
 use super::placement::{self, PlaceResult, Placement};
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
 use barleyspool_core::{ChooseResult, Reason, Span, TargetChoice, TargetQuery, Time};
 use barleyspool_wire::timer;
@@ -176,7 +176,7 @@
 
 fn no_capacity(call: &Call, wait: Span) -> CallFailure {
     let traffic = &call.traffic;
-    let line = Line::AtLimit {
+    let line = LogEvent::TargetsAtLimit {
         id: &call.head.id,
         service: &call.service,
         wait_ms: wait.as_millis(),
@@ -189,7 +189,7 @@
 
 fn cooling_down(call: &Call, wait: Span) -> CallFailure {
     let traffic = &call.traffic;
-    let line = Line::AtRest {
+    let line = LogEvent::TargetsCoolingDown {
         id: &call.head.id,
         service: &call.service,
         wait_ms: wait.as_millis(),
@@ -204,7 +204,7 @@
     let failure = if call.history.get().may_have_run {
         CallFailure::unknown(reason)
     } else {
-        CallFailure::not_run(reason).after(retry_after)
+        CallFailure::not_run(reason).with_retry_after(retry_after)
     };
     failure.at(&call.service, "")
 }
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -7,9 +7,9 @@
 use super::Traffic;
 use super::call::Call;
 use super::connections::Presence;
-use crate::event_log::Line;
+use crate::event_log::LogEvent;
 use crate::failure::CallFailure;
-use crate::shared::Sighting;
+use crate::shared::TargetObservation;
 use barleyspool_core::{
     AnsweredCalls, CallFingerprint, Counter, IncarnationId, Reason, SendEnd, Span, TargetChoice, Time,
 };
@@ -35,16 +35,16 @@
 /// Detects which calls crash targets, as far as this node observes.
 #[derive(Debug)]
 pub struct TargetCrashes {
-    sightings: mpsc::UnboundedSender<Sighting>,
+    observations: mpsc::UnboundedSender<TargetObservation>,
     answered_calls: RefCell<AnsweredCalls>,
     port_checks: RefCell<HashMap<String, PortCheck>>,
 }
 
 impl TargetCrashes {
-    /// Creates a detector that sends the crashes it sees to `sightings`.
-    pub fn new(sightings: mpsc::UnboundedSender<Sighting>) -> Self {
+    /// Creates a detector that sends the crashes it sees to `observations`.
+    pub fn new(observations: mpsc::UnboundedSender<TargetObservation>) -> Self {
         Self {
-            sightings,
+            observations,
             answered_calls: RefCell::default(),
             port_checks: RefCell::default(),
         }
@@ -74,10 +74,10 @@
         let now = traffic.now();
         traffic.count(Counter::TargetCrashed);
         let counts = !self.answered_calls.borrow_mut().contains(now, fingerprint);
-        let line = Line::TargetEnded {
+        let line = LogEvent::TargetCrashed {
             target,
             id,
-            print: fingerprint,
+            fingerprint,
             counts,
         };
         traffic.log.write(now, &line);
@@ -88,9 +88,9 @@
         let incarnation = plan.targets.get(target).map_or(0, |entry| entry.incarnation.0);
         let incarnation = IncarnationId::of(target, incarnation);
         // The receiver, the control thread, is gone only when the process ends.
-        let _ = self.sightings.send(Sighting::Ended {
-            print: fingerprint,
-            run: incarnation,
+        let _ = self.observations.send(TargetObservation::Crashed {
+            fingerprint,
+            incarnation,
         });
     }
 
@@ -137,7 +137,7 @@
 pub fn check_blocked(call: &Call) -> Result<(), CallFailure> {
     let traffic = &call.traffic;
     let now = traffic.now();
-    let Some(wait) = traffic.shared.refused.load().wait(now, call.fingerprint) else {
+    let Some(wait) = traffic.shared.blocked_calls.load().wait(now, call.fingerprint) else {
         return Ok(());
     };
     if traffic
@@ -148,16 +148,16 @@
     {
         return Ok(());
     }
-    let line = Line::KeptAway {
+    let line = LogEvent::CallBlocked {
         id: &call.head.id,
-        print: call.fingerprint,
+        fingerprint: call.fingerprint,
         wait_ms: wait.as_millis(),
     };
     traffic.log.write(now, &line);
     let failure = if call.history.get().may_have_run {
         CallFailure::unknown(Reason::CrashesTargets)
     } else {
-        CallFailure::not_run(Reason::CrashesTargets).after(wait)
+        CallFailure::not_run(Reason::CrashesTargets).with_retry_after(wait)
     };
     Err(failure.at(&call.service, ""))
 }
--- a/crates/barleyspool_gateway/src/traffic/target_reports.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_reports.rs
@@ -2,8 +2,8 @@
 
 use super::Traffic;
 use crate::adapters::AnswerHead;
-use crate::event_log::Line;
-use crate::shared::Sighting;
+use crate::event_log::LogEvent;
+use crate::shared::TargetObservation;
 use barleyspool_core::{CooldownReport, Counter, LimitReport, Time};
 use hyper::http::response::Parts;
 use tokio::sync::mpsc;
@@ -11,18 +11,18 @@
 /// Sends what targets report in their answers to the control thread.
 #[derive(Debug)]
 pub struct TargetReports {
-    sightings: mpsc::UnboundedSender<Sighting>,
+    observations: mpsc::UnboundedSender<TargetObservation>,
 }
 
 impl TargetReports {
-    /// Creates a reporter that sends to `sightings`.
-    pub fn new(sightings: mpsc::UnboundedSender<Sighting>) -> Self {
-        Self { sightings }
+    /// Creates a reporter that sends to `observations`.
+    pub fn new(observations: mpsc::UnboundedSender<TargetObservation>) -> Self {
+        Self { observations }
     }
 
-    fn send(&self, sighting: Sighting) {
+    fn send(&self, observation: TargetObservation) {
         // The receiver, the control thread, is gone only when the process ends.
-        let _ = self.sightings.send(sighting);
+        let _ = self.observations.send(observation);
     }
 }
 
@@ -40,7 +40,7 @@
 /// Reads the header of an answer, and records what it reports of its target. All answers of targets are read
 /// here.
 pub fn read_head(traffic: &Traffic, request: SentRequest, parts: &Parts) -> AnswerHead {
-    let head = (traffic.adapters.target.answer)(parts);
+    let head = (traffic.adapters.target.read_answer_head)(parts);
     if head.misdirected {
         // Another target uses the address now.
         return head;
@@ -48,7 +48,7 @@
     if head.leaving {
         note_leaving(traffic, request);
     }
-    note_cooldown(traffic, request, head.rest);
+    note_cooldown(traffic, request, head.cooldown);
     let id = head.id.as_deref();
     let another_call = id.is_some_and(|id| !request.call.is_empty() && id != request.call);
     if !another_call {
@@ -65,8 +65,8 @@
         .leaving_incarnation(request.sent_at, request.target);
     let Some(incarnation) = incarnation else { return };
     traffic.count(Counter::ReportedLeaving);
-    traffic.reports.send(Sighting::Leaves { run: incarnation });
-    let line = Line::TargetLeaves {
+    traffic.reports.send(TargetObservation::Leaving { incarnation });
+    let line = LogEvent::TargetLeaves {
         target: request.target,
         service: &service(traffic, request.target),
         id: request.call,
@@ -90,10 +90,10 @@
     if !started {
         return;
     }
-    let line = Line::TargetRests {
+    let line = LogEvent::TargetCooldown {
         target: request.target,
         service: &service(traffic, request.target),
-        rest_ms: cooldown.as_millis(),
+        cooldown_ms: cooldown.as_millis(),
         id: request.call,
     };
     traffic.log.write(now, &line);
@@ -111,12 +111,11 @@
             .apply_limit_report(now, request.sent_at, request.target, report);
     let Some(reported) = reported else { return };
     let (incarnation, per_s) = (reported.incarnation, reported.per_s);
-    traffic.reports.send(Sighting::Limit {
-        run: incarnation,
-        per_s,
-    });
+    traffic
+        .reports
+        .send(TargetObservation::RateLimit { incarnation, per_s });
     if reported.changed {
-        let line = Line::TargetLimit {
+        let line = LogEvent::TargetRateLimit {
             target: request.target,
             service: &service(traffic, request.target),
             per_s,
