--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -71,7 +71,7 @@
         };
         let source = query
             .engine_memory
-            .filter(|_| query.copies)
+            .filter(|_| query.can_copy_prefixes)
             .and_then(|memory| self.prefix_source(now, query, memory, &usable, chosen));
         let rate_limited = self
             .rate_limit(now, chosen, self.cold_spec(&query.service))
--- a/crates/barleyspool_core/src/forward/target_query.rs
+++ b/crates/barleyspool_core/src/forward/target_query.rs
@@ -25,7 +25,7 @@
     /// Targets that have already failed this call.
     pub avoid: Vec<TargetKey>,
     /// Whether an engine can copy the shared prefix from another one.
-    pub copies: bool,
+    pub can_copy_prefixes: bool,
     /// How long the call may wait for a rate-limited target.
     pub max_wait: Span,
     /// The shard of engines for which this node places the calls of all nodes, if it does.
--- a/crates/barleyspool_core/tests/forward_choice.rs
+++ b/crates/barleyspool_core/tests/forward_choice.rs
@@ -249,7 +249,7 @@
 fn an_engine_without_the_prefix_gets_the_address_of_one_that_holds_it() {
     let mut forwarder = forwarder(1, 6);
     let query = TargetQuery {
-        copies: true,
+        can_copy_prefixes: true,
         ..engine_query(7)
     };
     let first = choose(&mut forwarder, at(0), &query);
@@ -272,7 +272,7 @@
     }
     assert!(copied > 0, "all eight calls went to one engine");
     let without_copies = TargetQuery {
-        copies: false,
+        can_copy_prefixes: false,
         avoid: vec![first.target],
         ..query
     };
--- a/crates/barleyspool_gateway/src/traffic/answer_body.rs
+++ b/crates/barleyspool_gateway/src/traffic/answer_body.rs
@@ -16,13 +16,13 @@
 /// The body of an answer: complete in memory, or a stream.
 pub enum AnswerBody {
     /// A body that is complete in memory.
-    Whole(WholeBody),
+    Buffered(BufferedBody),
     /// A body that is relayed while the target sends it.
     Stream(RelayedStream),
 }
 
 /// A complete body that is being written.
-pub struct WholeBody {
+pub struct BufferedBody {
     /// The bytes not yet passed to the HTTP library.
     remaining: Bytes,
     /// Counts the call as in flight until the body is dropped.
@@ -33,7 +33,7 @@
     held: Option<HeldBytes>,
 }
 
-impl WholeBody {
+impl BufferedBody {
     /// The body of a refusal by this node; it is a few bytes long and not counted as held.
     pub fn refusal(body: Bytes, guard: Rc<CallGuard>) -> Self {
         Self {
@@ -70,21 +70,21 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, RelayError>>> {
         match &mut *self {
-            Self::Whole(body) => Poll::Ready(body.next().map(|part| Ok(Frame::data(part)))),
+            Self::Buffered(body) => Poll::Ready(body.next().map(|part| Ok(Frame::data(part)))),
             Self::Stream(stream) => Pin::new(stream).poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.remaining.is_empty(),
+            Self::Buffered(body) => body.remaining.is_empty(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.remaining.len() as u64),
+            Self::Buffered(body) => SizeHint::with_exact(body.remaining.len() as u64),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -2,7 +2,7 @@
 
 use super::Traffic;
 use super::admission::{self, PlannedPieces};
-use super::answer_body::{AnswerBody, WholeBody};
+use super::answer_body::{AnswerBody, BufferedBody};
 use super::call_guard::CallGuard;
 use super::callers::duration;
 use super::final_send;
@@ -44,7 +44,7 @@
     /// The memory of one engine of that service, in tokens; `None` when no engines serve it.
     pub engine_memory: Option<u64>,
     /// Whether these engines can copy the cached shared prefix of a prompt from each other.
-    pub copies: bool,
+    pub can_copy_prefixes: bool,
     /// The organisation that its key belongs to.
     pub organisation: String,
     /// The rank of its priority class in the configuration; 0 is the most important.
@@ -75,9 +75,9 @@
     /// How many placement requests were sent to owners for it.
     placements: Cell<u32>,
     /// Targets at which it failed; the choice of its next target avoids them.
-    pub avoid: RefCell<Vec<TargetKey>>,
+    pub failed_targets: RefCell<Vec<TargetKey>>,
     /// The zone in which its stages start; see [`Call::home_zone`].
-    pub home: OnceCell<String>,
+    pub home_zone: OnceCell<String>,
     /// The zone that holds its inputs; empty until its stages are done.
     pub input_zone: RefCell<String>,
     /// The configuration in force when its header was read.
@@ -134,7 +134,7 @@
     Call {
         traffic: Rc::clone(traffic),
         engine_memory: engine.map(|engine| engine.memory_tokens),
-        copies: engine.is_some_and(|engine| engine.copies),
+        can_copy_prefixes: engine.is_some_and(|engine| engine.copies),
         service,
         deadline: stopping::bound_deadline(traffic, arrived + max_wait(&accepted.head, &accepted.route)),
         fingerprint: call_fingerprint(&accepted, &parts, &body),
@@ -152,8 +152,8 @@
         sending: Cell::new(false),
         reserved: RefCell::default(),
         placements: Cell::new(0),
-        avoid: RefCell::default(),
-        home: OnceCell::new(),
+        failed_targets: RefCell::default(),
+        home_zone: OnceCell::new(),
         input_zone: RefCell::default(),
         catalog: accepted.catalog,
         planned: RefCell::default(),
@@ -287,8 +287,8 @@
             prompt_tokens: self.head.tokens.0,
             zone: self.input_zone.borrow().clone(),
             input_bytes: self.input_bytes(),
-            avoid: self.avoid.borrow().clone(),
-            copies: self.copies,
+            avoid: self.failed_targets.borrow().clone(),
+            can_copy_prefixes: self.can_copy_prefixes,
             max_wait: Span::ZERO,
             placing: None,
             for_other_node: false,
@@ -318,7 +318,7 @@
                 shards.zone(shards.pick(key, "", 0.0)).to_owned()
             })
         };
-        self.home.get_or_init(pick_home).clone()
+        self.home_zone.get_or_init(pick_home).clone()
     }
 
     /// The size of the stage results that the call itself reads, in bytes.
@@ -405,5 +405,5 @@
 fn fail(traffic: &Traffic, guard: Rc<CallGuard>, failure: &CallFailure) -> Response<AnswerBody> {
     let response = (traffic.adapters.caller.failure_response)(failure);
     guard.record_failure(response.status().as_u16(), failure);
-    response.map(|body| AnswerBody::Whole(WholeBody::refusal(body, guard)))
+    response.map(|body| AnswerBody::Buffered(BufferedBody::refusal(body, guard)))
 }
--- a/crates/barleyspool_gateway/src/traffic/connections.rs
+++ b/crates/barleyspool_gateway/src/traffic/connections.rs
@@ -109,7 +109,7 @@
             Ok(mut connection) => {
                 // Marked as used, since like any idle connection it may be closed before the next request.
                 connection.used = true;
-                self.put_back(connection, None);
+                self.add_idle(connection, None);
                 Presence::Listening
             }
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Refused,
@@ -132,13 +132,14 @@
         None
     }
 
-    /// Keeps a connection for reuse after a complete answer; `keep` is the idle time that the target states.
-    pub fn put_back(&self, connection: Connection, keep: Option<Duration>) {
+    /// Keeps a connection for reuse after a complete answer; `keep_alive` is the idle time that the target states.
+    pub fn add_idle(&self, connection: Connection, keep_alive: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
         }
-        let keep = keep.map_or(IDLE_TIMEOUT, |keep| keep.saturating_sub(IDLE_MARGIN));
-        let until = boot_time() + keep;
+        let idle_timeout =
+            keep_alive.map_or(IDLE_TIMEOUT, |keep_alive| keep_alive.saturating_sub(IDLE_MARGIN));
+        let until = boot_time() + idle_timeout;
         let address = connection.address.clone();
         let entry = IdleConnection { connection, until };
         self.idle
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -1,6 +1,6 @@
 //! Sends a call to the target that answers it, and retries the send where that is allowed.
 
-use super::answer_body::{AnswerBody, WholeBody};
+use super::answer_body::{AnswerBody, BufferedBody};
 use super::call::Call;
 use super::call_guard::CallGuard;
 use super::callers::duration;
@@ -145,7 +145,7 @@
                     guard: Rc::clone(guard),
                     send,
                     connection: Some(connection),
-                    keep: head.keep_alive,
+                    keep_alive: head.keep_alive,
                     parts: answer_parts(parts),
                     body: Some(body),
                     results,
@@ -153,7 +153,7 @@
                 });
                 return Ok(Outcome::Answered(response));
             }
-            Ok(TargetAnswer::Whole(parts, body, success)) => {
+            Ok(TargetAnswer::Buffered(parts, body, success)) => {
                 let end = SendEnd::Answered { success };
                 send.end(end);
                 record_end(call, end);
@@ -164,12 +164,12 @@
                     guard.record_first_output();
                     guard.record_answer(parts.status);
                     let held = HeldBytes::new(&call.traffic, body.len());
-                    let body = WholeBody::answer(body, held, Rc::clone(guard));
-                    let response = Response::from_parts(answer_parts(parts), AnswerBody::Whole(body));
+                    let body = BufferedBody::answer(body, held, Rc::clone(guard));
+                    let response = Response::from_parts(answer_parts(parts), AnswerBody::Buffered(body));
                     return Ok(Outcome::Answered(response));
                 }
                 retry = end.retry_reason().name();
-                call.avoid.borrow_mut().push(send.chosen.target);
+                call.failed_targets.borrow_mut().push(send.chosen.target);
                 continue;
             }
             Err(end) => end,
@@ -183,7 +183,7 @@
             return Ok(Outcome::InputsGone(results));
         }
         record_end(call, end);
-        call.avoid.borrow_mut().push(send.chosen.target);
+        call.failed_targets.borrow_mut().push(send.chosen.target);
         match step_after(call, end) {
             NextStep::Retry if allow_retry(call, end) => retry = end.retry_reason().name(),
             NextStep::FailUnknown => return Err(unknown_failure(call, &send.chosen)),
@@ -286,7 +286,7 @@
     /// The header of a stream, whose body is still to be read.
     Stream(Parts, Incoming, Connection, AnswerHead),
     /// A whole answer, and whether its status is a success.
-    Whole(Parts, Bytes, bool),
+    Buffered(Parts, Bytes, bool),
 }
 
 /// Sends a call once.
@@ -326,7 +326,7 @@
     if head.misdirected || head.not_run {
         // The answer is small, and its connection can be reused once the answer has been read.
         if Limited::new(body, MAX_ANSWER_BYTES).collect().await.is_ok() {
-            traffic.connections.put_back(connection, keep_alive(&head));
+            traffic.connections.add_idle(connection, keep_alive(&head));
         }
         return Err(SendEnd::Refused {
             misdirected: head.misdirected,
@@ -342,8 +342,8 @@
     }
     match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(body) => {
-            traffic.connections.put_back(connection, keep_alive(&head));
-            Ok(TargetAnswer::Whole(parts, body.to_bytes(), success))
+            traffic.connections.add_idle(connection, keep_alive(&head));
+            Ok(TargetAnswer::Buffered(parts, body.to_bytes(), success))
         }
         Err(_) => Err(SendEnd::BrokenOff),
     }
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -220,7 +220,7 @@
         prompt_tokens: query.prompt_tokens,
         zone: call.zone_of_inputs(),
         input_bytes: query.input_bytes,
-        copies: query.copies,
+        copies: query.can_copy_prefixes,
     })
 }
 
@@ -246,7 +246,7 @@
         zone: request.zone.clone(),
         input_bytes: request.input_bytes,
         avoid,
-        copies: request.copies,
+        can_copy_prefixes: request.copies,
         max_wait: request.max_wait,
         placing: Some(shard),
         for_other_node: request.from != traffic.plan().me,
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -283,7 +283,7 @@
         .borrow_mut()
         .call_ended(traffic.now(), key, answer.outcome);
     match answer.connection {
-        Some((connection, keep)) if usable => traffic.connections.put_back(connection, keep),
+        Some((connection, keep_alive)) if usable => traffic.connections.add_idle(connection, keep_alive),
         Some(_) if done => traffic.count(Counter::Misdirected),
         _ => {}
     }
@@ -413,7 +413,7 @@
         let freed = parts.status.is_success();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         if body.is_ok() {
-            traffic.connections.put_back(connection, None);
+            traffic.connections.add_idle(connection, None);
         }
         if freed {
             pool.queue.borrow_mut().mark_freed(&handles);
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -44,7 +44,7 @@
     /// The connection of that send, reused after a complete stream.
     pub connection: Option<Connection>,
     /// How long the target keeps the idle connection open.
-    pub keep: Option<Span>,
+    pub keep_alive: Option<Span>,
     /// The status and headers of the answer.
     pub parts: Parts,
     /// The body that the target streams.
@@ -115,8 +115,8 @@
         .crashes
         .record_answered(traffic.now(), relay.call.fingerprint);
     if let Some(connection) = relay.connection.take() {
-        let keep = relay.keep.map(duration);
-        relay.call.traffic.connections.put_back(connection, keep);
+        let keep_alive = relay.keep_alive.map(duration);
+        relay.call.traffic.connections.add_idle(connection, keep_alive);
     }
     // Fails only when the caller has disconnected, and then nobody waits for the end of the stream.
     let _ = sender.send(RelayItem::End).await;
@@ -201,7 +201,7 @@
         if step != NextStep::Retry || !final_send::allow_retry(&call, end) {
             return false;
         }
-        call.avoid.borrow_mut().push(relay.send.chosen.target);
+        call.failed_targets.borrow_mut().push(relay.send.chosen.target);
         if target_crashes::check_blocked(&call).is_err() || !recompute_inputs(relay).await {
             return false;
         }
@@ -218,10 +218,10 @@
                 call.history.set(history);
                 relay.body = Some(body);
                 relay.connection = Some(connection);
-                relay.keep = head.keep_alive;
+                relay.keep_alive = head.keep_alive;
                 return true;
             }
-            Ok(TargetAnswer::Whole(..)) => {
+            Ok(TargetAnswer::Buffered(..)) => {
                 history.record_end(SendEnd::Answered { success: false });
                 relay.send.end(SendEnd::Answered { success: false });
             }
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -123,7 +123,7 @@
 /// The target that was reserved for a call, if it can still be used.
 async fn use_reserved(call: &Call) -> Option<Selection> {
     let ReservedTarget { selection, due } = call.reserved.borrow_mut().take()?;
-    let usable = !call.avoid.borrow().contains(&selection.0.target);
+    let usable = !call.failed_targets.borrow().contains(&selection.0.target);
     (usable && wait_until(call, &selection.0, due).await).then_some(selection)
 }
 
