--- a/crates/barleyspool_gateway/src/adapters.rs
+++ b/crates/barleyspool_gateway/src/adapters.rs
@@ -1,7 +1,7 @@
-//! What the gateway is told of the world outside: how callers, targets, pools and the source speak.
+//! The adapters between the gateway and the protocols of callers, targets, stage pools and the configuration source.
 //!
-//! Each adapter is a struct of plain functions between the outside's form and the product's own types. They
-//! translate only: they decide nothing and remember nothing.
+//! Each protocol adapter is a struct of plain functions that convert between the outer format and the gateway's own
+//! types. The functions are stateless and make no decisions.
 
 use crate::CallFailure;
 use barleyspool_core::{
@@ -14,134 +14,135 @@
 use std::future::Future;
 use std::pin::Pin;
 
-/// All adapters of a gateway.
+/// The protocol adapters of a gateway.
 #[derive(Clone)]
 pub struct Adapters {
-    /// The callers'.
+    /// For callers.
     pub caller: CallerAdapter,
-    /// The targets' that answer calls.
+    /// For targets that answer calls.
     pub target: TargetAdapter,
-    /// The stage pools'.
+    /// For targets of stage pools.
     pub pool: PoolAdapter,
-    /// That of callers who ask for addresses.
+    /// For the address directory and the readiness check.
     pub directory: DirectoryAdapter,
 }
 
-/// How callers speak.
+/// The protocol of callers.
 #[derive(Clone)]
 pub struct CallerAdapter {
-    /// Reads a call's head; the error says what is wrong with it.
+    /// Parses the request head of a call; the error describes what is invalid.
     pub read_call: fn(&request::Parts) -> Result<CallHead, String>,
-    /// The answer to a call that no target answered.
+    /// Builds the response to a call that failed without a target's answer.
     pub failure_response: fn(&CallFailure) -> response::Response<Bytes>,
 }
 
-/// What is said to a target with a call.
+/// What the gateway sends to a target in the headers of a call.
 #[derive(Clone, Debug, Default)]
 pub struct SendHead {
-    /// The run of the target that is meant.
+    /// The incarnation of the target that the call is meant for.
     pub incarnation: String,
-    /// The organisation that the call's key belongs to; empty for none.
+    /// The organisation that the call's key belongs to; empty when there is none.
     pub organisation: String,
-    /// How long the target may work.
+    /// The time left until the deadline of the call.
     pub time_left: Span,
-    /// The priority; 0 is the most important.
+    /// The rank of the priority class; 0 is the most important.
     pub rank: Option<u8>,
-    /// The results that the call needs.
+    /// The handles of the stage results that the call reads.
     pub inputs: Vec<String>,
-    /// The last event that the caller has, when a stream goes on.
+    /// The number of the last event that the caller received, when a stream is resumed.
     pub resume_after: Option<u64>,
-    /// The address of an engine that most likely holds the shared beginning of the prompt.
+    /// The address of the engine most likely to have the shared prefix of the prompt cached.
     pub prefix_source: Option<String>,
 }
 
-/// What a target says in the head of its answer.
+/// What a target reports in the head of its answer.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerHead {
-    /// The id of the call that it answers.
+    /// The id of the call that is answered.
     pub id: Option<String>,
-    /// Whether it carries the target's own mark of a whole answer.
+    /// Whether the answer has the header with which a target marks it as its own and complete. A successful answer
+    /// without it counts as interrupted.
     pub sealed: bool,
-    /// Whether it says that the call did not run.
+    /// Whether the target reports that the call did not run.
     pub not_run: bool,
-    /// Whether another target has the address now.
+    /// Whether the address belongs to another target now.
     pub misdirected: bool,
-    /// Whether results that the call needs are gone.
+    /// Whether stage results that the call reads are lost.
     pub inputs_gone: bool,
-    /// Whether the status alone would promise a caller that nothing ran.
+    /// Whether a caller would take the status code alone as a promise that the call did not run.
     pub promises_not_run: bool,
-    /// Whether the body is encoded, which nobody asked for.
+    /// Whether the body has a content encoding, although none was requested.
     pub encoded: bool,
-    /// Its load, if it tells.
+    /// The load of the target, if reported.
     pub load: Option<LoadReport>,
-    /// How long it keeps the connection open at rest, if it tells.
+    /// How long the target keeps the idle connection open, if reported.
     pub keep_alive: Option<Span>,
-    /// Whether it is on its way out.
+    /// Whether the target is shutting down.
     pub leaving: bool,
-    /// Whether it wants nothing from this node for a while.
+    /// The cooldown that the target requests: a time during which this node must not send calls to it.
     pub cooldown: CooldownReport,
-    /// Whether it limits what it takes.
+    /// The rate limit that the target reports.
     pub limit: LimitReport,
 }
 
-/// How targets that answer calls speak.
+/// The protocol of targets that answer calls.
 #[derive(Clone)]
 pub struct TargetAdapter {
-    /// The headers that belong to a call, whatever a caller's `Connection` header says of them.
+    /// The headers that belong to a call. They are forwarded even if the caller's `Connection` header names them.
     pub caller_headers: &'static [HeaderName],
-    /// Turns a caller's headers into those for the target.
+    /// Changes the headers of a caller's request to those of the request to the target.
     pub prepare_headers: fn(&mut HeaderMap, &SendHead),
-    /// Reads the head of an answer.
+    /// Parses the head of an answer.
     pub read_answer_head: fn(&response::Parts) -> AnswerHead,
 }
 
-/// How stage pools speak.
+/// The protocol of stage pools.
 #[derive(Clone)]
 pub struct PoolAdapter {
-    /// The path and body that ask for pieces.
+    /// Builds the path and body of a request that computes pieces.
     pub run_request: fn(&[PieceRequest]) -> (&'static str, Bytes),
-    /// What became of each piece; `None` for an answer that is none.
+    /// Parses the outcome of each piece; `None` when the answer is malformed.
     pub read_run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
-    /// The path and body that free results.
+    /// Builds the path and body of a request that releases results.
     pub release_request: fn(&[String]) -> (&'static str, Bytes),
-    /// Turns a send head into headers.
+    /// Sets the headers of a request to the target with the given id.
     pub prepare_headers: fn(&mut HeaderMap, &str),
 }
 
-/// What a caller asks the directory.
+/// A request for gateway addresses.
 #[derive(Clone, Debug, Default)]
 pub struct AddressQuery {
-    /// The caller's zone.
+    /// The availability zone of the caller.
     pub zone: String,
 }
 
-/// How callers ask for addresses, and how readiness is asked.
+/// The protocol of the address directory and of the readiness check.
 #[derive(Clone)]
 pub struct DirectoryAdapter {
-    /// Where addresses are asked for.
+    /// The path of the address directory.
     pub addresses_path: &'static str,
-    /// Where readiness is asked for.
+    /// The path of the readiness check.
     pub ready_path: &'static str,
-    /// Reads the query of a question.
+    /// Parses the query string of a request for addresses.
     pub read_query: fn(&str) -> AddressQuery,
-    /// The body that names addresses, and how long they may be kept.
+    /// Builds the body with the addresses and their time to live.
     pub addresses_body: fn(&[String], Span) -> Bytes,
 }
 
 // ----------------------------------------------------------------------------
 // The source of configuration and targets
 
-/// What is read from the source.
+/// A part of the source that is read and watched separately.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Feed {
-    /// The configuration, and which zones are evacuated.
+    /// The configuration and the set of evacuated zones.
     Configuration,
     /// The list of targets.
     Targets,
 }
 
 impl Feed {
-    /// Its name in log lines.
+    /// The name of the feed in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -150,72 +151,72 @@
     }
 }
 
-/// One thing that the source told.
+/// One item that was read from the source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceChange {
-    /// A configuration.
+    /// The configuration.
     Configuration(Box<CatalogDocument>),
-    /// A target is new or different.
+    /// A target that was added or changed.
     TargetUpserted(TargetEntry),
-    /// A target is gone.
+    /// A target that was removed, by id.
     TargetRemoved(String),
-    /// The entry of a target cannot be read, so it names none to use.
+    /// The entry of a target cannot be read, so the target cannot be used.
     TargetUnreadable {
         /// The target's id.
         id: String,
         /// The key of its entry.
         key: String,
-        /// What is wrong with the entry.
+        /// Why the entry cannot be read.
         cause: String,
     },
-    /// The operator has a zone evacuated, or opens it again.
+    /// The operator evacuates a zone, or ends its evacuation.
     Evacuation {
         /// The zone.
         zone: String,
-        /// Whether nothing more is to be sent there.
+        /// Whether the zone must receive no more calls.
         evacuated: bool,
     },
-    /// Another item that cannot be read; it is left out.
+    /// Another item that cannot be read and is skipped.
     Malformed {
-        /// Its key.
+        /// The key of the item.
         key: String,
-        /// What is wrong with it.
+        /// Why it cannot be read.
         cause: String,
     },
 }
 
-/// A page of a whole read.
+/// One page of a full read of a feed.
 #[derive(Clone, Debug, Default)]
 pub struct SourcePage {
-    /// What it holds.
+    /// The items of the page.
     pub items: Vec<SourceChange>,
-    /// Where the next page begins; `None` after the last.
+    /// The start of the next page; `None` for the last page.
     pub next: Option<String>,
-    /// The source's revision.
+    /// The revision of the source at which the page was read.
     pub revision: Revision,
 }
 
-/// What has changed since a revision.
+/// The changes of a feed since a revision.
 #[derive(Clone, Debug, Default)]
 pub struct SourceChanges {
-    /// The changes in order.
+    /// The changes, in order.
     pub changes: Vec<SourceChange>,
-    /// Where to go on.
+    /// The revision after these changes, from which the next watch continues.
     pub revision: Revision,
 }
 
-/// Why the source could not be read.
+/// Why a read or watch of the source returned nothing.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum SourceError {
-    /// the source has forgotten its history
+    /// the source no longer has the changes since that revision
     HistoryGone,
-    /// the source has come back from a copy since
+    /// the source was restored from a backup since that revision
     Restored,
-    /// another node knows what this watch should have told
+    /// another node delivered newer data than this read or watch
     Overtaken,
-    /// the source refused: status {0}
+    /// the source refused the request: status {0}
     Refused(u16),
-    /// the source cannot be reached: {0}
+    /// the source is unreachable: {0}
     Unreachable(String),
     /// the source's answer cannot be read: {0}
     Malformed(String),
@@ -223,14 +224,14 @@
 
 impl std::error::Error for SourceError {}
 
-/// A read that is under way.
+/// A read or watch in progress.
 pub type SourceFuture<T> = Pin<Box<dyn Future<Output = Result<T, SourceError>>>>;
 
-/// Where configuration and targets come from. When to read, and what to do when it fails, is decided by the
-/// control thread.
+/// The source of the configuration and of the list of targets. The control thread decides when to read it and how to
+/// handle failures.
 pub trait Source {
-    /// Reads one page of a feed; `from` is where the page begins.
+    /// Reads one page of a feed, starting at `from`, the [`SourcePage::next`] of the previous page.
     fn read(&self, feed: Feed, from: Option<String>) -> SourceFuture<SourcePage>;
-    /// Waits for changes of a feed after `since`, `wait` at the most.
+    /// Waits for changes of a feed after `since`, for at most `wait`.
     fn watch(&self, feed: Feed, since: Revision, wait: Span) -> SourceFuture<SourceChanges>;
 }
--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -1,4 +1,5 @@
-//! Structured logs: one JSON object a line on standard output, bounded and never waited for.
+//! Structured logs: one JSON object per line on standard output. Their rate and their queue are limited, and writing
+//! never blocks a caller.
 
 use crate::LogSettings;
 use barleyspool_core::{CallFingerprint, Time};
@@ -11,7 +12,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// One line. docs/OPERATIONS.md says what each means.
+/// A log event; docs/OPERATIONS.md explains each one.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum LogEvent<'a> {
@@ -19,277 +20,278 @@
     Started {
         /// The version of the program.
         version: &'a str,
-        /// Its zone.
+        /// The availability zone of the node.
         zone: &'a str,
     },
-    /// A planned stop begins.
+    /// A planned stop started.
     Stopping {
-        /// Calls in flight.
+        /// The number of calls in flight.
         in_flight: usize,
     },
-    /// The process ends.
+    /// The process exits.
     Stopped {
-        /// Calls that were cut off.
+        /// Calls that were still in flight and are aborted.
         #[serde(rename = "cut")]
         aborted_calls: usize,
-        /// Callers' connections that were still open: answers may have been on their way on them.
+        /// Connections of callers that were still open; answers may have been in transit on them.
         #[serde(rename = "open")]
         open_connections: usize,
     },
-    /// The machine goes on after a suspension.
+    /// The machine resumed after it was suspended.
     Suspended {
         /// How long it was suspended, in milliseconds.
         slept_ms: u64,
     },
-    /// The settings were read again.
+    /// The settings file was read again.
     #[serde(rename = "reloaded")]
     SettingsReloaded {
-        /// Whether they are in use.
+        /// Whether the file is valid.
         #[serde(rename = "good")]
         valid: bool,
-        /// What is wrong with them, if anything.
+        /// The error; empty when the file is valid.
         cause: &'a str,
     },
-    /// A configuration came into force.
+    /// A configuration was applied.
     #[serde(rename = "configuration")]
     ConfigurationApplied {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The version before.
+        /// The version that it replaces.
         #[serde(rename = "before")]
         previous: u64,
-        /// From whom it came.
+        /// The origin: `source`, or the address of the node that sent it.
         from: &'a str,
     },
-    /// A configuration was offered and refused.
+    /// A configuration was rejected as invalid.
     #[serde(rename = "configuration_refused")]
     ConfigurationRejected {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The first thing that is wrong with it.
+        /// The first error in it.
         cause: &'a str,
-        /// From whom it came.
+        /// The origin: `source`, or the address of the node that sent it.
         from: &'a str,
     },
-    /// An item of the source cannot be read and is left out.
+    /// An item of the source cannot be read and is skipped.
     ItemSkipped {
-        /// Its key.
+        /// The key of the item.
         key: &'a str,
-        /// What is wrong with it.
+        /// Why it cannot be read.
         cause: &'a str,
     },
     /// The list of targets changed.
     #[serde(rename = "targets")]
     TargetsChanged {
-        /// How many there are.
+        /// The number of targets in the list.
         #[serde(rename = "targets")]
         listed: usize,
-        /// How many of them are leaving.
+        /// Targets that are shutting down.
         leaving: usize,
-        /// The source's revision.
+        /// The revision of the source.
         #[serde(rename = "at")]
         revision: u64,
-        /// From whom it came.
+        /// The origin: `source`, the address of a node, `answers` of targets, or `lapsed` for expired entries.
         from: &'a str,
-        /// How many get nothing because their zone is evacuated.
+        /// Targets that receive no calls because their zone is evacuated.
         evacuated: usize,
-        /// How many get nothing because their entries can't be read.
+        /// Targets that receive no calls because their entries cannot be read.
         unreadable: usize,
-        /// How many were seen to run again under their id.
+        /// Targets that restarted under the same id.
         restarted: usize,
-        /// How many get nothing because their entries came back with an older copy of the source.
+        /// Targets that receive no calls because their entries reappeared when the source was restored from a backup, and
+        /// are not verified since.
         #[serde(rename = "doubted")]
         unverified: usize,
     },
-    /// The source has come back from an older copy of itself, so that its revisions go back.
+    /// The source was restored from a backup, so its revision numbers decreased.
     #[serde(rename = "source_went_back")]
     SourceRestored {
-        /// Its era: how often it has, by its own count.
+        /// The era of the source: the number of times that it was restored, by its own count.
         era: u16,
-        /// The revision in the era at which the list of targets stands now.
+        /// The revision of the list of targets, in the new era.
         #[serde(rename = "at")]
         revision: u64,
-        /// The revision at which it stood, in the era before.
+        /// The revision of the list before, in the previous era.
         #[serde(rename = "before")]
         previous_revision: u64,
-        /// From whom it came.
+        /// The origin: `source`, or the address of the node that sent it.
         from: &'a str,
     },
-    /// Other zones than before are evacuated.
+    /// The set of evacuated zones changed.
     #[serde(rename = "evacuated")]
     EvacuationsChanged {
-        /// The zones, separated by commas; empty when none is.
+        /// The evacuated zones, separated by commas; empty when there are none.
         zones: &'a str,
-        /// The source's revision.
+        /// The revision of the source.
         #[serde(rename = "at")]
         revision: u64,
-        /// From whom it came.
+        /// The origin: `source`, or the address of the node that sent it.
         from: &'a str,
     },
-    /// The source was lost or is back.
+    /// A feed of the source became unavailable or available again, or fails for another reason than before.
     #[serde(rename = "source")]
     SourceStatus {
-        /// What was read.
+        /// The feed that was read.
         feed: &'a str,
-        /// Whether it answers.
+        /// Whether the source answers.
         #[serde(rename = "answers")]
         available: bool,
-        /// What went wrong.
+        /// The error; empty when the source answers.
         cause: &'a str,
     },
-    /// This node reads the source for its zone from now on, or no more.
+    /// This node became or ceased to be a reader of the source for its zone.
     #[serde(rename = "reader")]
     ReaderRole {
-        /// Whether it does.
+        /// Whether it is a reader now.
         #[serde(rename = "reads")]
         is_reader: bool,
-        /// Whether it watches for a short time only.
+        /// Whether it uses watches with a short timeout.
         #[serde(rename = "short")]
         short_watch: bool,
-        /// The nodes that answer, itself among them.
+        /// The number of responsive nodes, including this one.
         members: usize,
     },
-    /// Another node was asked for what is newer there and did not tell.
+    /// A request to another node for newer configuration or targets failed.
     #[serde(rename = "ask_failed")]
     PeerRequestFailed {
-        /// Its address.
+        /// The address of the node.
         peer: &'a str,
-        /// What went wrong.
+        /// The error.
         cause: &'a str,
     },
-    /// This node takes the others that it knows for all there are, after a start.
+    /// The view of the other nodes converged after a start: this node most likely knows all of them.
     #[serde(rename = "members")]
     MembersConverged {
-        /// The others that are known.
+        /// The number of known other nodes.
         known: usize,
-        /// Nodes that take calls.
+        /// The number of nodes that accept calls.
         serving: usize,
     },
-    /// What is thought of another node changed.
+    /// The health of another node changed, as far as this node knows.
     #[serde(rename = "member")]
     MemberChanged {
-        /// Its address.
+        /// The address of the node.
         address: &'a str,
-        /// How it is now.
+        /// Its new health.
         health: &'a str,
-        /// What that rests on: its own word, its silence, or the word of another node.
+        /// The evidence: an answer of the node, its silence, or gossip of another node.
         evidence: &'a str,
-        /// Nodes that take calls.
+        /// The number of nodes that accept calls.
         serving: usize,
     },
-    /// A target was put into quarantine by this node.
+    /// This node put a target into quarantine.
     #[serde(rename = "quarantine")]
     TargetQuarantined {
-        /// Its id.
+        /// The target's id.
         target: &'a str,
-        /// What it did last.
+        /// Its last failure.
         cause: &'a str,
-        /// The call at which that showed.
+        /// The id of the call that failed.
         id: &'a str,
     },
-    /// A target ended while it had a call.
+    /// A target crashed while it processed a call.
     #[serde(rename = "target_ended")]
     TargetCrashed {
         /// The target's id.
         target: &'a str,
         /// The call's id.
         id: &'a str,
-        /// What it has in common with other tries of the same call.
+        /// The fingerprint of the call, equal for all its tries.
         #[serde(rename = "print", serialize_with = "as_text")]
         fingerprint: CallFingerprint,
-        /// Whether it counts against the call: not when targets have answered the same call lately.
+        /// Whether the crash counts against the call; it does not if a target answered the same call recently.
         counts: bool,
     },
-    /// The answer of a target said that it leaves, which this node did not know.
+    /// The answer of a target reported that it is shutting down, which this node did not know.
     TargetLeaves {
         /// The target's id.
         target: &'a str,
         /// Its service.
         service: &'a str,
-        /// The call whose answer said so; empty for pieces.
+        /// The id of the call whose answer reported it; empty for pieces.
         id: &'a str,
     },
-    /// The answer of a target named another limit than before.
+    /// The answer of a target reported a changed rate limit.
     #[serde(rename = "target_limit")]
     TargetRateLimit {
         /// The target's id.
         target: &'a str,
         /// Its service.
         service: &'a str,
-        /// The calls a second that it takes; none when it limits nothing any more.
+        /// The calls per second that it accepts; none when it has no limit any more.
         per_s: Option<f64>,
-        /// The call whose answer said so; empty for pieces.
+        /// The id of the call whose answer reported it; empty for pieces.
         id: &'a str,
     },
-    /// A target refused a request and wants nothing from this node for a while.
+    /// A target refused a request and asked this node to send it nothing for a while.
     #[serde(rename = "target_rests")]
     TargetCooldown {
         /// The target's id.
         target: &'a str,
         /// Its service.
         service: &'a str,
-        /// For how long, in milliseconds.
+        /// The duration, in milliseconds.
         #[serde(rename = "rest_ms")]
         cooldown_ms: u64,
-        /// The call that it refused; empty for pieces.
+        /// The id of the refused call; empty for pieces.
         id: &'a str,
     },
-    /// A call was turned away because every target that may get it wants nothing from this node.
+    /// A call was refused because every eligible target asked this node to send it nothing for a while.
     #[serde(rename = "at_rest")]
     TargetsCoolingDown {
         /// The call's id.
         id: &'a str,
         /// The service.
         service: &'a str,
-        /// Milliseconds until the first rest is over.
+        /// Milliseconds until the first of these cooldowns ends.
         wait_ms: u64,
     },
-    /// A call found no room at any target that is usable, since each takes so many calls a second and no more.
+    /// A call was refused because every usable target has reached its rate limit.
     #[serde(rename = "at_limit")]
     TargetsAtLimit {
         /// The call's id.
         id: &'a str,
         /// The service.
         service: &'a str,
-        /// Milliseconds until there is room, by the word of whoever gives it out.
+        /// Milliseconds until capacity is expected, as reported by the nodes that grant it.
         wait_ms: u64,
-        /// Targets of all services that this node knows to name a limit.
+        /// The number of targets of all services that have a rate limit, as far as this node knows.
         limited: usize,
-        /// Whether this node hears all others, as far as it can tell.
+        /// Whether this node receives messages of all others, as far as it can determine.
         steady: bool,
     },
-    /// Limits are others than before, read in answers here or told by other nodes.
+    /// Rate limits of targets changed, as reported in answers to this node or by other nodes.
     LimitsChanged {
-        /// How many targets limit what they take.
+        /// The number of targets with a rate limit.
         limited: usize,
     },
-    /// Other calls than before get no target, since targets have ended under them.
+    /// The set of calls that are blocked because they crash targets changed.
     #[serde(rename = "calls_refused")]
     BlockedCallsChanged {
-        /// How many get none.
+        /// The number of blocked calls.
         #[serde(rename = "calls")]
         blocked: usize,
-        /// Calls under which this node knows of any target that has ended.
+        /// The number of calls with a known crash of a target.
         #[serde(rename = "known")]
         crash_records: usize,
     },
-    /// A call was turned away, or not sent again, because targets end under it.
+    /// A call was refused, or not retried, because it crashes targets.
     #[serde(rename = "kept_away")]
     CallBlocked {
         /// The call's id.
         id: &'a str,
-        /// What it has in common with the tries under which they ended.
+        /// The fingerprint of the call, equal for all its tries.
         #[serde(rename = "print", serialize_with = "as_text")]
         fingerprint: CallFingerprint,
-        /// Milliseconds until it may go to a target again.
+        /// Milliseconds until it may be sent to a target again.
         wait_ms: u64,
     },
-    /// A call was taken.
+    /// A call was admitted.
     #[serde(rename = "admitted")]
     CallAdmitted {
         /// The call's id.
         id: &'a str,
-        /// What it has in common with other tries of the same call.
+        /// The fingerprint of the call, equal for all its tries.
         #[serde(rename = "print", serialize_with = "as_text")]
         fingerprint: CallFingerprint,
         /// Its route.
@@ -298,15 +300,15 @@
         organisation: &'a str,
         /// Its priority.
         rank: u8,
-        /// Milliseconds that it has.
+        /// Milliseconds until its deadline.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
-        /// Milliseconds that it is expected to take.
+        /// Its expected duration, in milliseconds.
         expected_ms: u64,
-        /// The configuration's version.
+        /// The version of the configuration.
         version: u64,
     },
-    /// A call was refused because it would be late.
+    /// A call was refused because it would miss its objective or its deadline.
     #[serde(rename = "refused")]
     CallRefused {
         /// The call's id.
@@ -315,17 +317,17 @@
         route: &'a str,
         /// Its priority.
         rank: u8,
-        /// Milliseconds within which its first output should come.
+        /// The objective of its route for the time to the first output, in milliseconds.
         #[serde(rename = "aim_ms")]
         objective_ms: u64,
-        /// Milliseconds that it was expected to take.
+        /// Its expected duration, in milliseconds.
         expected_ms: u64,
-        /// How many of them it would wait.
+        /// The part of that duration spent in queues, in milliseconds.
         wait_ms: u64,
-        /// The pool that it would wait for longest.
+        /// The pool with the longest queueing delay.
         #[serde(rename = "slowest")]
         slowest_pool: &'a str,
-        /// The configuration's version.
+        /// The version of the configuration.
         version: u64,
     },
     /// A stage of a call ended.
@@ -333,39 +335,39 @@
     StageEnded {
         /// The call's id.
         id: &'a str,
-        /// The stage's place.
+        /// The index of the stage in the route.
         stage: usize,
-        /// Its pool.
+        /// The service of its pool.
         service: &'a str,
-        /// Its pieces.
+        /// The number of its pieces.
         pieces: u32,
-        /// The node that made the calls.
+        /// The node that owns the pool and made the batch calls; `self` for this node.
         owner: &'a str,
-        /// What became of it.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: &'a str,
-        /// Milliseconds that it took.
+        /// Its duration, in milliseconds.
         took_ms: u64,
     },
-    /// A call with pieces of several requests ended at a pool's target.
+    /// A batch call, with pieces of one or several requests, to a target of a pool ended.
     #[serde(rename = "pool_call")]
     BatchEnded {
         /// The target's id.
         target: &'a str,
-        /// Its pieces.
+        /// The number of pieces in the batch.
         pieces: usize,
-        /// How many of them were made.
+        /// The number of pieces that were computed.
         #[serde(rename = "made")]
         computed: usize,
-        /// Pieces that still wait for the pool.
+        /// The number of pieces that still wait in the queue of the pool.
         waiting: u32,
-        /// Kilobytes of inputs that were fetched from another zone.
+        /// The size of the inputs fetched from other zones, in kilobytes.
         #[serde(rename = "far_kb")]
         cross_zone_kb: u64,
-        /// What became of the call.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: &'a str,
-        /// Milliseconds that it took.
+        /// Its duration, in milliseconds.
         took_ms: u64,
     },
     /// A call was sent to a target.
@@ -377,16 +379,16 @@
         service: &'a str,
         /// The target's id.
         target: &'a str,
-        /// Which send it is, from 1.
+        /// The number of this send of the call, starting at 1.
         #[serde(rename = "send")]
         send_number: u32,
-        /// Milliseconds that the target may take.
+        /// Milliseconds until the deadline of the call.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
-        /// Kilobytes of inputs that it fetches from another zone.
+        /// The size of the inputs that the target fetches from other zones, in kilobytes.
         #[serde(rename = "far_kb")]
         cross_zone_kb: u64,
-        /// Why it was sent again; empty the first time.
+        /// The reason of a repeated send; empty for the first one.
         #[serde(rename = "retry")]
         retry_reason: &'a str,
     },
@@ -397,42 +399,42 @@
         id: &'a str,
         /// Its route.
         route: &'a str,
-        /// The status that the caller got; 0 for a closed connection.
+        /// The status code sent to the caller; 0 for a closed connection.
         status: u16,
-        /// Why, when no target answered; else empty.
+        /// The reason of the failure; empty when a target answered.
         reason: &'a str,
-        /// Whether it may have run, when no target answered.
+        /// Whether a failed call may have run; empty when a target answered.
         verdict: &'a str,
-        /// The step at which it failed.
+        /// The step that failed; see [`CallFailure`](crate::CallFailure).
         step: &'a str,
-        /// The target or node at which it failed.
+        /// The target or node that caused the failure.
         peer: &'a str,
-        /// When it may come back, in milliseconds.
+        /// When the caller should retry, in milliseconds; 0 when a retry does not help.
         #[serde(rename = "come_back_ms")]
         retry_after_ms: u64,
-        /// Milliseconds until the first output.
+        /// The time to the first output, in milliseconds.
         #[serde(rename = "first_ms")]
         first_output_ms: u64,
-        /// Milliseconds all in all.
+        /// The total duration, in milliseconds.
         took_ms: u64,
     },
-    /// A caller's connection ended while the kernel had not taken all of an answer.
+    /// A caller's connection ended before the kernel had accepted all of an answer.
     #[serde(rename = "undelivered")]
     AnswerUndelivered {
-        /// The id of the call that was answered last on it.
+        /// The id of the last call answered on the connection.
         id: &'a str,
-        /// What went wrong.
+        /// The error.
         cause: &'a str,
     },
-    /// Lines were dropped in the last second.
+    /// Log lines were dropped in an earlier second because of the rate limit.
     #[serde(rename = "dropped")]
     LinesDropped {
-        /// How many.
+        /// The number of dropped lines.
         lines: u64,
     },
 }
 
-/// A number of 64 bits as text: many readers of JSON keep 53.
+/// Serializes a 64-bit number as text, since many JSON parsers keep only 53 bits.
 fn as_text<S: Serializer>(fingerprint: &CallFingerprint, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(fingerprint)
 }
@@ -453,7 +455,7 @@
     dropped: u64,
 }
 
-/// The log of one thread.
+/// The log of one thread, with a rate limit of its own.
 #[derive(Clone)]
 pub struct EventLog {
     logger: Arc<Logger>,
@@ -463,10 +465,11 @@
 }
 
 impl EventLog {
-    /// Starts the writing thread. Lines that it cannot take are dropped, so nobody waits for it.
+    /// Starts the thread that writes the log. Lines that do not fit into its queue are dropped, so that no other thread
+    /// waits for it.
     ///
     /// # Errors
-    /// When the thread or the stream cannot be set up.
+    /// When the thread or the output stream cannot be set up.
     pub fn start(settings: &LogSettings) -> Result<Arc<Logger>, spdlog::Error> {
         let queue = NonZeroUsize::new(settings.queue as usize).unwrap_or(NonZeroUsize::MIN);
         let pool = ThreadPool::builder().capacity(queue).build_arc()?;
@@ -482,7 +485,7 @@
         Ok(Arc::new(Logger::builder().sink(sink).build()?))
     }
 
-    /// The log of a thread that shares `logger` with others.
+    /// Creates the log of one thread; the threads share `logger`.
     pub fn new(logger: Arc<Logger>, node: &str, settings: LogSettings) -> Self {
         Self {
             logger,
@@ -492,12 +495,12 @@
         }
     }
 
-    /// Writes a line that tells of a change or a failure.
+    /// Writes an event that reports a change or a failure.
     pub fn write(&self, now: Time, event: &LogEvent) {
         self.write_limited(now, event, false);
     }
 
-    /// Writes a line of a call that goes well; these are dropped first.
+    /// Writes an event of a call that proceeds normally. These events have a lower rate limit and are dropped first.
     pub fn write_routine(&self, now: Time, event: &LogEvent) {
         self.write_limited(now, event, true);
     }
@@ -519,7 +522,7 @@
         self.emit(now, event);
     }
 
-    /// Starts a new second's budget; tells how many lines the last one dropped, if any.
+    /// Resets the budget when a new second has started, and returns how many lines were dropped in the previous one.
     fn start_second(&self, now: Time) -> Option<u64> {
         let second = now.0 / 1_000_000;
         let mut budget = self.budget.borrow_mut();
@@ -545,7 +548,7 @@
         }
     }
 
-    /// Waits until what was written is out; only for the end of the process.
+    /// Waits until all lines are written. To be called only when the process exits.
     pub fn flush(&self) {
         self.logger.flush();
     }
--- a/crates/barleyspool_gateway/src/failure.rs
+++ b/crates/barleyspool_gateway/src/failure.rs
@@ -1,24 +1,24 @@
-//! How a call that gets no target's answer ends.
+//! The outcome of a call that fails without a target's answer.
 
 use barleyspool_core::{Reason, Span, Verdict};
 
-/// The final answer to a call that no target answered.
+/// The failure of a call that no target answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallFailure {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Whether any of the call ran.
+    /// Whether the call may have run.
     pub verdict: Verdict,
-    /// The step at which it arose: a service, or empty before the first.
+    /// The step that failed: the name of a service, or empty before the first one. For an invalid call, what is invalid.
     pub step: String,
-    /// The target or node at which it arose; empty for this node.
+    /// The target or node that caused the failure; empty for this node.
     pub peer: String,
-    /// When to come back; zero when coming back does not help.
+    /// When the caller should retry; zero when a retry does not help.
     pub retry_after: Span,
 }
 
 impl CallFailure {
-    /// A call of which nothing ran.
+    /// The failure of a call that certainly did not run.
     pub fn not_run(reason: Reason) -> Self {
         Self {
             reason,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A call that ran or may have run.
+    /// The failure of a call that ran or may have run.
     pub fn unknown(reason: Reason) -> Self {
         Self {
             verdict: Verdict::Unknown,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// The same, with when to come back.
+    /// Sets when the caller should retry.
     pub fn with_retry_after(mut self, retry_after: Span) -> Self {
         self.retry_after = retry_after;
         self
     }
 
-    /// The same, with the step and the peer at which it arose.
+    /// Sets the step that failed, and the target or node that caused it.
     pub fn at(mut self, step: &str, peer: &str) -> Self {
         step.clone_into(&mut self.step);
         peer.clone_into(&mut self.peer);
--- a/crates/barleyspool_gateway/src/shared.rs
+++ b/crates/barleyspool_gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the two threads of a gateway share.
+//! The state that the two threads of a gateway share.
 
 use crate::settings::GatewaySettings;
 use arc_swap::ArcSwap;
@@ -7,85 +7,86 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use tokio::sync::watch;
 
-/// What the traffic thread has seen of a run of a target and tells the control thread, for other nodes.
+/// What the traffic thread observed of an incarnation of a target. It is sent to the control thread, which passes it on
+/// to other nodes.
 #[derive(Copy, Clone, Debug)]
 pub enum TargetObservation {
-    /// It ended while it had a call.
+    /// The target crashed while it processed a call.
     Crashed {
-        /// The call.
+        /// The fingerprint of the call.
         fingerprint: CallFingerprint,
-        /// The run.
+        /// The incarnation.
         incarnation: IncarnationId,
     },
-    /// An answer said that it leaves.
+    /// An answer reported that the target is shutting down.
     Leaving {
-        /// The run.
+        /// The incarnation.
         incarnation: IncarnationId,
     },
-    /// An answer said what it takes.
+    /// An answer reported the rate limit of the target.
     RateLimit {
-        /// The run.
+        /// The incarnation.
         incarnation: IncarnationId,
-        /// The calls a second that it takes from all nodes; `None` when it limits nothing any more.
+        /// The calls per second that it accepts from all nodes together; `None` when it has no limit any more.
         per_s: Option<f64>,
     },
 }
 
-/// Shared by the threads of a gateway.
+/// The state that the threads of a gateway share.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings of the start.
+    /// The settings with which the process started.
     pub settings: GatewaySettings,
     /// The clock.
     pub clock: Clock,
-    /// What traffic acts on.
+    /// The plan that the traffic thread acts on.
     pub plan: ArcSwap<ForwardPlan>,
-    /// Tells the traffic thread that the plan was replaced.
+    /// Notifies the traffic thread that the plan was replaced.
     pub plan_changed: watch::Sender<u64>,
-    /// Calls that get no target for a while, since targets have ended under them.
+    /// Calls that are not sent to targets for a while, because they have crashed targets.
     pub blocked_calls: ArcSwap<BlockedCalls>,
-    /// What the traffic thread last counted.
+    /// The counters, as last published by the traffic thread.
     pub counters: ArcSwap<Counters>,
-    /// Nodes whose updates wait to be passed on.
+    /// The number of nodes whose updates wait to be sent to other nodes.
     pub queued_updates: AtomicUsize,
-    /// Suspicions that were ignored because the teller knew older facts.
+    /// Suspicions that were ignored because their sender had outdated information.
     pub outdated_suspicions: AtomicU64,
-    /// Datagrams of other nodes that could not be read.
+    /// Datagrams of other nodes that could not be decoded.
     pub datagrams_unreadable: AtomicU64,
-    /// Calls to the source.
+    /// Requests to the source.
     pub source_calls: AtomicU64,
-    /// When the source, or a node that reads it, last told how things are, in microseconds of the clock.
+    /// When the source, or a node that reads it, last answered, in microseconds of the clock.
     pub source_answered_at: AtomicU64,
-    /// Whether this node reads the source for its zone.
+    /// Whether this node reads the source on behalf of its zone.
     pub is_source_reader: AtomicBool,
-    /// Questions to other nodes for what is newer there.
+    /// Requests to other nodes for newer configuration or targets.
     pub peer_requests: AtomicU64,
-    /// Those that were not answered.
+    /// Requests to other nodes that failed.
     pub failed_peer_requests: AtomicU64,
     /// Calls in flight.
     pub in_flight: AtomicUsize,
-    /// Callers' connections that are open.
+    /// Open connections of callers.
     pub caller_connections: AtomicUsize,
-    /// How far a planned stop is.
+    /// The phase of a planned stop.
     pub stop: watch::Sender<StopPhase>,
-    /// Set when every connection of a caller that had been made was taken, and no new one can be made.
+    /// Whether the listener for callers is closed and every connection established before was accepted.
     pub listener_closed: AtomicBool,
     /// Whether the traffic thread is listening.
     pub listening: AtomicBool,
 }
 
 impl Shared {
-    /// Counts a call to the source.
+    /// Counts a request to the source.
     pub fn count_source_call(&self) {
         self.source_calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether a planned stop has come to `phase`.
+    /// Whether a planned stop has reached `phase`.
     pub fn stop_reached(&self, phase: StopPhase) -> bool {
         *self.stop.borrow() >= phase
     }
 
-    /// Counts a question to another node for what is newer there.
+    /// Counts a request to another node for newer configuration or targets, and its failure unless it was answered.
     pub fn count_peer_request(&self, answered: bool) {
         self.peer_requests.fetch_add(1, Ordering::Relaxed);
         self.failed_peer_requests
