--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -62,7 +62,7 @@
     source: &Rc<dyn Source>,
     feed: Feed,
 ) -> Result<Revision, SourceError> {
-    let mut from = None;
+    let mut next_page = None;
     let mut snapshot = FeedSnapshot::default();
     let mut first_revision = None;
     let needed_full_read = state.source_access.needs_full_read(feed);
@@ -72,7 +72,7 @@
             return Err(SourceError::Overtaken);
         }
         state.shared.count_source_call();
-        let page = with_timeout(READ_TIMEOUT, source.read(feed, from)).await?;
+        let page = with_timeout(READ_TIMEOUT, source.read(feed, next_page)).await?;
         // The pages are not a consistent snapshot. The watch starts at the revision of the first page, so it
         // delivers the changes that were made while the pages were read.
         let at = *first_revision.get_or_insert(page.revision);
@@ -82,8 +82,8 @@
         for item in page.items {
             snapshot.add(state, item);
         }
-        from = page.next;
-        if from.is_none() {
+        next_page = page.next;
+        if next_page.is_none() {
             state.source_access.record_full_read(feed);
             snapshot.apply(state, feed, at);
             return Ok(at);
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -46,7 +46,7 @@
     state: ControlState,
     adapter: DirectoryAdapter,
     source: Rc<dyn Source>,
-    file: PathBuf,
+    settings_file: PathBuf,
     ports: ControlPorts,
     metrics: Metrics,
     observations: mpsc::UnboundedReceiver<TargetObservation>,
@@ -75,7 +75,11 @@
     ));
     tasks.spawn_local(directory::serve(Rc::clone(&state), adapter, ports.directory));
     let signals = ports.signals;
-    tasks.spawn_local(stop::reload_settings(Rc::clone(&state), file, signals.hangup));
+    tasks.spawn_local(stop::reload_settings(
+        Rc::clone(&state),
+        settings_file,
+        signals.hangup,
+    ));
     tokio::select! {
         () = stop::stop_on_signal(state, signals.terminate, signals.interrupt) => {}
         () = tasks.watch() => {}
--- a/crates/barleyspool_gateway/src/control/peer_sync.rs
+++ b/crates/barleyspool_gateway/src/control/peer_sync.rs
@@ -30,7 +30,7 @@
 /// costs a connection to a node that receives requests from many others as well.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum size of an answer.
-const MAX_RESPONSE_BYTES: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// How long other nodes are preferred over a node that was busy transferring lists: a list takes about 0.1 s
 /// on a slow link.
 const BUSY_BACKOFF: Span = Span::from_millis(100);
@@ -44,10 +44,10 @@
 /// process ends.
 pub async fn run(state: Rc<ControlState>) {
     let mut avoided = AvoidedPeers::new();
-    let mut next_check = CHECK_INTERVAL;
+    let mut max_wait = CHECK_INTERVAL;
     loop {
-        state.source_access.wait_for_newer_report(next_check).await;
-        next_check = CHECK_INTERVAL;
+        state.source_access.wait_for_newer_report(max_wait).await;
+        max_wait = CHECK_INTERVAL;
         state.expire_targets();
         state.update_source_role();
         state.announce_if_due();
@@ -61,7 +61,7 @@
             tokio::time::sleep(REQUEST_INTERVAL).await;
         } else {
             tokio::time::sleep(BUSY_REQUEST_INTERVAL).await;
-            next_check = Duration::ZERO;
+            max_wait = Duration::ZERO;
         }
     }
 }
@@ -148,12 +148,12 @@
     /// the request is not valid: {0}
     InvalidRequest(hyper::http::Error),
     /// the answer is not valid: {0}
-    InvalidResponse(String),
+    InvalidAnswer(String),
 }
 
 async fn request(state: &ControlState, peer: &SocketAddr) -> Result<RelayAnswer, RequestError> {
-    let query = relay_path(state.held_revisions(), accepts_full_configuration(state));
-    let answer = timer::timeout(REQUEST_TIMEOUT, fetch(peer, &query)).await;
+    let path = relay_path(state.held_revisions(), accepts_full_configuration(state));
+    let answer = timer::timeout(REQUEST_TIMEOUT, fetch(peer, &path)).await;
     answer.unwrap_or(Err(RequestError::TimedOut))
 }
 
@@ -192,7 +192,7 @@
 
 /// Applies a full target list. Returns whether the list changed.
 fn apply_full_list(state: &ControlState, revision: Revision, bytes: &[u8], origin: Origin) -> bool {
-    let invalid = |error: &dyn ToString| RequestError::InvalidResponse(error.to_string());
+    let invalid = |error: &dyn ToString| RequestError::InvalidAnswer(error.to_string());
     let list = rmp_serde::from_slice::<PackedList>(bytes).map_err(|error| invalid(&error));
     match list.and_then(|list| list.unpack().map_err(|error| invalid(&error))) {
         Ok(table) => {
@@ -227,9 +227,9 @@
         .send_request(request)
         .await
         .map_err(RequestError::ConnectionFailed)?;
-    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await;
-    let body = body.map_err(|error| RequestError::InvalidResponse(error.to_string()))?;
-    rmp_serde::from_slice(&body.to_bytes()).map_err(|error| RequestError::InvalidResponse(error.to_string()))
+    let body = body.map_err(|error| RequestError::InvalidAnswer(error.to_string()))?;
+    rmp_serde::from_slice(&body.to_bytes()).map_err(|error| RequestError::InvalidAnswer(error.to_string()))
 }
--- a/crates/barleyspool_gateway/src/control/source_access.rs
+++ b/crates/barleyspool_gateway/src/control/source_access.rs
@@ -20,7 +20,7 @@
 
 /// Tracks how this node reads the source.
 pub struct SourceAccess {
-    watch: RefCell<SourceWatch>,
+    source_watch: RefCell<SourceWatch>,
     /// Addresses of the nodes that receive the announcements of this node.
     recipients: RefCell<Vec<String>>,
     /// Whether each feed needs a full read.
@@ -53,7 +53,7 @@
             ..FleetView::default()
         };
         Self {
-            watch: RefCell::new(SourceWatch::new(now, rand::random())),
+            source_watch: RefCell::new(SourceWatch::new(now, rand::random())),
             recipients: RefCell::default(),
             needs_full_read: [Cell::new(true), Cell::new(true)],
             initial_list_read: InitialListRead::new(now, rand::random()),
@@ -71,13 +71,13 @@
     /// as a node that is not a reader and watches because it receives no announcements. No other node would
     /// notify it of changes that a lost watch misses.
     pub fn uses_short_watch(&self) -> bool {
-        let watch = self.watch.borrow();
+        let watch = self.source_watch.borrow();
         watch.uses_short_watch() || !watch.is_reader()
     }
 
     /// Time since this node learned that another node has newer data.
     pub fn behind_for(&self, now: Time) -> Span {
-        self.watch.borrow().behind_for(now)
+        self.source_watch.borrow().behind_for(now)
     }
 
     /// Waits until the current watch of a feed is cancelled.
@@ -127,12 +127,12 @@
     /// Maximum delay before the next retry of a source that does not respond, where a reader would wait
     /// `wait`.
     pub fn retry_delay(&self, wait: Span) -> Span {
-        self.watch.borrow().retry_delay(wait)
+        self.source_watch.borrow().retry_delay(wait)
     }
 
     /// Whether this node should read a feed from the source now.
     fn should_read(&self, now: Time, feed: Feed) -> bool {
-        let watch = self.watch.borrow();
+        let watch = self.source_watch.borrow();
         let reads_as_fallback = !watch.is_reader() && watch.reads(now);
         let reads_as_reader = watch.is_reader() && self.converged.get();
         reads_as_fallback || reads_as_reader || self.should_read_full(now, feed)
@@ -147,7 +147,7 @@
 
     /// When to check again whether a feed that is not read from the source should be.
     fn next_check(&self, now: Time, feed: Feed) -> Time {
-        let fallback_at = self.watch.borrow().next_check();
+        let fallback_at = self.source_watch.borrow().next_check();
         if feed == Feed::Targets && self.needs_full_read[feed as usize].get() {
             return fallback_at.min(self.initial_list_read.next_check(now, self.fleet_view.get()));
         }
@@ -159,7 +159,7 @@
     /// Waits until a feed should be read from the source. Returns whether it had to wait; if so, the position
     /// of the feed may be outdated.
     pub async fn wait_until_read_due(&self, feed: Feed) -> bool {
-        let mut changed = self.source_access.recheck.subscribe();
+        let mut rechecks = self.source_access.recheck.subscribe();
         let mut waited = false;
         while !self.source_access.should_read(self.now(), feed) {
             waited = true;
@@ -169,7 +169,7 @@
             let delay = Duration::from_micros(next_check.since(self.now()).0.max(1000));
             tokio::select! {
                 // This never fails, since `self` holds the sender.
-                _ = changed.changed() => {}
+                _ = rechecks.changed() => {}
                 () = tokio::time::sleep(delay) => {}
             }
         }
@@ -179,13 +179,13 @@
     /// Waits before the next retry of a source that does not respond. Returns early if the feed should no
     /// longer be read.
     pub async fn wait_for_retry(&self, feed: Feed, wait: Span) {
-        let mut changed = self.source_access.recheck.subscribe();
+        let mut rechecks = self.source_access.recheck.subscribe();
         let retry_timer = tokio::time::sleep(Duration::from_micros(wait.0));
         let mut retry_timer = std::pin::pin!(retry_timer);
         loop {
             tokio::select! {
                 () = retry_timer.as_mut() => return,
-                _ = changed.changed() => if !self.source_access.should_read(self.now(), feed) { return },
+                _ = rechecks.changed() => if !self.source_access.should_read(self.now(), feed) { return },
             }
         }
     }
@@ -236,7 +236,10 @@
     }
 
     fn record_reader_answer(&self, now: Time) {
-        self.source_access.watch.borrow_mut().record_reader_answer(now);
+        self.source_access
+            .source_watch
+            .borrow_mut()
+            .record_reader_answer(now);
         self.shared.source_answered_at.store(now.0, Ordering::Relaxed);
     }
 
@@ -270,11 +273,11 @@
     }
 
     /// Handles a possible change of the source state. It is announced immediately if the data came from the
-    /// source (`first_hand`) or this node is a reader of its zone.
-    pub fn source_state_changed(&self, first_hand: bool) {
+    /// source (`from_source`) or this node is a reader of its zone.
+    pub fn source_state_changed(&self, from_source: bool) {
         let state = self.source_state();
         self.step_members(MemberEvent::Source(state));
-        let should_announce = first_hand || self.source_access.watch.borrow().is_reader();
+        let should_announce = from_source || self.source_access.source_watch.borrow().is_reader();
         if should_announce && self.source_access.last_announced.get() != state {
             self.announce(state);
         }
@@ -282,7 +285,12 @@
 
     /// Announces the source state when the announcement interval of a reader has passed.
     pub fn announce_if_due(&self) {
-        let due = || self.source_access.watch.borrow_mut().announcement_due(self.now());
+        let due = || {
+            self.source_access
+                .source_watch
+                .borrow_mut()
+                .announcement_due(self.now())
+        };
         if self.source_access.converged.get() && due() {
             self.announce(self.source_state());
         }
@@ -291,7 +299,7 @@
     fn announce(&self, state: SourceState) {
         self.source_access.last_announced.set(state);
         self.source_access
-            .watch
+            .source_watch
             .borrow_mut()
             .record_announcement(self.now());
         let recipients = self.source_access.recipients.borrow().clone();
@@ -309,7 +317,7 @@
         }
         let held = self.held_revisions();
         self.source_access
-            .watch
+            .source_watch
             .borrow_mut()
             .handle_report(now, state, held);
         if held.is_behind(state) {
@@ -322,7 +330,7 @@
         let failing = self.source_access.any_failing();
         let held = self.held_revisions();
         self.source_access
-            .watch
+            .source_watch
             .borrow_mut()
             .should_ask(self.now(), held, failing)
     }
@@ -362,10 +370,10 @@
             reader: role.reads,
             holder: membership.members().any(has_list),
         });
-        let had_short_watch = self.source_access.watch.borrow().uses_short_watch();
+        let had_short_watch = self.source_access.source_watch.borrow().uses_short_watch();
         let changed = self
             .source_access
-            .watch
+            .source_watch
             .borrow_mut()
             .set_role(role, members.len());
         let converged = self.converged.get();
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -152,13 +152,13 @@
         if actions.is_empty() && !changed {
             return;
         }
-        let mut leaving = Vec::new();
+        let mut leaving_incarnations = Vec::new();
         for action in actions {
             match action {
                 MemberAction::Send { .. } => self.outbox.borrow_mut().push(action),
                 MemberAction::SourceReported { source, reads } => self.handle_source_report(source, reads),
                 MemberAction::BlockedCallsChanged => self.publish_blocked_calls(now),
-                MemberAction::TargetLeaves { incarnation } => leaving.push(incarnation),
+                MemberAction::TargetLeaves { incarnation } => leaving_incarnations.push(incarnation),
                 MemberAction::ReachabilityChanged => changed = true,
                 MemberAction::LimitsChanged => {
                     changed = true;
@@ -188,7 +188,7 @@
             }
         }
         self.outbox_filled.notify_one();
-        self.note_leaving(&leaving);
+        self.note_leaving(&leaving_incarnations);
         if changed {
             self.members_changed.notify_one();
         }
@@ -251,12 +251,12 @@
 
     fn build_plan(&self) -> ForwardPlan {
         let membership = self.membership.borrow();
-        let view = |facts: &MemberFacts| MemberView {
+        let to_view = |facts: &MemberFacts| MemberView {
             key: rendezvous::text_key(&facts.address) as u64,
             peer_address: facts.peer_address.clone(),
             zone: facts.zone.clone(),
         };
-        let mut members: Vec<MemberView> = membership.serving().iter().map(view).collect();
+        let mut members: Vec<MemberView> = membership.serving().iter().map(to_view).collect();
         members.sort_by_key(|member| member.key);
         ForwardPlan {
             created_at: self.now(),
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -69,20 +69,20 @@
 
 /// Reloads the settings on SIGHUP and when the modification time of their file changes. Only the seeds are
 /// applied; other changes take effect at the next start. An invalid file is rejected as a whole.
-pub async fn reload_settings(state: Rc<ControlState>, file: PathBuf, mut hangup: Signal) {
-    let mut last_modified = modified_at(&file);
+pub async fn reload_settings(state: Rc<ControlState>, settings_file: PathBuf, mut hangup: Signal) {
+    let mut last_modified = modified_at(&settings_file);
     loop {
         tokio::select! {
             signal = hangup.recv() => if signal.is_none() { return },
             () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => {
-                let modified = modified_at(&file);
+                let modified = modified_at(&settings_file);
                 if modified.is_none() || modified == last_modified {
                     continue;
                 }
             }
         }
-        last_modified = modified_at(&file);
-        let loaded = GatewaySettings::load(&file);
+        last_modified = modified_at(&settings_file);
+        let loaded = GatewaySettings::load(&settings_file);
         let cause = loaded.as_ref().err().map(ToString::to_string).unwrap_or_default();
         let line = LogEvent::SettingsReloaded {
             valid: loaded.is_ok(),
