--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -34,8 +34,8 @@
             },
         };
         match result {
-            Ok(at) => {
-                cursor.advance(at);
+            Ok(revision) => {
+                cursor.advance(revision);
                 state.record_feed_result(feed, None);
                 if feed == Feed::Targets {
                     tokio::time::sleep(TARGET_WATCH_DELAY).await;
@@ -75,8 +75,8 @@
         let page = with_timeout(READ_TIMEOUT, source.read(feed, next_page)).await?;
         // The pages are not a consistent snapshot. The watch starts at the revision of the first page, so it
         // delivers the changes that were made while the pages were read.
-        let at = *first_revision.get_or_insert(page.revision);
-        if page.revision.era() != at.era() {
+        let revision = *first_revision.get_or_insert(page.revision);
+        if page.revision.era() != revision.era() {
             return Err(SourceError::Restored);
         }
         for item in page.items {
@@ -85,8 +85,8 @@
         next_page = page.next;
         if next_page.is_none() {
             state.source_access.record_full_read(feed);
-            snapshot.apply(state, feed, at);
-            return Ok(at);
+            snapshot.apply(state, feed, revision);
+            return Ok(revision);
         }
     }
 }
@@ -121,15 +121,15 @@
         }
     }
 
-    fn apply(self, state: &ControlState, feed: Feed, at: Revision) {
+    fn apply(self, state: &ControlState, feed: Feed, revision: Revision) {
         match feed {
             Feed::Targets => {
                 state.note_feed_recovery(feed);
-                state.replace_targets(at, self.targets, Origin::Source);
+                state.replace_targets(revision, self.targets, Origin::Source);
             }
             Feed::Configuration => {
                 // Applied before the configuration, with which the node starts to accept calls.
-                state.replace_evacuations(at, self.evacuated, Origin::Source);
+                state.replace_evacuations(revision, self.evacuated, Origin::Source);
                 if let Some(document) = self.configuration {
                     state.offer_configuration(*document, Origin::Source);
                 }
--- a/crates/barleyspool_gateway/src/control/peer_sync.rs
+++ b/crates/barleyspool_gateway/src/control/peer_sync.rs
@@ -82,11 +82,11 @@
             !busy
         }
         Err(error) => {
-            let line = LogEvent::PeerRequestFailed {
+            let event = LogEvent::PeerRequestFailed {
                 peer: &peer.to_string(),
                 cause: &error.to_string(),
             };
-            state.log.write(state.now(), &line);
+            state.log.write(state.now(), &event);
             avoided.insert(*peer, state.now() + FAILURE_BACKOFF);
             true
         }
@@ -200,11 +200,11 @@
             state.replace_targets(revision, table, origin)
         }
         Err(cause) => {
-            let line = LogEvent::PeerRequestFailed {
+            let event = LogEvent::PeerRequestFailed {
                 peer: origin.name(),
                 cause: &cause.to_string(),
             };
-            state.log.write(state.now(), &line);
+            state.log.write(state.now(), &event);
             false
         }
     }
--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -155,8 +155,8 @@
 fn encode_packed_list(state: &ControlState) -> Option<ByteBuf> {
     let targets = state.targets.borrow();
     let mut cached = state.packed_list.borrow_mut();
-    if let Some((at, bytes)) = &*cached
-        && *at == targets.at
+    if let Some((revision, bytes)) = &*cached
+        && *revision == targets.at
     {
         return Some(bytes.clone());
     }
--- a/crates/barleyspool_gateway/src/control/source_access.rs
+++ b/crates/barleyspool_gateway/src/control/source_access.rs
@@ -206,12 +206,12 @@
         }
         let since = previous.as_ref().map_or(now, |(since, _)| *since);
         self.source_access.failures.borrow_mut()[index] = cause.map(|cause| (since, cause.to_owned()));
-        let line = LogEvent::SourceStatus {
+        let event = LogEvent::SourceStatus {
             feed: feed.name(),
             available: cause.is_none(),
             cause: cause.unwrap_or_default(),
         };
-        self.log.write(now, &line);
+        self.log.write(now, &event);
         self.source_state_changed(false);
     }
 
@@ -392,12 +392,12 @@
         }
         self.shared.is_source_reader.store(role.reads, Ordering::Relaxed);
         if converged {
-            let line = LogEvent::ReaderRole {
+            let event = LogEvent::ReaderRole {
                 is_reader: role.reads,
                 short_watch: role.short_watch,
                 members: members.len(),
             };
-            self.log.write(self.now(), &line);
+            self.log.write(self.now(), &event);
         }
         self.source_access.recheck.send_replace(());
     }
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -36,34 +36,34 @@
         let (version, origin_name) = (version.0, origin.name());
         match result {
             OfferResult::Accepted => {
-                let line = LogEvent::ConfigurationApplied {
+                let event = LogEvent::ConfigurationApplied {
                     version,
                     previous,
                     from: origin_name,
                 };
-                self.log.write(self.now(), &line);
+                self.log.write(self.now(), &event);
                 self.publish_plan();
                 self.source_state_changed(origin == Origin::Source);
             }
             OfferResult::Outdated => {}
             OfferResult::Invalid(errors) => {
                 let cause = errors.first().map(ToString::to_string).unwrap_or_default();
-                let line = LogEvent::ConfigurationRejected {
+                let event = LogEvent::ConfigurationRejected {
                     version,
                     cause: &cause,
                     from: origin_name,
                 };
-                self.log.write(self.now(), &line);
+                self.log.write(self.now(), &event);
             }
         }
         accepted
     }
 
     /// Applies a full target list. Returns whether the list changed.
-    pub fn replace_targets(&self, at: Revision, table: TargetTable, origin: Origin) -> bool {
+    pub fn replace_targets(&self, revision: Revision, table: TargetTable, origin: Origin) -> bool {
         let is_first = !self.has_target_list.replace(true);
-        self.log_era_change(at, origin);
-        let changed = self.targets.borrow_mut().replace(self.now(), at, table);
+        self.log_era_change(revision, origin);
+        let changed = self.targets.borrow_mut().replace(self.now(), revision, table);
         if changed || is_first {
             self.targets_changed(origin);
         }
@@ -71,9 +71,9 @@
     }
 
     /// Applies changes of the target list. Returns whether the list changed.
-    pub fn apply_targets(&self, at: Revision, changes: Vec<TargetChange>, origin: Origin) -> bool {
-        self.log_era_change(at, origin);
-        let changed = self.targets.borrow_mut().apply(self.now(), at, changes);
+    pub fn apply_targets(&self, revision: Revision, changes: Vec<TargetChange>, origin: Origin) -> bool {
+        self.log_era_change(revision, origin);
+        let changed = self.targets.borrow_mut().apply(self.now(), revision, changes);
         if changed {
             self.targets_changed(origin);
         }
@@ -81,29 +81,29 @@
     }
 
     /// Logs when the target list is about to advance to a later era: the source was restored from a backup.
-    fn log_era_change(&self, at: Revision, origin: Origin) {
-        let before = self.targets.borrow().at;
-        if before == Revision(0) || at.era() <= before.era() {
+    fn log_era_change(&self, revision: Revision, origin: Origin) {
+        let previous = self.targets.borrow().at;
+        if previous == Revision(0) || revision.era() <= previous.era() {
             return;
         }
-        let line = LogEvent::SourceRestored {
-            era: at.era(),
-            revision: at.number(),
-            previous_revision: before.number(),
+        let event = LogEvent::SourceRestored {
+            era: revision.era(),
+            revision: revision.number(),
+            previous_revision: previous.number(),
             from: origin.name(),
         };
-        self.log.write(self.now(), &line);
+        self.log.write(self.now(), &event);
     }
 
-    /// Records which entries of a list at revision `at` are missing at the source and may reappear.
-    pub fn note_expiring(&self, at: Revision, expiring: ExpiringEntries) {
+    /// Records which entries of a list as of `revision` are missing at the source and may reappear.
+    pub fn note_expiring(&self, revision: Revision, expiring: ExpiringEntries) {
         let now = self.now();
-        self.targets.borrow_mut().note_expiring(now, at, expiring);
+        self.targets.borrow_mut().note_expiring(now, revision, expiring);
     }
 
-    /// Applies the complete set of evacuated zones at revision `at`.
-    pub fn replace_evacuations(&self, at: Revision, zones: BTreeSet<String>, origin: Origin) {
-        let changed = self.evacuations.borrow_mut().replace(self.now(), at, zones);
+    /// Applies the complete set of evacuated zones as of `revision`.
+    pub fn replace_evacuations(&self, revision: Revision, zones: BTreeSet<String>, origin: Origin) {
+        let changed = self.evacuations.borrow_mut().replace(self.now(), revision, zones);
         if changed {
             self.evacuations_changed(origin);
         }
@@ -118,16 +118,16 @@
     }
 
     fn evacuations_changed(&self, origin: Origin) {
-        let (zones, at) = {
+        let (zones, revision) = {
             let evacuations = self.evacuations.borrow();
             (evacuations.zones.clone(), evacuations.at)
         };
-        let line = LogEvent::EvacuationsChanged {
+        let event = LogEvent::EvacuationsChanged {
             zones: &zones.iter().map(String::as_str).collect::<Vec<_>>().join(","),
-            revision: at.number(),
+            revision: revision.number(),
             from: origin.name(),
         };
-        self.log.write(self.now(), &line);
+        self.log.write(self.now(), &event);
         let changed = self.targets.borrow_mut().apply_evacuations(self.now(), &zones);
         if changed {
             self.targets_changed(origin);
@@ -137,7 +137,7 @@
     }
 
     /// Applies changes from a watch of the source.
-    pub fn apply_source_changes(&self, feed: Feed, at: Revision, changes: Vec<SourceChange>) {
+    pub fn apply_source_changes(&self, feed: Feed, revision: Revision, changes: Vec<SourceChange>) {
         let mut targets = Vec::new();
         let mut evacuations = Vec::new();
         let mut configurations = Vec::new();
@@ -157,10 +157,10 @@
         // The revision applies only to the data of this feed; the other feed may be at another revision.
         match feed {
             Feed::Targets => {
-                self.apply_targets(at, targets, Origin::Source);
+                self.apply_targets(revision, targets, Origin::Source);
             }
             Feed::Configuration => {
-                let changed = self.evacuations.borrow_mut().apply(at, evacuations);
+                let changed = self.evacuations.borrow_mut().apply(revision, evacuations);
                 if changed {
                     self.evacuations_changed(Origin::Source);
                 }
@@ -215,7 +215,7 @@
             let store = self.targets.borrow();
             (TargetCounts::of(&store.table), store.at.number())
         };
-        let line = LogEvent::TargetsChanged {
+        let event = LogEvent::TargetsChanged {
             listed: counts.listed,
             leaving: counts.leaving,
             evacuated: counts.evacuated,
@@ -225,7 +225,7 @@
             revision,
             from: origin.name(),
         };
-        self.log.write(self.now(), &line);
+        self.log.write(self.now(), &event);
         self.publish_plan();
         self.source_state_changed(origin == Origin::Source);
     }
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -177,13 +177,13 @@
                         continue;
                     }
                     let serving = self.membership.borrow().serving().len();
-                    let line = LogEvent::MemberChanged {
+                    let event = LogEvent::MemberChanged {
                         address: &address,
                         health: health_name(health),
                         evidence: evidence_name(evidence),
                         serving,
                     };
-                    self.log.write(now, &line);
+                    self.log.write(now, &event);
                 }
             }
         }
@@ -196,22 +196,22 @@
 
     fn log_members(&self, now: Time) {
         let membership = self.membership.borrow();
-        let line = LogEvent::MembersConverged {
+        let event = LogEvent::MembersConverged {
             known: membership.members().count(),
             serving: membership.serving().len(),
         };
-        self.log.write(now, &line);
+        self.log.write(now, &event);
     }
 
     /// Publishes the blocked calls to the traffic thread: calls that are not sent to any target because
     /// targets have crashed while processing them.
     fn publish_blocked_calls(&self, now: Time) {
         let blocked = self.membership.borrow().crashes().blocked(now);
-        let line = LogEvent::BlockedCallsChanged {
+        let event = LogEvent::BlockedCallsChanged {
             blocked: blocked.count(now),
             crash_records: self.membership.borrow().crashes().len(),
         };
-        self.log.write(now, &line);
+        self.log.write(now, &event);
         self.shared.blocked_calls.store(Arc::new(blocked));
     }
 
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -41,11 +41,11 @@
             .send_if_modified(|current| std::mem::replace(current, phase) != phase);
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    let line = LogEvent::Stopped {
+    let event = LogEvent::Stopped {
         aborted_calls: shared.in_flight.load(Ordering::Relaxed),
         open_connections: shared.caller_connections.load(Ordering::Relaxed),
     };
-    state.log.write(state.now(), &line);
+    state.log.write(state.now(), &event);
     state.log.flush();
     std::process::exit(0);
 }
@@ -57,10 +57,10 @@
     let accept_for = Span::from_millis(settings.stop_accept_ms);
     let max_duration = Span::from_millis(settings.stop_end_ms);
     let stop = PlannedStop::new(state.now(), accept_for, max_duration);
-    let line = LogEvent::Stopping {
+    let event = LogEvent::Stopping {
         in_flight: state.shared.in_flight.load(Ordering::Relaxed),
     };
-    state.log.write(state.now(), &line);
+    state.log.write(state.now(), &event);
     state.abort_at.set(Some(stop.abort_at()));
     state.step_members(MemberEvent::Leave);
     state.publish_plan();
@@ -84,11 +84,11 @@
         last_modified = modified_at(&settings_file);
         let loaded = GatewaySettings::load(&settings_file);
         let cause = loaded.as_ref().err().map(ToString::to_string).unwrap_or_default();
-        let line = LogEvent::SettingsReloaded {
+        let event = LogEvent::SettingsReloaded {
             valid: loaded.is_ok(),
             cause: &cause,
         };
-        state.log.write(state.now(), &line);
+        state.log.write(state.now(), &event);
         if let Ok(settings) = loaded {
             let port = settings.members.port();
             let seeds = settings.seeds.iter();
