--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -257,7 +257,7 @@
         wait_ms: u64,
         /// The number of targets of all services that have a rate limit, as far as this node knows.
         limited: usize,
-        /// Whether this node receives messages of all others, as far as it can determine.
+        /// Whether this node has run long enough to know all nodes.
         steady: bool,
     },
     /// Rate limits of targets changed, as reported in answers to this node or by other nodes.
--- a/crates/barleyspool_gateway/src/gateway.rs
+++ b/crates/barleyspool_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starting a gateway's threads, and ending them together.
+//! Starts the threads of a gateway, and ends the process when one of them fails.
 
 use crate::adapters::{Adapters, Source};
 use crate::control::ControlState;
@@ -29,7 +29,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         cause: io::Error,
     },
     /// cannot start a thread: {0}
@@ -53,12 +53,14 @@
 }
 
 impl Gateway {
-    /// Starts the threads. Every address is bound before this returns.
+    /// Starts the threads. All listeners are bound when this returns; a metrics listener that cannot be bound is left
+    /// out.
     ///
-    /// `source` makes the source on the control thread. `file` is where settings are read again from.
+    /// `source` creates the source on the control thread. `file` is the settings file, which is read again when it
+    /// changes.
     ///
     /// # Errors
-    /// When an address is in use, or a thread cannot be started.
+    /// When an address is in use, or when the log, the metrics or a thread cannot be started.
     pub fn start<S: Source + 'static>(
         settings: GatewaySettings,
         file: PathBuf,
@@ -141,10 +143,10 @@
         Ok(Self { threads })
     }
 
-    /// Waits until the gateway has ended. A planned stop ends the process itself.
+    /// Waits for the threads. A planned stop exits the process, so this returns only on failure.
     ///
     /// # Errors
-    /// The first thread that panicked; the process must end then.
+    /// The first thread that panicked; the caller must exit the process then.
     pub fn wait(self) -> Result<(), ThreadError> {
         self.threads.wait()
     }
--- a/crates/barleyspool_gateway/src/lib.rs
+++ b/crates/barleyspool_gateway/src/lib.rs
@@ -1,12 +1,13 @@
-//! The HTTP gateway: a daemon that forwards calls whole, after their stages are done.
+//! The HTTP gateway daemon. It computes the stages of a call in batches, then forwards the call to the target that
+//! answers it.
 //!
-//! It is the shell around [`barleyspool_core::Forwarder`], [`barleyspool_core::PieceQueue`] and
-//! [`barleyspool_core::Membership`]. What callers, targets and the source of configuration speak is not known
-//! here: [`Adapters`] brings it, as plain functions from and to the product's own types.
+//! The crate does the I/O for the decisions of [`barleyspool_core::Forwarder`], [`barleyspool_core::PieceQueue`] and
+//! [`barleyspool_core::Membership`]. It does not depend on the protocols of callers, targets and the configuration
+//! source: [`Adapters`] and [`Source`] provide them as conversions to and from the gateway's own types.
 //!
-//! - [`Gateway`] starts everything and waits for the end.
-//! - `control` is the control thread: configuration, targets, members, the directory of addresses.
-//! - `traffic` is the traffic thread: callers, targets, pieces.
+//! - [`Gateway`] starts the threads and waits for them.
+//! - `control` is the control thread: configuration, target list, membership and address directory.
+//! - `traffic` is the traffic thread: callers, targets and stage pools.
 
 mod adapters;
 mod control;
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges as `opentelemetry` metrics, readable as text.
+//! Counters and gauges as `opentelemetry` metrics, exported in the Prometheus text format.
 
 use crate::shared::Shared;
 use barleyspool_core::{Counter, Reason, RetryReason, TargetCounts, Time};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One example of each counter, for its name.
+/// One example of each kind of counter, for its name. The labels of the examples are not used.
 const COUNTER_EXAMPLES: &[Counter] = &[
     Counter::Arrived,
     Counter::Complete(0),
@@ -37,7 +37,7 @@
 }
 
 impl Metrics {
-    /// Registers every counter; their values are read when somebody looks.
+    /// Registers all counters and gauges. Their values are read when the metrics are scraped.
     ///
     /// # Errors
     /// When the exporter cannot be set up.
@@ -58,10 +58,10 @@
         })
     }
 
-    /// The metrics as text.
+    /// The metrics in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory does not fail; a half page would be shown as it is.
+        // Writing to memory does not fail. If encoding failed, the part encoded so far would be returned.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
@@ -146,7 +146,7 @@
     TargetCounts::of(&shared.plan.load().targets)
 }
 
-/// A value that goes up and down, read when somebody looks.
+/// Registers a gauge; its value is read when the metrics are scraped.
 fn register_gauge(meter: &Meter, shared: &Arc<Shared>, name: &str, value: fn(&Shared) -> u64) {
     let shared = Arc::clone(shared);
     meter
@@ -155,7 +155,7 @@
         .build();
 }
 
-/// A count that only rises, read when somebody looks.
+/// Registers a counter without labels; its value is read when the metrics are scraped.
 fn register_total(meter: &Meter, shared: &Arc<Shared>, name: &str, count: fn(&Shared) -> &AtomicU64) {
     let shared = Arc::clone(shared);
     meter
--- a/crates/barleyspool_gateway/src/settings.rs
+++ b/crates/barleyspool_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway: one JSON file, checked whole.
+//! The settings of a gateway: one JSON file, which is validated when it is loaded.
 
 use barleyspool_core::Span;
 use serde::Deserialize;
@@ -6,21 +6,21 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What is wrong with a settings file.
+/// Why a settings file is invalid.
 #[derive(Debug, displaydoc::Display)]
 pub enum GatewaySettingsError {
     /// {path}: cannot be read: {cause}
     Read {
         /// The file.
         path: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
     /// {path}: {cause}
     Syntax {
         /// The file.
         path: String,
-        /// What the parser said, with line and column.
+        /// The error of the parser, with line and column.
         cause: serde_json::Error,
     },
     /// {path}: {field}: {value} is not allowed: {allowed}
@@ -29,94 +29,95 @@
         path: String,
         /// The field.
         field: &'static str,
-        /// What stands there.
+        /// The value of the field.
         value: String,
-        /// What may stand there.
+        /// The allowed values.
         allowed: &'static str,
     },
 }
 
 impl std::error::Error for GatewaySettingsError {}
 
-/// The fleet-wide budget for sending calls again.
+/// The budget for retries, over all nodes together.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats per request; 0 to 1.
+    /// Retries per request; 0 to 1.
     pub ratio: f64,
-    /// Repeats per window besides, over the whole fleet.
+    /// Additional retries per window, over all nodes together.
     pub fixed: f64,
-    /// The window, in seconds; above 0.
+    /// The length of the window, in seconds; above 0.
     pub window_s: f64,
 }
 
-/// What is logged, and how much of it.
+/// The limits of the log.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Lines a second at the most; what is over is dropped and counted.
+    /// Maximum number of lines per second of each thread; lines above it are dropped and counted.
     pub lines_per_s: u32,
-    /// Lines a second for calls that went well; the rest of the budget is kept for the others.
+    /// Maximum number of lines per second for calls that proceed normally. The rest of the budget is reserved for changes
+    /// and failures.
     #[serde(rename = "good_lines_per_s")]
     pub routine_lines_per_s: u32,
-    /// Lines that may wait to be written.
+    /// Maximum number of lines that wait to be written.
     pub queue: u32,
 }
 
-/// Everything that a gateway is told by its settings file. docs/OPERATIONS.md describes the fields.
+/// The settings of a gateway, from its settings file. docs/OPERATIONS.md describes the fields.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// The node's name, for logs.
+    /// The name of the node in the log.
     pub node: String,
-    /// Its availability zone.
+    /// The availability zone of the node.
     pub zone: String,
-    /// Its region.
+    /// The region of the node.
     pub region: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Listen address of the readiness check.
     pub ready: SocketAddr,
-    /// Where callers ask for addresses.
+    /// Listen address of the address directory.
     pub directory: SocketAddr,
-    /// Where other nodes probe this one, by UDP.
+    /// UDP address for membership messages of other nodes.
     pub members: SocketAddr,
-    /// Where other nodes hand in pieces, by TCP.
+    /// Listen address for pieces that other nodes submit.
     pub pieces: SocketAddr,
-    /// Where other nodes read configuration and targets, by TCP.
+    /// Listen address from which other nodes read the configuration and the list of targets.
     pub relay: SocketAddr,
-    /// Where metrics are read, at `/metrics`. A node that cannot listen there goes on without.
+    /// Listen address of the metrics, at `/metrics`. A node that cannot listen there runs without metrics.
     pub metrics: SocketAddr,
-    /// Addresses of nodes to ask for the others; this node's own may be among them. Only their IP numbers
-    /// count: all nodes use the same port for [`GatewaySettings::members`].
+    /// Addresses of the nodes to contact first; the node's own may be among them. Only the IP addresses are used:
+    /// all nodes have the same port for [`GatewaySettings::members`].
     pub seeds: Vec<SocketAddr>,
-    /// The source of configuration and targets.
+    /// Address of the source of the configuration and the list of targets.
     pub source: SocketAddr,
-    /// How long callers may keep addresses, in milliseconds; at least 100.
+    /// Time for which callers may use addresses of the directory, in milliseconds; at least 100.
     #[serde(rename = "address_keep_ms")]
     pub address_ttl_ms: u64,
-    /// How long after a stop was asked for new calls are still taken, in milliseconds.
+    /// Time after the request for a planned stop during which new calls are still accepted, in milliseconds.
     pub stop_accept_ms: u64,
-    /// How long after a stop was asked for the process ends at the latest, in milliseconds.
+    /// Time after the request for a planned stop at which the process exits at the latest, in milliseconds.
     pub stop_end_ms: u64,
-    /// The budget for sending calls again.
+    /// The budget for retries.
     pub retry: RetrySettings,
-    /// The node's link, in Mbit/s; at least 1. Nodes with a strong one read the source for others.
+    /// Bandwidth of the node's network link, in Mbit/s; at least 1. Nodes with a fast link read the source for others.
     pub link_mbps: f64,
-    /// The most bytes of bodies of calls and answers held at once, in megabytes; at least 1.
+    /// Maximum total size of call and answer bodies in memory, in megabytes; at least 1.
     pub body_memory_mb: u64,
-    /// Whether callers send a call again under the same key. This gateway does not remember keys, so only
-    /// `false` is allowed; deployments whose callers do that run `barleyspool-entry`.
+    /// Whether callers retry a call under the same key. This gateway does not remember keys, so only `false` is allowed;
+    /// deployments whose callers do that run `barleyspool-entry`.
     pub callers_resend_keys: bool,
-    /// What is logged.
+    /// The limits of the log.
     pub log: LogSettings,
 }
 
 impl GatewaySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// When it cannot be read, or a field is missing, unknown or out of range.
+    /// When the file cannot be read, or a field is missing, unknown or out of range.
     pub fn load(path: &Path) -> Result<Self, GatewaySettingsError> {
         let name = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|cause| GatewaySettingsError::Read {
@@ -126,7 +127,7 @@
         Self::parse(&name, &text)
     }
 
-    /// Checks the text of a settings file; `name` is for errors.
+    /// Parses and validates the text of a settings file; `name` is the file name in errors.
     ///
     /// # Errors
     /// When a field is missing, unknown or out of range.
@@ -208,22 +209,22 @@
         )
     }
 
-    /// How long callers may keep addresses.
+    /// Time for which callers may use addresses of the directory.
     pub fn address_ttl(&self) -> Span {
         Span::from_millis(self.address_ttl_ms)
     }
 
-    /// Whether this node is one of its seeds, which others ask first.
+    /// Whether the node itself is one of the seeds, which other nodes contact first.
     pub fn is_seed(&self) -> bool {
         self.seeds.iter().any(|seed| seed.ip() == self.members.ip())
     }
 
-    /// The node's link, in whole Mbit/s.
+    /// Bandwidth of the node's network link, in whole Mbit/s.
     pub fn link_mbps(&self) -> u32 {
         self.link_mbps as u32
     }
 
-    /// The window of the retry budget.
+    /// Length of the window of the retry budget.
     pub fn retry_window(&self) -> Span {
         Span((self.retry.window_s * 1e6) as u64)
     }
--- a/crates/barleyspool_gateway/tests/relayed_stream.rs
+++ b/crates/barleyspool_gateway/tests/relayed_stream.rs
@@ -1,7 +1,7 @@
-//! A relayed stream looks complete only when its target's stream was.
+//! Guards against a relayed stream that looks complete to the caller although the target's stream was interrupted.
 //!
-//! The end of the channel was taken for the end of the stream: a task that was dropped or panicked in the middle would
-//! have left an answer that looked complete. It was found by reading and never seen.
+//! This would happen if the end of the channel counted as the end of the stream: a relay task that is dropped or panics
+//! midway also closes the channel.
 
 #![allow(clippy::unwrap_used, reason = "a test stops where it fails")]
 
