--- a/crates/barleyspool_gateway/src/gateway.rs
+++ b/crates/barleyspool_gateway/src/gateway.rs
@@ -110,7 +110,7 @@
 
         let (traffic_shared, traffic_adapters, traffic_logger) =
             (Arc::clone(&shared), adapters.clone(), Arc::clone(&logger));
-        let (observations, observed) = mpsc::unbounded_channel();
+        let (observation_sender, observation_receiver) = mpsc::unbounded_channel();
         let mut threads = Threads::default();
         let traffic = move || {
             let log = event_log(&traffic_shared, traffic_logger);
@@ -121,7 +121,7 @@
                 forwarder,
                 log,
                 ports,
-                observations,
+                observation_sender,
             );
             LocalSet::new().block_on(&traffic_runtime, work);
         };
@@ -136,7 +136,15 @@
             log.write(control_shared.clock.now(), &started);
             let source: Rc<dyn Source> = Rc::new(source(&control_shared.settings));
             let state = ControlState::new(control_shared, log);
-            let work = control::run(state, adapters.directory, source, file, ports, metrics, observed);
+            let work = control::run(
+                state,
+                adapters.directory,
+                source,
+                file,
+                ports,
+                metrics,
+                observation_receiver,
+            );
             LocalSet::new().block_on(&control_runtime, work);
         };
         threads.spawn("control", control).map_err(GatewayError::Thread)?;
@@ -175,15 +183,15 @@
 }
 
 fn bind(runtime: &Runtime, address: SocketAddr) -> Result<TcpListener, GatewayError> {
-    let _inside = runtime.enter();
+    let _runtime_guard = runtime.enter();
     net::listen(address).map_err(|cause| GatewayError::Listen { address, cause })
 }
 
 fn bind_udp(runtime: &Runtime, address: SocketAddr) -> Result<tokio::net::UdpSocket, GatewayError> {
-    let _inside = runtime.enter();
-    let bound = std::net::UdpSocket::bind(address).and_then(|socket| {
+    let _runtime_guard = runtime.enter();
+    let socket = std::net::UdpSocket::bind(address).and_then(|socket| {
         socket.set_nonblocking(true)?;
         tokio::net::UdpSocket::from_std(socket)
     });
-    bound.map_err(|cause| GatewayError::Listen { address, cause })
+    socket.map_err(|cause| GatewayError::Listen { address, cause })
 }
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -49,7 +49,7 @@
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("barleyspool");
         for example in COUNTER_EXAMPLES {
-            register_counter(&meter, example.name(), shared);
+            register_labelled_counter(&meter, example.name(), shared);
         }
         register_gauges(&meter, shared);
         Ok(Self {
@@ -67,7 +67,7 @@
     }
 }
 
-fn register_counter(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
+fn register_labelled_counter(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter(format!("barleyspool_{name}"))
@@ -95,10 +95,10 @@
     register_gauge(meter, shared, "member_updates_waiting", |shared| {
         shared.queued_updates.load(Ordering::Relaxed) as u64
     });
-    register_total(meter, shared, "member_updates_outdated", |shared| {
+    register_counter(meter, shared, "member_updates_outdated", |shared| {
         &shared.outdated_suspicions
     });
-    register_total(meter, shared, "member_datagrams_unreadable", |shared| {
+    register_counter(meter, shared, "member_datagrams_unreadable", |shared| {
         &shared.datagrams_unreadable
     });
     register_gauge(meter, shared, "source_reader", |shared| {
@@ -108,9 +108,9 @@
         let answered = Time(shared.source_answered_at.load(Ordering::Relaxed));
         shared.clock.now().since(answered).as_millis()
     });
-    register_total(meter, shared, "source_calls", |shared| &shared.source_calls);
-    register_total(meter, shared, "source_asked", |shared| &shared.peer_requests);
-    register_total(meter, shared, "source_ask_failed", |shared| {
+    register_counter(meter, shared, "source_calls", |shared| &shared.source_calls);
+    register_counter(meter, shared, "source_asked", |shared| &shared.peer_requests);
+    register_counter(meter, shared, "source_ask_failed", |shared| {
         &shared.failed_peer_requests
     });
     register_gauge(meter, shared, "targets_listed", |shared| {
@@ -156,7 +156,7 @@
 }
 
 /// Registers a counter without labels; its value is read when the metrics are scraped.
-fn register_total(meter: &Meter, shared: &Arc<Shared>, name: &str, count: fn(&Shared) -> &AtomicU64) {
+fn register_counter(meter: &Meter, shared: &Arc<Shared>, name: &str, count: fn(&Shared) -> &AtomicU64) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter(format!("barleyspool_{name}"))
--- a/crates/barleyspool_gateway/tests/relayed_stream.rs
+++ b/crates/barleyspool_gateway/tests/relayed_stream.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Collected};
 use tokio::sync::mpsc;
 
-async fn relayed(items: Vec<RelayItem>) -> Result<Bytes, String> {
+async fn collect_relayed(items: Vec<RelayItem>) -> Result<Bytes, String> {
     let (sender, received) = mpsc::channel(items.len().max(1));
     for item in items {
         sender.send(item).await.unwrap();
@@ -25,13 +25,13 @@
 }
 
 #[tokio::test]
-async fn a_stream_with_its_end_is_whole() {
-    let body = relayed(vec![part("a"), part("b"), RelayItem::End]).await;
+async fn a_stream_with_an_end_item_is_complete() {
+    let body = collect_relayed(vec![part("a"), part("b"), RelayItem::End]).await;
     assert_eq!(body.unwrap(), "ab");
 }
 
 #[tokio::test]
-async fn a_stream_whose_task_is_gone_is_broken_off() {
-    let body = relayed(vec![part("a"), part("b")]).await;
+async fn a_stream_whose_relay_task_is_dropped_fails() {
+    let body = collect_relayed(vec![part("a"), part("b")]).await;
     assert_eq!(body.unwrap_err(), "the target's stream broke off");
 }
