--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -63,7 +63,7 @@
     feed: Feed,
 ) -> Result<Revision, SourceError> {
     let mut next_page = None;
-    let mut snapshot = FeedSnapshot::default();
+    let mut items = FeedItems::default();
     let mut first_revision = None;
     let needed_full_read = state.source_access.needs_full_read(feed);
     loop {
@@ -80,12 +80,12 @@
             return Err(SourceError::Restored);
         }
         for item in page.items {
-            snapshot.add(state, item);
+            items.add(state, item);
         }
         next_page = page.next;
         if next_page.is_none() {
             state.source_access.record_full_read(feed);
-            snapshot.apply(state, feed, revision);
+            items.apply(state, feed, revision);
             return Ok(revision);
         }
     }
@@ -93,13 +93,13 @@
 
 /// The items of a full read of a feed.
 #[derive(Default)]
-struct FeedSnapshot {
+struct FeedItems {
     targets: TargetTable,
     evacuated: BTreeSet<String>,
     configuration: Option<Box<CatalogDocument>>,
 }
 
-impl FeedSnapshot {
+impl FeedItems {
     fn add(&mut self, state: &ControlState, item: SourceChange) {
         match item {
             SourceChange::TargetUpserted(entry) => {
