--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -20,7 +20,7 @@
 /// How long callers may cache addresses from a node within [`STARTUP_PERIOD`]. With the normal TTL, all
 /// callers of a starting fleet would keep using the first nodes that serve.
 const STARTUP_ADDRESS_TTL: Span = Span::from_millis(300);
-/// Number of serving nodes in the caller's zone from which only those are returned.
+/// Minimum number of serving nodes in the caller's zone for a response that contains only nodes of that zone.
 const MIN_ZONE_NODES: usize = 2;
 
 /// Serves the readiness port or the directory port until the process ends.
--- a/crates/barleyspool_gateway/src/control/feed_reader.rs
+++ b/crates/barleyspool_gateway/src/control/feed_reader.rs
@@ -162,6 +162,8 @@
 ) -> Result<T, SourceError> {
     match timer::timeout(timeout, request).await {
         Ok(result) => result,
-        Err(_) => Err(SourceError::Unreachable("no answer in time".to_owned())),
+        Err(_) => Err(SourceError::Unreachable(
+            "no answer within the timeout".to_owned(),
+        )),
     }
 }
--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Logs a change of the evacuated zones, applies it to the target list and publishes it.
     fn evacuations_changed(&self, origin: Origin) {
         let (zones, revision) = {
             let evacuations = self.evacuations.borrow();
@@ -197,12 +198,12 @@
         }
     }
 
-    /// Logs a source item that is not valid and is skipped.
+    /// Logs a source item that cannot be read and is skipped.
     pub fn log_skipped_item(&self, key: &str, cause: &str) {
         self.log.write(self.now(), &LogEvent::ItemSkipped { key, cause });
     }
 
-    /// Logs a target entry that is not valid, once until it becomes valid again.
+    /// Logs a target entry that cannot be read, unless the target list already marks it as unreadable.
     pub fn log_unreadable_target(&self, id: &str, key: &str, cause: &str) {
         let already_logged = |entry: &TargetEntry| entry.unreadable;
         if !self.targets.borrow().table.get(id).is_some_and(already_logged) {
@@ -210,6 +211,7 @@
         }
     }
 
+    /// Logs a change of the target list and publishes it to the traffic thread and to other nodes.
     fn targets_changed(&self, origin: Origin) {
         let (counts, revision) = {
             let store = self.targets.borrow();
