--- a/crates/barleyspool_gateway/src/control/source_changes.rs
+++ b/crates/barleyspool_gateway/src/control/source_changes.rs
@@ -173,8 +173,8 @@
     }
 
     /// Removes targets that expired during an outage of the source and did not reappear in time. After the
-    /// source was restored from a backup, also reopens evacuated zones that it does not list, and marks targets
-    /// that reappeared as verified, each after its waiting time.
+    /// source was restored from a backup, also reopens evacuated zones that it does not list, and marks
+    /// targets that reappeared as verified, each after its waiting time.
     pub fn expire_targets(&self) {
         if self.evacuations.borrow_mut().expire(self.now()) {
             self.evacuations_changed(Origin::Expiry);
