--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -98,8 +98,8 @@
         unreadable: usize,
         /// Targets that restarted under the same id.
         restarted: usize,
-        /// Targets that receive no calls because their entries reappeared when the source was restored from a backup, and
-        /// are not verified since.
+        /// Targets that receive no calls because their entries reappeared when the source was restored from a backup and
+        /// have not been verified since.
         #[serde(rename = "doubted")]
         unverified: usize,
     },
@@ -167,7 +167,7 @@
         /// The number of nodes that accept calls.
         serving: usize,
     },
-    /// The health of another node changed, as far as this node knows.
+    /// This node's view of the health of another node changed.
     #[serde(rename = "member")]
     MemberChanged {
         /// The address of the node.
@@ -298,7 +298,7 @@
         route: &'a str,
         /// Its organisation.
         organisation: &'a str,
-        /// Its priority.
+        /// The rank of its priority class; 0 is the most important.
         rank: u8,
         /// Milliseconds until its deadline.
         #[serde(rename = "left_ms")]
@@ -315,7 +315,7 @@
         id: &'a str,
         /// Its route.
         route: &'a str,
-        /// Its priority.
+        /// The rank of its priority class; 0 is the most important.
         rank: u8,
         /// The objective of its route for the time to the first output, in milliseconds.
         #[serde(rename = "aim_ms")]
@@ -349,7 +349,7 @@
         /// Its duration, in milliseconds.
         took_ms: u64,
     },
-    /// A batch call, with pieces of one or several requests, to a target of a pool ended.
+    /// A batch call to a target of a pool ended. It contains pieces of one or several calls.
     #[serde(rename = "pool_call")]
     BatchEnded {
         /// The target's id.
@@ -407,7 +407,7 @@
         verdict: &'a str,
         /// The step that failed; see [`CallFailure`](crate::CallFailure).
         step: &'a str,
-        /// The target or node that caused the failure.
+        /// The target or node that caused the failure; empty for this node.
         peer: &'a str,
         /// When the caller should retry, in milliseconds; 0 when a retry does not help.
         #[serde(rename = "come_back_ms")]
--- a/crates/barleyspool_gateway/src/shared.rs
+++ b/crates/barleyspool_gateway/src/shared.rs
@@ -71,7 +71,7 @@
     pub stop: watch::Sender<StopPhase>,
     /// Whether the listener for callers is closed and every connection established before was accepted.
     pub listener_closed: AtomicBool,
-    /// Whether the traffic thread is listening.
+    /// Whether the traffic thread accepts connections.
     pub listening: AtomicBool,
 }
 
--- a/crates/barleyspool_gateway/src/traffic/answer_body.rs
+++ b/crates/barleyspool_gateway/src/traffic/answer_body.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The size of the parts in which a whole answer is passed to the HTTP library, in bytes. The rest counts as held
+/// The size of the parts in which a buffered answer is passed to the HTTP library, in bytes. The rest counts as held
 /// memory, and its call as in flight, until the caller reads on; a part of this size is written at once.
 const PART_BYTES: usize = 64 << 10;
 
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -28,7 +28,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest answer that is buffered whole, in bytes.
+/// Largest answer that is buffered in memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 /// A repeatable call is sent to another target after this multiple of the expected time to the first output.
 const TIMEOUT_FACTOR: f64 = 5.0;
@@ -40,7 +40,7 @@
 
 /// Result of sending a call.
 pub enum Outcome {
-    /// The call was answered, with a whole body or a stream.
+    /// The call was answered, with a complete body or a stream.
     Answered(Response<AnswerBody>),
     /// The inputs of the call are lost and have to be recomputed.
     InputsGone(StageResults),
@@ -285,7 +285,7 @@
 pub enum TargetAnswer {
     /// The header of a stream, whose body is still to be read.
     Stream(Parts, Incoming, Connection, AnswerHead),
-    /// A whole answer, and whether its status is a success.
+    /// A complete answer in memory, and whether its status is a success.
     Buffered(Parts, Bytes, bool),
 }
 
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -294,7 +294,7 @@
     }
 }
 
-/// Outcome of a batch call, and its connection if a whole answer was read from it.
+/// Outcome of a batch call, and its connection if a complete answer was read from it.
 struct BatchAnswer {
     outcome: BatchOutcome,
     connection: Option<(Connection, Option<Duration>)>,
