--- a/crates/barleyspool_gateway/src/control/members.rs
+++ b/crates/barleyspool_gateway/src/control/members.rs
@@ -78,7 +78,7 @@
         }
         // Counted instead of logged: a node of another version may send several of these per second.
         Err(_) => {
-            state.shared.datagrams_unreadable.fetch_add(1, Ordering::Relaxed);
+            state.shared.unreadable_datagrams.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -200,7 +200,8 @@
         #[serde(rename = "print", serialize_with = "as_text")]
         fingerprint: CallFingerprint,
         /// Whether the crash counts against the call; it does not if a target answered the same call recently.
-        counts: bool,
+        #[serde(rename = "counts")]
+        counts_against_call: bool,
     },
     /// The answer of a target reported that it is shutting down, which this node did not know.
     TargetLeaves {
--- a/crates/barleyspool_gateway/src/gateway.rs
+++ b/crates/barleyspool_gateway/src/gateway.rs
@@ -78,7 +78,7 @@
             counters: ArcSwap::default(),
             queued_updates: AtomicUsize::new(0),
             outdated_suspicions: AtomicU64::new(0),
-            datagrams_unreadable: AtomicU64::new(0),
+            unreadable_datagrams: AtomicU64::new(0),
             source_calls: AtomicU64::new(0),
             source_answered_at: AtomicU64::new(0),
             is_source_reader: AtomicBool::new(true),
--- a/crates/barleyspool_gateway/src/metrics.rs
+++ b/crates/barleyspool_gateway/src/metrics.rs
@@ -99,7 +99,7 @@
         &shared.outdated_suspicions
     });
     register_counter(meter, shared, "member_datagrams_unreadable", |shared| {
-        &shared.datagrams_unreadable
+        &shared.unreadable_datagrams
     });
     register_gauge(meter, shared, "source_reader", |shared| {
         u64::from(shared.is_source_reader.load(Ordering::Relaxed))
--- a/crates/barleyspool_gateway/src/shared.rs
+++ b/crates/barleyspool_gateway/src/shared.rs
@@ -52,7 +52,7 @@
     /// Suspicions that were ignored because their sender had outdated information.
     pub outdated_suspicions: AtomicU64,
     /// Datagrams of other nodes that could not be decoded.
-    pub datagrams_unreadable: AtomicU64,
+    pub unreadable_datagrams: AtomicU64,
     /// Requests to the source.
     pub source_calls: AtomicU64,
     /// When the source, or a node that reads it, last answered, in microseconds of the clock.
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -73,15 +73,15 @@
     pub fn record_crash(&self, traffic: &Traffic, target: &str, (id, fingerprint): (&str, CallFingerprint)) {
         let now = traffic.now();
         traffic.count(Counter::TargetCrashed);
-        let counts = !self.answered_calls.borrow_mut().contains(now, fingerprint);
+        let counts_against_call = !self.answered_calls.borrow_mut().contains(now, fingerprint);
         let line = LogEvent::TargetCrashed {
             target,
             id,
             fingerprint,
-            counts,
+            counts_against_call,
         };
         traffic.log.write(now, &line);
-        if !counts {
+        if !counts_against_call {
             return;
         }
         let plan = traffic.plan();
