--- a/crates/barleyspool_gateway/src/traffic/grants.rs
+++ b/crates/barleyspool_gateway/src/traffic/grants.rs
@@ -51,7 +51,7 @@
     let shard = traffic.forwarder.borrow().shard_of_target(&chosen.id)?;
     let request = GrantRequest {
         target: chosen.id.clone(),
-        from: traffic.plan().me,
+        requester: traffic.plan().me,
         max_wait,
     };
     match traffic.peers.owner_of_key(traffic, shard) {
@@ -71,5 +71,5 @@
 pub fn grant_locally(traffic: &Traffic, request: &GrantRequest) -> Grant {
     let now = traffic.now();
     let mut forwarder = traffic.forwarder.borrow_mut();
-    forwarder.grant(now, &request.target, request.from, request.max_wait)
+    forwarder.grant(now, &request.target, request.requester, request.max_wait)
 }
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -7,8 +7,8 @@
 use barleyspool_core::{Grant, NO_CAPACITY_TTL, OrderOutcome, PieceOrder, Span, Time, rendezvous};
 use barleyspool_wire::net;
 use barleyspool_wire::pieces::{
-    self, GrantRequest, Pieces, PiecesClient, PlaceAnswer, PlaceRequest, PlaceStep, RemoteEnd, RemoteOrder,
-    RemoteRelease,
+    self, GrantRequest, Pieces, PiecesClient, PlaceAnswer, PlaceRequest, PlacedCallEvent, RemoteOrder,
+    RemoteOrderOutcome, RemoteRelease,
 };
 use barleyspool_wire::timer;
 use futures::StreamExt;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub enum PeerJob {
     /// Compute the pieces of an order.
-    Compute(RemoteOrder, oneshot::Sender<RemoteEnd>),
+    Compute(RemoteOrder, oneshot::Sender<RemoteOrderOutcome>),
     /// Release stage results.
     Release(RemoteRelease),
     /// Place a call at an engine.
@@ -46,7 +46,7 @@
     /// Decide whether a call may be sent to a rate-limited target.
     Grant(GrantRequest, oneshot::Sender<Grant>),
     /// A call that was placed here reached its next step.
-    Placed(String, PlaceStep),
+    Placed(String, PlacedCallEvent),
 }
 
 struct Link {
@@ -166,7 +166,7 @@
         let remote = RemoteOrder {
             service: id.service.clone(),
             shard: id.shard,
-            from: traffic.plan().me,
+            requester: traffic.plan().me,
             order: PieceOrder {
                 // Sent as the time left, since the clocks of the nodes differ; the other node adds its own
                 // clock.
@@ -184,8 +184,8 @@
                 end = attempt.as_mut() => {
                     let Ok(end) = end else { return OrderAttempt::ConnectionLost };
                     link.last_answer.set(Instant::now());
-                    self.reported_waits.borrow_mut().insert(id.clone(), (end.wait, traffic.now()));
-                    return OrderAttempt::Ended(end.end);
+                    self.reported_waits.borrow_mut().insert(id.clone(), (end.expected_wait, traffic.now()));
+                    return OrderAttempt::Ended(end.outcome);
                 }
                 responsive = is_responsive(&link) => if !responsive {
                     return OrderAttempt::Unreachable;
@@ -262,9 +262,9 @@
 
     /// Reports a step of a placed call to the node that placed it. When the message is lost, that node drops
     /// the placement after its time to live.
-    pub async fn report_step(&self, address: &str, call: String, step: PlaceStep) {
+    pub async fn report_event(&self, address: &str, call: String, event: PlacedCallEvent) {
         if let Some(link) = self.link(address).await {
-            let _ = link.client.placed(context::current(), call, step).await;
+            let _ = link.client.placed(context::current(), call, event).await;
         }
     }
 }
@@ -311,11 +311,11 @@
 }
 
 impl Pieces for PeerServer {
-    async fn make(self, _: Context, order: RemoteOrder) -> RemoteEnd {
+    async fn make(self, _: Context, order: RemoteOrder) -> RemoteOrderOutcome {
         let (reply, end) = oneshot::channel();
-        let failed = RemoteEnd {
-            end: OrderOutcome::Failed,
-            wait: Span::ZERO,
+        let failed = RemoteOrderOutcome {
+            outcome: OrderOutcome::Failed,
+            expected_wait: Span::ZERO,
         };
         if self.jobs.send(PeerJob::Compute(order, reply)).is_err() {
             return failed;
@@ -339,8 +339,8 @@
         grant.await.ok()
     }
 
-    async fn placed(self, _: Context, call: String, step: PlaceStep) {
-        let _ = self.jobs.send(PeerJob::Placed(call, step));
+    async fn placed(self, _: Context, call: String, event: PlacedCallEvent) {
+        let _ = self.jobs.send(PeerJob::Placed(call, event));
     }
 
     async fn ping(self, _: Context) {}
@@ -372,7 +372,7 @@
             PeerJob::Grant(request, reply) => {
                 let _ = reply.send(grants::grant_locally(&traffic, &request));
             }
-            PeerJob::Placed(call, step) => placement::apply_step(&traffic, &call, step),
+            PeerJob::Placed(call, event) => placement::apply_event(&traffic, &call, event),
             PeerJob::Release(release) => {
                 let id = PoolId {
                     service: release.service,
@@ -386,19 +386,23 @@
     }
 }
 
-async fn compute_for_peer(traffic: Rc<Traffic>, order: RemoteOrder, mut reply: oneshot::Sender<RemoteEnd>) {
+async fn compute_for_peer(
+    traffic: Rc<Traffic>,
+    order: RemoteOrder,
+    mut reply: oneshot::Sender<RemoteOrderOutcome>,
+) {
     let id = PoolId {
         service: order.service,
         shard: order.shard,
     };
     let now = traffic.now();
-    let from = order.from;
+    let requester = order.requester;
     let mut order = order.order;
     order.deadline = now + Span(order.deadline.0);
     order.due = now + Span(order.due.0);
-    let ended = |end| RemoteEnd {
-        end,
-        wait: Span::ZERO,
+    let ended = |outcome| RemoteOrderOutcome {
+        outcome,
+        expected_wait: Span::ZERO,
     };
     if !id.is_current(&traffic.plan()) {
         // The pool is sharded differently in the current plan; the requesting node will receive that plan
@@ -410,12 +414,15 @@
         let _ = reply.send(ended(OrderOutcome::Failed));
         return;
     };
-    let end = tokio::select! {
-        end = pool.compute(&traffic, order, from) => end,
+    let outcome = tokio::select! {
+        outcome = pool.compute(&traffic, order, requester) => outcome,
         // The requesting node has given the order up.
         () = reply.closed() => return,
     };
-    let wait = pool.expected_wait(&traffic);
+    let expected_wait = pool.expected_wait(&traffic);
     // A node that has disconnected just now cannot release the results; they expire after their time to live.
-    let _ = reply.send(RemoteEnd { end, wait });
+    let _ = reply.send(RemoteOrderOutcome {
+        outcome,
+        expected_wait,
+    });
 }
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -12,7 +12,7 @@
 use barleyspool_core::{
     ChooseResult, SendEnd, SendKey, Shard, Span, TargetChoice, TargetQuery, Time, rendezvous,
 };
-use barleyspool_wire::pieces::{PlaceAnswer, PlaceRequest, PlaceStep, Placed};
+use barleyspool_wire::pieces::{ChosenEngine, PlaceAnswer, PlaceRequest, PlacedCallEvent};
 use barleyspool_wire::timer;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -46,7 +46,7 @@
     /// Reports the first output, once.
     pub fn first_output(&mut self) {
         if !std::mem::replace(&mut self.first_output, true) {
-            self.report(PlaceStep::FirstOutput);
+            self.report(PlacedCallEvent::FirstOutput);
         }
     }
 
@@ -62,18 +62,18 @@
         );
         self.ended = true;
         self.report(if success {
-            PlaceStep::Ended
+            PlacedCallEvent::Finished
         } else {
-            PlaceStep::Failed
+            PlacedCallEvent::Failed
         });
     }
 
-    fn report(&self, step: PlaceStep) {
+    fn report(&self, event: PlacedCallEvent) {
         match &self.owner {
-            Owner::Local => apply_step(&self.traffic, &self.call, step),
+            Owner::Local => apply_event(&self.traffic, &self.call, event),
             Owner::Remote(address) => {
                 let (traffic, address, call) = (Rc::clone(&self.traffic), address.clone(), self.call.clone());
-                spawn_local(async move { traffic.peers.report_step(&address, call, step).await });
+                spawn_local(async move { traffic.peers.report_event(&address, call, event).await });
             }
         }
     }
@@ -82,7 +82,7 @@
 impl Drop for Placement {
     fn drop(&mut self) {
         if !self.ended {
-            self.report(PlaceStep::Ended);
+            self.report(PlacedCallEvent::Finished);
         }
     }
 }
@@ -160,12 +160,12 @@
         }
     };
     let placed = match answer {
-        Some(PlaceAnswer::At(placed)) => Some(placed),
-        Some(PlaceAnswer::NoRoom(wait)) => {
+        Some(PlaceAnswer::Chosen(placed)) => Some(placed),
+        Some(PlaceAnswer::NoCapacity(wait)) => {
             traffic.peers.note_no_capacity(traffic.now(), id, wait);
             return PlaceResult::NoCapacity(wait);
         }
-        Some(PlaceAnswer::Busy) | None => None,
+        Some(PlaceAnswer::NoneUsable) | None => None,
     };
     let placement = Placement {
         traffic: Rc::clone(traffic),
@@ -184,9 +184,9 @@
     let Some(mut chosen) = usable else {
         return PlaceResult::NotPlaced;
     };
-    chosen.source = placed.source;
+    chosen.source = placed.prefix_source;
     chosen.wait = placed.wait;
-    chosen.rate_limited = placed.bounded;
+    chosen.rate_limited = placed.rate_limited;
     PlaceResult::Placed(chosen, placement)
 }
 
@@ -209,10 +209,10 @@
     Some(PlaceRequest {
         call: format!("{}/{}", call.head.id, call.next_placement()),
         shard: id.shard,
-        from: call.traffic.plan().me,
+        requester: call.traffic.plan().me,
         max_wait,
         engine_memory: query.engine_memory?,
-        avoid: avoid.map(|record| record.entry.id.clone()).collect(),
+        failed_targets: avoid.map(|record| record.entry.id.clone()).collect(),
         service: query.service,
         route: query.route,
         prefix: query.prefix,
@@ -220,7 +220,7 @@
         prompt_tokens: query.prompt_tokens,
         zone: call.zone_of_inputs(),
         input_bytes: query.input_bytes,
-        copies: query.can_copy_prefixes,
+        can_copy_prefixes: query.can_copy_prefixes,
     })
 }
 
@@ -235,7 +235,11 @@
         of: traffic.plan().engine_shards(&request.service),
     };
     let mut forwarder = traffic.forwarder.borrow_mut();
-    let avoid = request.avoid.iter().filter_map(|id| forwarder.key(id)).collect();
+    let avoid = request
+        .failed_targets
+        .iter()
+        .filter_map(|id| forwarder.key(id))
+        .collect();
     let query = TargetQuery {
         service: request.service.clone(),
         route: request.route.clone(),
@@ -246,15 +250,15 @@
         zone: request.zone.clone(),
         input_bytes: request.input_bytes,
         avoid,
-        can_copy_prefixes: request.copies,
+        can_copy_prefixes: request.can_copy_prefixes,
         max_wait: request.max_wait,
         placing: Some(shard),
-        for_other_node: request.from != traffic.plan().me,
+        for_other_node: request.requester != traffic.plan().me,
     };
-    let chosen = match forwarder.place(now, &query, request.from) {
+    let chosen = match forwarder.place(now, &query, request.requester) {
         ChooseResult::Send(chosen) => chosen,
-        ChooseResult::NoCapacity(wait) => return PlaceAnswer::NoRoom(wait),
-        ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => return PlaceAnswer::Busy,
+        ChooseResult::NoCapacity(wait) => return PlaceAnswer::NoCapacity(wait),
+        ChooseResult::CoolingDown(_) | ChooseResult::Busy(_) => return PlaceAnswer::NoneUsable,
     };
     let send = forwarder.begin(now, &query, chosen.target);
     let mut placements = traffic.placements.borrow_mut();
@@ -269,26 +273,26 @@
             keep
         });
     }
-    PlaceAnswer::At(Placed {
+    PlaceAnswer::Chosen(ChosenEngine {
         target: chosen.id,
-        source: chosen.source,
+        prefix_source: chosen.source,
         wait: chosen.wait,
-        bounded: chosen.rate_limited,
+        rate_limited: chosen.rate_limited,
     })
 }
 
 /// Applies a step of a call that was placed here.
-pub fn apply_step(traffic: &Traffic, call: &str, step: PlaceStep) {
+pub fn apply_event(traffic: &Traffic, call: &str, event: PlacedCallEvent) {
     let now = traffic.now();
     let mut placements = traffic.placements.borrow_mut();
     let Some((send, _)) = placements.sends.get(call).copied() else {
         return;
     };
     let mut forwarder = traffic.forwarder.borrow_mut();
-    match step {
-        PlaceStep::FirstOutput => return forwarder.first_output(now, send),
-        PlaceStep::Ended => forwarder.abandon(send),
-        PlaceStep::Failed => {
+    match event {
+        PlacedCallEvent::FirstOutput => return forwarder.first_output(now, send),
+        PlacedCallEvent::Finished => forwarder.abandon(send),
+        PlacedCallEvent::Failed => {
             forwarder.end(now, send, SendEnd::BrokenOff);
         }
     }
--- a/crates/barleyspool_wire/src/pieces.rs
+++ b/crates/barleyspool_wire/src/pieces.rs
@@ -19,7 +19,8 @@
     /// Which shard of it.
     pub shard: u32,
     /// The key of the node that asks.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub requester: u64,
     /// The order; its times are counted from the message's arrival.
     pub order: PieceOrder,
 }
@@ -27,11 +28,13 @@
 /// How a remote order ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
-pub struct RemoteEnd {
+pub struct RemoteOrderOutcome {
     /// What became of it.
-    pub end: OrderOutcome,
+    #[serde(rename = "end")]
+    pub outcome: OrderOutcome,
     /// How long a full call that came now would take, waiting included.
-    pub wait: Span,
+    #[serde(rename = "wait")]
+    pub expected_wait: Span,
 }
 
 /// Results that a request does not need any more.
@@ -57,7 +60,8 @@
     /// Which shard of it.
     pub shard: u32,
     /// The key of the node that asks.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub requester: u64,
     /// How long the call may wait for an engine that takes so many calls a second and no more.
     pub max_wait: Span,
     /// The call's route.
@@ -75,21 +79,25 @@
     /// The size of its inputs, in bytes.
     pub input_bytes: u64,
     /// Ids of targets that failed it already.
-    pub avoid: Vec<String>,
+    #[serde(rename = "avoid")]
+    pub failed_targets: Vec<String>,
     /// Whether an engine can take the shared beginning of its prompt from another one.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub can_copy_prefixes: bool,
 }
 
 /// The engine that an owner chose for a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
-pub struct Placed {
+pub struct ChosenEngine {
     /// Its id.
     pub target: String,
     /// The address of an engine that most likely holds the shared beginning of the prompt, when this one does not.
-    pub source: Option<String>,
+    #[serde(rename = "source")]
+    pub prefix_source: Option<String>,
     /// Whether it takes so many calls a second and no more.
-    pub bounded: bool,
+    #[serde(rename = "bounded")]
+    pub rate_limited: bool,
     /// How long the call has to wait before it is sent.
     pub wait: Span,
 }
@@ -99,11 +107,14 @@
 #[serde(crate = "tarpc::serde")]
 pub enum PlaceAnswer {
     /// The call goes there.
-    At(Placed),
+    #[serde(rename = "At")]
+    Chosen(ChosenEngine),
     /// Every engine that is usable has been given all that it takes; when there is room again.
-    NoRoom(Span),
+    #[serde(rename = "NoRoom")]
+    NoCapacity(Span),
     /// No engine is usable.
-    Busy,
+    #[serde(rename = "Busy")]
+    NoneUsable,
 }
 
 /// Asks the owner of a target's rate whether a call may go there.
@@ -113,7 +124,8 @@
     /// The target's id.
     pub target: String,
     /// The key of the node that asks.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub requester: u64,
     /// How long the call may wait.
     pub max_wait: Span,
 }
@@ -121,11 +133,12 @@
 /// How a placed call goes on.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
-pub enum PlaceStep {
+pub enum PlacedCallEvent {
     /// Its first output came.
     FirstOutput,
     /// It ended well, or its caller left.
-    Ended,
+    #[serde(rename = "Ended")]
+    Finished,
     /// Its target failed it.
     Failed,
 }
@@ -134,7 +147,7 @@
 #[tarpc::service]
 pub trait Pieces {
     /// Makes pieces; the answer comes when all are made or the order has failed.
-    async fn make(order: RemoteOrder) -> RemoteEnd;
+    async fn make(order: RemoteOrder) -> RemoteOrderOutcome;
     /// Frees results.
     async fn release(release: RemoteRelease);
     /// Chooses an engine for a call; none when the node is about to end.
@@ -142,7 +155,7 @@
     /// Says whether a call may go to a target that takes so many calls a second; none when the node is about to end.
     async fn grant(request: GrantRequest) -> Option<Grant>;
     /// Tells how a placed call goes on.
-    async fn placed(call: String, step: PlaceStep);
+    async fn placed(call: String, step: PlacedCallEvent);
     /// Answers, so that the asking node sees that this one is there.
     async fn ping();
 }
@@ -162,10 +175,10 @@
 pub async fn connect(address: &str) -> io::Result<PiecesClient> {
     let stream = net::connect(address).await?;
     let mut config = tarpc::client::Config::default();
-    config.max_in_flight_requests = MOST_IN_FLIGHT;
-    config.pending_request_buffer = MOST_IN_FLIGHT;
+    config.max_in_flight_requests = MAX_IN_FLIGHT;
+    config.pending_request_buffer = MAX_IN_FLIGHT;
     Ok(PiecesClient::new(config, peer::transport(stream)).spawn())
 }
 
 /// Orders that may be under way on one connection.
-const MOST_IN_FLIGHT: usize = 4096;
+const MAX_IN_FLIGHT: usize = 4096;
