--- a/crates/barleyspool_client/src/client.rs
+++ b/crates/barleyspool_client/src/client.rs
@@ -1,7 +1,7 @@
 //! Running jobs: where to send, and when to send again.
 
 use crate::connections::Connections;
-use crate::job::{Answer, End, Job};
+use crate::job::{Answer, Job, JobOutcome};
 use barleyspool_core::Time;
 use barleyspool_wire::rpc;
 use rand::Rng;
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tonic::Status;
 
-/// What the reason of an [`End::Unknown`] begins with when no node gave an outcome.
+/// What the reason of an [`JobOutcome::Unknown`] begins with when no node gave an outcome.
 const NO_OUTCOME: &str = "no_outcome";
 /// The shortest wait before a node is asked again after a failure.
-const SHORT_WAIT: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long a call of `Ask` may take.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a node may take to accept a request. It does so before it decides anything.
@@ -27,23 +27,23 @@
     /// The most sends of one job.
     pub max_sends: u32,
     /// Whether refusals are waited out as the node says; otherwise the first refusal is the answer.
-    pub come_back: bool,
+    pub retry_refused: bool,
 }
 
 impl Default for ClientSettings {
     fn default() -> Self {
         Self {
             max_sends: 8,
-            come_back: true,
+            retry_refused: true,
         }
     }
 }
 
 /// The nodes that were last named, and until when.
 #[derive(Debug, Default)]
-struct Kept {
+struct CachedNodes {
     addresses: Vec<String>,
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 /// A caller's client. It may be shared by many tasks.
@@ -53,18 +53,18 @@
     zone: String,
     settings: ClientSettings,
     connections: Connections,
-    kept: Mutex<Kept>,
+    cached_nodes: Mutex<CachedNodes>,
     revision: AtomicU64,
 }
 
 /// What one send of a job led to.
-enum Sent {
+enum SendResult {
     /// An outcome, and what came before it.
     Outcome(rpc::Outcome, Vec<u8>, Option<Time>),
     /// The connection could not be made: nothing was sent.
     Unreachable,
     /// The connection broke or the node did not answer.
-    Broken(Status),
+    ConnectionLost(Status),
 }
 
 impl Client {
@@ -75,7 +75,7 @@
             zone: zone.to_owned(),
             settings: ClientSettings::default(),
             connections: Connections::default(),
-            kept: Mutex::default(),
+            cached_nodes: Mutex::default(),
             revision: AtomicU64::new(0),
         }
     }
@@ -88,93 +88,96 @@
 
     /// Runs a job: sends it, and sends it again where that cannot do harm, until its deadline.
     pub async fn run(&self, job: &Job) -> Answer {
-        let mut run = Run {
-            earlier: rpc::EarlierSends::None,
+        let mut progress = JobProgress {
+            earlier_sends: rpc::EarlierSends::None,
             sends: 0,
-            last: None,
+            last_outcome: None,
         };
-        let mut next: Option<String> = None;
-        while run.sends < self.settings.max_sends && wall() < job.deadline {
-            let address = match next.take() {
+        let mut next_address: Option<String> = None;
+        while progress.sends < self.settings.max_sends && wall_clock() < job.deadline {
+            let address = match next_address.take() {
                 Some(address) => address,
-                None => self.node_for(job, run.sends).await,
+                None => self.choose_node(job, progress.sends).await,
             };
-            run.sends += 1;
-            match self.send(job, &address, run.earlier).await {
-                Sent::Unreachable => {
-                    self.forget_kept();
-                    tokio::time::sleep(SHORT_WAIT).await;
+            progress.sends += 1;
+            match self.send(job, &address, progress.earlier_sends).await {
+                SendResult::Unreachable => {
+                    self.invalidate_cached_nodes();
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
-                Sent::Broken(status) => {
+                SendResult::ConnectionLost(status) => {
                     // It may have run: say so, and let the home of the key tell.
-                    run.earlier = rpc::EarlierSends::Uncertain;
-                    run.last = Some(End::Unknown {
+                    progress.earlier_sends = rpc::EarlierSends::Uncertain;
+                    progress.last_outcome = Some(JobOutcome::Unknown {
                         reason: format!("{NO_OUTCOME}: {}", status.message()),
                     });
-                    self.connections.drop(&address);
-                    self.forget_kept();
-                    tokio::time::sleep(SHORT_WAIT).await;
+                    self.connections.remove(&address);
+                    self.invalidate_cached_nodes();
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
-                Sent::Outcome(outcome, data, first_byte) => {
+                SendResult::Outcome(outcome, data, first_byte_at) => {
                     self.revision.fetch_max(outcome.revision, Ordering::Relaxed);
                     if outcome.verdict() == rpc::Verdict::Complete {
                         return Answer {
                             data,
-                            end: End::Complete,
-                            sends: run.sends,
-                            first_byte,
+                            outcome: JobOutcome::Complete,
+                            sends: progress.sends,
+                            first_byte_at,
                         };
                     }
-                    match self.after_refusal(job, &outcome, &mut run).await {
-                        Some(address) => next = address,
-                        None => return run.answer(),
+                    match self.handle_refusal(job, &outcome, &mut progress).await {
+                        Some(address) => next_address = address,
+                        None => return progress.final_answer(),
                     }
                 }
             }
         }
-        run.answer()
+        progress.final_answer()
     }
 
     /// Decides after a refusal: `None` to give up, `Some(None)` to try any node, `Some(Some(_))` that one.
-    async fn after_refusal(
+    async fn handle_refusal(
         &self,
         job: &Job,
         outcome: &rpc::Outcome,
-        run: &mut Run,
+        progress: &mut JobProgress,
     ) -> Option<Option<String>> {
         let not_run = outcome.verdict() == rpc::Verdict::NotRun;
         let reason = outcome.reason.clone();
-        let come_back_ms = outcome.come_back_ms;
-        run.last = Some(if not_run {
+        let retry_after_ms = outcome.come_back_ms;
+        progress.last_outcome = Some(if not_run {
             // Of an uncertain key only the settled home says this; then it is certain again.
-            run.earlier = rpc::EarlierSends::AllNotRun;
-            End::NotRun { reason, come_back_ms }
+            progress.earlier_sends = rpc::EarlierSends::AllNotRun;
+            JobOutcome::NotRun {
+                reason,
+                retry_after_ms,
+            }
         } else {
-            End::Unknown { reason }
+            JobOutcome::Unknown { reason }
         });
         // An unknown outcome is final unless the refusing node itself did nothing for the job.
-        let turned_away = outcome.step.is_empty();
-        if come_back_ms == 0 || !(turned_away || not_run) {
+        let refused_on_arrival = outcome.step.is_empty();
+        if retry_after_ms == 0 || !(refused_on_arrival || not_run) {
             return None;
         }
         if !outcome.redirect.is_empty() {
             return Some(Some(outcome.redirect.clone()));
         }
-        if !self.settings.come_back {
+        if !self.settings.retry_refused {
             return None;
         }
-        let spread = rand::rng().random_range(0..=come_back_ms / 4 + 1);
-        let wait = Duration::from_millis(come_back_ms + spread);
-        if wall().as_millis() + wait.as_millis() as u64 >= job.deadline.as_millis() {
+        let jitter = rand::rng().random_range(0..=retry_after_ms / 4 + 1);
+        let wait = Duration::from_millis(retry_after_ms + jitter);
+        if wall_clock().as_millis() + wait.as_millis() as u64 >= job.deadline.as_millis() {
             return None;
         }
         tokio::time::sleep(wait).await;
         Some(None)
     }
 
-    async fn send(&self, job: &Job, address: &str, earlier: rpc::EarlierSends) -> Sent {
+    async fn send(&self, job: &Job, address: &str, earlier_sends: rpc::EarlierSends) -> SendResult {
         let Ok(mut client) = self.connections.get(address).await else {
-            return Sent::Unreachable;
+            return SendResult::Unreachable;
         };
         let mut request = rpc::RunRequest {
             key: job.key.clone(),
@@ -187,17 +190,17 @@
             prefix: job.prefix.clone(),
             ..rpc::RunRequest::default()
         };
-        request.set_earlier(earlier);
-        let left = Duration::from_micros(job.deadline.since(wall()).0) + OUTCOME_GRACE;
+        request.set_earlier(earlier_sends);
+        let remaining = Duration::from_micros(job.deadline.since(wall_clock()).0) + OUTCOME_GRACE;
         let exchange = async {
             let accepted = tokio::time::timeout(ACCEPT_TIMEOUT, client.run(request)).await;
             let accepted = accepted.map_err(|_| Status::deadline_exceeded("the node does not accept"))?;
             let mut stream = accepted?.into_inner();
-            let (mut data, mut first_byte) = (Vec::new(), None);
+            let (mut data, mut first_byte_at) = (Vec::new(), None);
             while let Some(reply) = stream.message().await? {
                 match reply.reply {
                     Some(rpc::run_reply::Reply::Part(part)) if part.offset == data.len() as u64 => {
-                        first_byte = first_byte.or_else(|| Some(wall()));
+                        first_byte_at = first_byte_at.or_else(|| Some(wall_clock()));
                         data.extend_from_slice(&part.data);
                     }
                     Some(rpc::run_reply::Reply::Part(_)) => {
@@ -208,18 +211,18 @@
                         if complete && outcome.length != data.len() as u64 {
                             return Err(Status::data_loss("the answer is not whole"));
                         }
-                        return Ok(Sent::Outcome(outcome, data, first_byte));
+                        return Ok(SendResult::Outcome(outcome, data, first_byte_at));
                     }
                     None => {}
                 }
             }
             Err(Status::aborted("the stream ended without an outcome"))
         };
-        match tokio::time::timeout(left, exchange).await {
+        match tokio::time::timeout(remaining, exchange).await {
             Ok(Ok(sent)) => sent,
-            Ok(Err(status)) if never_processed(&status) => Sent::Unreachable,
-            Ok(Err(status)) => Sent::Broken(status),
-            Err(_) => Sent::Broken(Status::deadline_exceeded("no outcome by the deadline")),
+            Ok(Err(status)) if never_processed(&status) => SendResult::Unreachable,
+            Ok(Err(status)) => SendResult::ConnectionLost(status),
+            Err(_) => SendResult::ConnectionLost(Status::deadline_exceeded("no outcome by the deadline")),
         }
     }
 
@@ -227,15 +230,15 @@
     // Which node
 
     /// The node to send to: the home for an unrepeatable job, else one of the kept ones.
-    async fn node_for(&self, job: &Job, sends: u32) -> String {
+    async fn choose_node(&self, job: &Job, sends: u32) -> String {
         if job.unrepeatable
-            && let Some(addresses) = self.ask(&job.organisation, &job.key, sends).await
+            && let Some(addresses) = self.request_nodes(&job.organisation, &job.key, sends).await
             && let Some(home) = addresses.first()
         {
             return home.clone();
         }
-        let mut nodes = self.kept_nodes(&job.organisation, sends).await;
-        let at = if sends == 0 {
+        let mut nodes = self.available_nodes(&job.organisation, sends).await;
+        let index = if sends == 0 {
             0
         } else {
             rand::rng().random_range(0..nodes.len().max(1))
@@ -243,53 +246,55 @@
         if nodes.is_empty() {
             self.seeds.first().cloned().unwrap_or_default()
         } else {
-            nodes.swap_remove(at)
+            nodes.swap_remove(index)
         }
     }
 
-    async fn kept_nodes(&self, organisation: &str, sends: u32) -> Vec<String> {
-        if let Ok(kept) = self.kept.lock()
-            && kept.until.is_some_and(|until| Instant::now() < until)
+    async fn available_nodes(&self, organisation: &str, sends: u32) -> Vec<String> {
+        if let Ok(cached) = self.cached_nodes.lock()
+            && cached
+                .expires_at
+                .is_some_and(|expires_at| Instant::now() < expires_at)
         {
-            return kept.addresses.clone();
+            return cached.addresses.clone();
         }
-        self.ask(organisation, "", sends)
+        self.request_nodes(organisation, "", sends)
             .await
             .unwrap_or_else(|| self.seeds.clone())
     }
 
-    fn forget_kept(&self) {
-        if let Ok(mut kept) = self.kept.lock() {
-            kept.until = None;
+    fn invalidate_cached_nodes(&self) {
+        if let Ok(mut cached) = self.cached_nodes.lock() {
+            cached.expires_at = None;
         }
     }
 
     /// Asks the nodes that are known, one after the other, until one answers.
-    async fn ask(&self, organisation: &str, key: &str, sends: u32) -> Option<Vec<String>> {
+    async fn request_nodes(&self, organisation: &str, key: &str, sends: u32) -> Option<Vec<String>> {
         let mut nodes = self
-            .kept
+            .cached_nodes
             .lock()
-            .map(|kept| kept.addresses.clone())
+            .map(|cached| cached.addresses.clone())
             .unwrap_or_default();
         nodes.extend(self.seeds.iter().cloned());
-        let start = if sends == 0 {
+        let first = if sends == 0 {
             0
         } else {
             rand::rng().random_range(0..nodes.len().max(1))
         };
-        nodes.rotate_left(start);
+        nodes.rotate_left(first);
         for node in nodes {
             let request = rpc::AskRequest {
                 organisation: organisation.to_owned(),
                 zone: self.zone.clone(),
                 key: key.to_owned(),
             };
-            let ask = async {
+            let exchange = async {
                 let mut client = self.connections.get(&node).await.ok()?;
                 client.ask(request).await.ok()
             };
-            let Ok(Some(reply)) = tokio::time::timeout(ASK_TIMEOUT, ask).await else {
-                self.connections.drop(&node);
+            let Ok(Some(reply)) = tokio::time::timeout(ASK_TIMEOUT, exchange).await else {
+                self.connections.remove(&node);
                 continue;
             };
             let reply = reply.into_inner();
@@ -302,10 +307,10 @@
                 continue;
             }
             if key.is_empty()
-                && let Ok(mut kept) = self.kept.lock()
+                && let Ok(mut cached) = self.cached_nodes.lock()
             {
-                kept.addresses.clone_from(&addresses);
-                kept.until = Some(Instant::now() + Duration::from_millis(reply.keep_ms));
+                cached.addresses.clone_from(&addresses);
+                cached.expires_at = Some(Instant::now() + Duration::from_millis(reply.keep_ms));
             }
             return Some(addresses);
         }
@@ -314,23 +319,23 @@
 }
 
 /// A job on its way.
-struct Run {
-    earlier: rpc::EarlierSends,
+struct JobProgress {
+    earlier_sends: rpc::EarlierSends,
     sends: u32,
-    last: Option<End>,
+    last_outcome: Option<JobOutcome>,
 }
 
-impl Run {
-    fn answer(&mut self) -> Answer {
-        let end = self.last.take().unwrap_or(End::NotRun {
+impl JobProgress {
+    fn final_answer(&mut self) -> Answer {
+        let outcome = self.last_outcome.take().unwrap_or(JobOutcome::NotRun {
             reason: "unreachable".to_owned(),
-            come_back_ms: 0,
+            retry_after_ms: 0,
         });
         Answer {
             data: Vec::new(),
-            end,
+            outcome,
             sends: self.sends,
-            first_byte: None,
+            first_byte_at: None,
         }
     }
 }
@@ -356,7 +361,7 @@
 }
 
 /// The wall clock.
-fn wall() -> Time {
+fn wall_clock() -> Time {
     Time(
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/barleyspool_client/src/job.rs
+++ b/crates/barleyspool_client/src/job.rs
@@ -24,7 +24,7 @@
 
 /// How a job ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum JobOutcome {
     /// The answer is complete.
     Complete,
     /// No part of the job ran.
@@ -32,7 +32,7 @@
         /// The last refusal's reason.
         reason: String,
         /// When to come back, in milliseconds; zero when that does not help.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// Some of the job ran or may have run, and there is no complete answer.
     Unknown {
@@ -44,12 +44,12 @@
 /// What a caller gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The bytes; whole when the end is [`End::Complete`].
+    /// The bytes; whole when the end is [`JobOutcome::Complete`].
     pub data: Vec<u8>,
     /// How it ended.
-    pub end: End,
+    pub outcome: JobOutcome,
     /// How often the job was sent.
     pub sends: u32,
     /// When the first byte of the answer came.
-    pub first_byte: Option<Time>,
+    pub first_byte_at: Option<Time>,
 }
--- a/crates/barleyspool_client/src/lib.rs
+++ b/crates/barleyspool_client/src/lib.rs
@@ -15,4 +15,4 @@
 mod job;
 
 pub use client::{Client, ClientSettings};
-pub use job::{Answer, End, Job};
+pub use job::{Answer, Job, JobOutcome};
--- a/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
@@ -3,7 +3,7 @@
 //! It starts one entry as a process of its own before one plain target that answers at once, all on loopback,
 //! measures for a bounded time and ends what it started.
 
-use barleyspool_client::{Client, End, Job};
+use barleyspool_client::{Client, Job, JobOutcome};
 use barleyspool_core::{Echo, Span, Time};
 use barleyspool_stands::caller::percentiles;
 use barleyspool_stands::deployment::Deployment;
@@ -67,7 +67,7 @@
     let entry = entry(&deployment)?;
     let callers = deployment.entries[0].callers.clone();
     let client = Arc::new(Client::new(vec![callers.clone()], "tallinn-a"));
-    while client.run(&job(0)).await.end != End::Complete {
+    while client.run(&job(0)).await.outcome != JobOutcome::Complete {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     println!(
@@ -187,7 +187,7 @@
     let mut times = Vec::with_capacity(CALLS);
     for nth in 1..=CALLS as u64 {
         let begun = Instant::now();
-        if client.run(&job(nth)).await.end == End::Complete {
+        if client.run(&job(nth)).await.outcome == JobOutcome::Complete {
             times.push(begun.elapsed());
         }
     }
@@ -203,7 +203,7 @@
             let mut nth = caller << 32;
             while begun.elapsed() < CARRY {
                 nth += 1;
-                if client.run(&job(nth)).await.end == End::Complete {
+                if client.run(&job(nth)).await.outcome == JobOutcome::Complete {
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             }
--- a/crates/barleyspool_stands/src/caller.rs
+++ b/crates/barleyspool_stands/src/caller.rs
@@ -3,7 +3,7 @@
 use crate::deployment::Deployment;
 use crate::replay::Trace;
 use crate::run_log::{self, RunLine};
-use barleyspool_client::{Answer, Client, ClientSettings, End, Job};
+use barleyspool_client::{Answer, Client, ClientSettings, Job, JobOutcome};
 use barleyspool_core::{Span, Time};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -217,17 +217,19 @@
         ..Verdicts::default()
     };
     for record in records {
-        match &record.answer.end {
-            End::Complete if record.answer.data != record.wanted => verdicts.misdelivered += 1,
-            End::Complete => verdicts.complete += 1,
-            End::NotRun { .. } => {
+        match &record.answer.outcome {
+            JobOutcome::Complete if record.answer.data != record.wanted => verdicts.misdelivered += 1,
+            JobOutcome::Complete => verdicts.complete += 1,
+            JobOutcome::NotRun { .. } => {
                 verdicts.refused += 1;
                 verdicts.false_not_run += usize::from(begun.contains(record.job.key.as_str()));
             }
             // A node's own word, or an unrepeatable request whose home died or hung with it: whether it ran
             // cannot be told, it must not be sent to anybody else, and its caller was told just that.
-            End::Unknown { reason } if is_typed(reason) || record.job.unrepeatable => verdicts.unknown += 1,
-            End::Unknown { .. } => verdicts.lost += 1,
+            JobOutcome::Unknown { reason } if is_typed(reason) || record.job.unrepeatable => {
+                verdicts.unknown += 1;
+            }
+            JobOutcome::Unknown { .. } => verdicts.lost += 1,
         }
     }
     verdicts.doubled = run_log::unrepeatable_runs(lines)
@@ -258,16 +260,22 @@
         "class", "pipeline", "sent", "complete", "not run", "unknown", "p50 ms", "p95 ms", "p99 ms"
     );
     for ((class, pipeline), records) in groups {
-        let count =
-            |wanted: fn(&End) -> bool| records.iter().filter(|record| wanted(&record.answer.end)).count();
-        let complete = records.iter().filter(|record| record.answer.end == End::Complete);
+        let count = |wanted: fn(&JobOutcome) -> bool| {
+            records
+                .iter()
+                .filter(|record| wanted(&record.answer.outcome))
+                .count()
+        };
+        let complete = records
+            .iter()
+            .filter(|record| record.answer.outcome == JobOutcome::Complete);
         let [p50, p95, p99] = percentiles(complete.map(|record| record.took));
         text += &format!(
             "{class:<12} {pipeline:<18} {:>6} {:>9} {:>8} {:>8} {p50:>8.1} {p95:>8.1} {p99:>8.1}\n",
             records.len(),
-            count(|end| *end == End::Complete),
-            count(|end| matches!(end, End::NotRun { .. })),
-            count(|end| matches!(end, End::Unknown { .. })),
+            count(|outcome| *outcome == JobOutcome::Complete),
+            count(|outcome| matches!(outcome, JobOutcome::NotRun { .. })),
+            count(|outcome| matches!(outcome, JobOutcome::Unknown { .. })),
         );
     }
     text
--- a/crates/barleyspool_stands/tests/processes.rs
+++ b/crates/barleyspool_stands/tests/processes.rs
@@ -9,7 +9,7 @@
 
 mod support;
 
-use barleyspool_client::End;
+use barleyspool_client::JobOutcome;
 use barleyspool_core::{NodeId, Placement, Revision, TargetId};
 use barleyspool_stands::caller::Verdicts;
 use barleyspool_stands::cut::CutMode;
@@ -121,12 +121,17 @@
     let (verdicts, records) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
     assert!(verdicts.hold(), "{verdicts:?}");
     for record in records.iter().filter(|record| !record.job.unrepeatable) {
-        assert_eq!(record.answer.end, End::Complete, "{}", record.job.pipeline);
+        assert_eq!(
+            record.answer.outcome,
+            JobOutcome::Complete,
+            "{}",
+            record.job.pipeline
+        );
     }
     let unrepeatable = records.iter().filter(|record| record.job.unrepeatable);
     let refused = unrepeatable
         .clone()
-        .filter(|record| matches!(record.answer.end, End::NotRun { .. }))
+        .filter(|record| matches!(record.answer.outcome, JobOutcome::NotRun { .. }))
         .count();
     assert!(
         refused > 0 && refused == unrepeatable.count(),
@@ -152,13 +157,13 @@
     assert!(ended.is_some_and(|status| status.success()));
     let unknown: Vec<_> = records
         .iter()
-        .filter(|record| matches!(record.answer.end, End::Unknown { .. }))
+        .filter(|record| matches!(record.answer.outcome, JobOutcome::Unknown { .. }))
         .collect();
     assert!(unknown.is_empty(), "nothing was cut off: {unknown:?}");
     for record in records.iter().filter(|record| !record.job.unrepeatable) {
         assert_eq!(
-            record.answer.end,
-            End::Complete,
+            record.answer.outcome,
+            JobOutcome::Complete,
             "{}: {:?}",
             record.job.pipeline,
             record.answer
