--- a/crates/barleyspool_entry/src/bulk_server.rs
+++ b/crates/barleyspool_entry/src/bulk_server.rs
@@ -16,7 +16,7 @@
 /// Where metrics are read.
 const METRICS_PATH: &str = "/metrics";
 /// The largest snapshot, in bytes.
-const MAX_SNAPSHOT: usize = 64 << 20;
+const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
 /// How long a snapshot may take.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -24,28 +24,28 @@
 pub async fn serve(listener: TcpListener, control: ControlSender, metrics: Arc<Metrics>) {
     http::serve(listener, move |request| {
         let (control, metrics) = (control.clone(), Arc::clone(&metrics));
-        async move { answer(&request, &control, &metrics).await }
+        async move { respond(&request, &control, &metrics).await }
     })
     .await;
 }
 
-async fn answer(request: &Request<Incoming>, control: &ControlSender, metrics: &Metrics) -> Response<Whole> {
+async fn respond(request: &Request<Incoming>, control: &ControlSender, metrics: &Metrics) -> Response<Whole> {
     match request.uri().path() {
-        METRICS_PATH => http::reply(StatusCode::OK, metrics.text()),
-        SNAPSHOT_PATH => snapshot(request.uri().query().unwrap_or_default(), control).await,
+        METRICS_PATH => http::reply(StatusCode::OK, metrics.encode_text()),
+        SNAPSHOT_PATH => snapshot_response(request.uri().query().unwrap_or_default(), control).await,
         _ => http::reply(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-async fn snapshot(query: &str, control: &ControlSender) -> Response<Whole> {
-    let (Some(config), Some(fleet)) = (number(query, "config"), number(query, "fleet")) else {
+async fn snapshot_response(query: &str, control: &ControlSender) -> Response<Whole> {
+    let (Some(config), Some(fleet)) = (query_number(query, "config"), query_number(query, "fleet")) else {
         return http::reply(
             StatusCode::BAD_REQUEST,
             "config and fleet: whole numbers are needed\n",
         );
     };
-    let (reply, answer) = oneshot::channel();
-    let message = ControlMessage::Snapshot {
+    let (reply, receiver) = oneshot::channel();
+    let message = ControlMessage::SnapshotRequest {
         config: Revision(config),
         fleet: Revision(fleet),
         reply,
@@ -53,7 +53,7 @@
     if control.send(message).is_err() {
         return http::reply(StatusCode::SERVICE_UNAVAILABLE, "ending\n");
     }
-    let body = answer
+    let body = receiver
         .await
         .ok()
         .and_then(|snapshot| rmp_serde::to_vec_named(&snapshot).ok());
@@ -64,7 +64,7 @@
 }
 
 /// A whole number out of a query.
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
@@ -73,10 +73,17 @@
 ///
 /// # Errors
 /// When the peer does not answer, or not with a snapshot.
-pub async fn fetch(peer: &str, config: Revision, fleet: Revision) -> Result<Snapshot, HttpError> {
+pub async fn fetch_snapshot(peer: &str, config: Revision, fleet: Revision) -> Result<Snapshot, HttpError> {
     let path = format!("{SNAPSHOT_PATH}?config={config}&fleet={fleet}");
-    let (status, body) =
-        http::call(peer, Method::GET, &path, Vec::new(), MAX_SNAPSHOT, FETCH_TIMEOUT).await?;
+    let (status, body) = http::call(
+        peer,
+        Method::GET,
+        &path,
+        Vec::new(),
+        MAX_SNAPSHOT_BYTES,
+        FETCH_TIMEOUT,
+    )
+    .await?;
     if status != StatusCode::OK {
         return Err(HttpError::Status {
             peer: peer.to_owned(),
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -18,13 +18,13 @@
 use tokio::sync::{Mutex, mpsc, oneshot};
 
 /// How often the control state is told that time passed.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a peer may take to answer.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1000);
+const GOSSIP_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The shortest wait after a failed read of the platform.
-const RETRY_SHORTEST: Duration = Duration::from_millis(200);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The longest wait after a failed read of the platform.
-const RETRY_LONGEST: Duration = Duration::from_secs(3);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// What the control thread is told.
 #[derive(Debug)]
@@ -32,14 +32,14 @@
     /// Something happened.
     Event(ControlEvent),
     /// A peer asks.
-    Answer {
+    GossipRequest {
         /// What it says of itself.
         gossip: Gossip,
         /// Where the answer goes.
         reply: oneshot::Sender<PeerReply>,
     },
     /// A peer fetches what it does not have.
-    Snapshot {
+    SnapshotRequest {
         /// The configuration it has.
         config: Revision,
         /// The list it has.
@@ -48,11 +48,11 @@
         reply: oneshot::Sender<Snapshot>,
     },
     /// An operator asks for the node's state.
-    Status(oneshot::Sender<rpc::StatusReply>),
+    StatusRequest(oneshot::Sender<rpc::StatusReply>),
     /// An operator asks for the peers.
-    Peers(oneshot::Sender<rpc::PeersReply>),
+    PeersRequest(oneshot::Sender<rpc::PeersReply>),
     /// The fetch from a peer has ended, with or without an answer.
-    FetchEnded,
+    SnapshotFetchEnded,
 }
 
 /// The control thread's inbox.
@@ -63,31 +63,34 @@
     shared: Arc<Shared>,
     control: Control,
     inbox: ControlSender,
-    clients: Arc<Mutex<HashMap<String, peer::PeerClient>>>,
+    peer_clients: Arc<Mutex<HashMap<String, peer::PeerClient>>>,
     platform: Arc<Mutex<PlatformClient>>,
-    watches: Vec<AbortOnDrop<()>>,
+    watch_tasks: Vec<AbortOnDrop<()>>,
     /// The peer that is being fetched from. One at a time: a node that starts hears of what it lacks from many.
-    fetching: Option<String>,
-    phase: NodePhase,
-    revision: Revision,
-    refused: Revision,
+    snapshot_source: Option<String>,
+    logged_phase: NodePhase,
+    logged_revision: Revision,
+    logged_rejection: Revision,
 }
 
 impl ControlThread {
     /// A control thread around `control`.
     pub fn new(shared: Arc<Shared>, control: Control, inbox: ControlSender) -> Self {
         let settings = &shared.settings;
-        let platform = PlatformClient::new(settings.configuration.clone(), settings.fleet.clone());
+        let platform = PlatformClient::new(
+            settings.configuration_address.clone(),
+            settings.fleet_address.clone(),
+        );
         Self {
-            phase: control.phase(),
+            logged_phase: control.phase(),
             control,
             inbox,
-            clients: Arc::default(),
+            peer_clients: Arc::default(),
             platform: Arc::new(Mutex::new(platform)),
-            watches: Vec::new(),
-            fetching: None,
-            revision: Revision(0),
-            refused: Revision(0),
+            watch_tasks: Vec::new(),
+            snapshot_source: None,
+            logged_revision: Revision(0),
+            logged_rejection: Revision(0),
             shared,
         }
     }
@@ -98,50 +101,55 @@
         mut inbox: mpsc::UnboundedReceiver<ControlMessage>,
         mut notices: mpsc::UnboundedReceiver<LaneNotice>,
     ) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
-        let mut ending = self.shared.ending.subscribe();
+        let mut shutdown = self.shared.shutdown.subscribe();
         loop {
             tokio::select! {
-                Some(message) = inbox.recv() => self.take(message),
+                Some(message) = inbox.recv() => self.handle_message(message),
                 Some(notice) = notices.recv() => self.step(match notice {
-                    LaneNotice::Rest(rest) => ControlEvent::CooldownRequested(rest),
+                    LaneNotice::Cooldown(cooldown) => ControlEvent::CooldownRequested(cooldown),
                     LaneNotice::Leaving(target) => ControlEvent::ReportedLeaving(target),
-                    LaneNotice::Behind => ControlEvent::NewerRevisionSeen,
+                    LaneNotice::NewerRevision => ControlEvent::NewerRevisionSeen,
                 }),
                 _ = tick.tick() => {
-                    let live = self.live();
-                    self.step(ControlEvent::LiveRequests(live));
+                    let live_requests = self.live_requests_and_streams();
+                    self.step(ControlEvent::LiveRequests(live_requests));
                 }
-                _ = ending.changed() => return,
+                _ = shutdown.changed() => return,
             }
         }
     }
 
     /// What is still to be done for callers: requests, and streams not yet delivered to the end.
-    fn live(&self) -> usize {
-        let requests: usize = self.shared.stats.iter().map(|stats| stats.load().live).sum();
+    fn live_requests_and_streams(&self) -> usize {
+        let requests: usize = self
+            .shared
+            .lane_stats
+            .iter()
+            .map(|stats| stats.load().live_requests)
+            .sum();
         requests + self.shared.open_streams.load(Ordering::Relaxed)
     }
 
-    fn take(&mut self, message: ControlMessage) {
+    fn handle_message(&mut self, message: ControlMessage) {
         let now = self.shared.clock.now();
         // An operator or a peer that has gone does not want its answer any more.
         match message {
             ControlMessage::Event(event) => self.step(event),
-            ControlMessage::Answer { gossip, reply } => {
+            ControlMessage::GossipRequest { gossip, reply } => {
                 let _ = reply.send(self.control.answer_gossip(now, &gossip));
             }
-            ControlMessage::Snapshot { config, fleet, reply } => {
+            ControlMessage::SnapshotRequest { config, fleet, reply } => {
                 let _ = reply.send(self.control.snapshot(config, fleet));
             }
-            ControlMessage::Status(reply) => {
+            ControlMessage::StatusRequest(reply) => {
                 let _ = reply.send(self.status());
             }
-            ControlMessage::Peers(reply) => {
+            ControlMessage::PeersRequest(reply) => {
                 let _ = reply.send(self.peers());
             }
-            ControlMessage::FetchEnded => self.fetching = None,
+            ControlMessage::SnapshotFetchEnded => self.snapshot_source = None,
         }
     }
 
@@ -158,74 +166,78 @@
 
     fn execute(&mut self, action: ControlAction) {
         match action {
-            ControlAction::SendGossip { address, gossip } => self.ask(address, gossip),
+            ControlAction::SendGossip { address, gossip } => self.send_gossip(address, gossip),
             ControlAction::FetchSnapshot {
                 address,
                 config,
                 fleet,
-            } => self.fetch(address, config, fleet),
+            } => self.fetch_snapshot(address, config, fleet),
             ControlAction::Watch(true) => {
-                self.watches = vec![
+                self.watch_tasks = vec![
                     AbortOnDrop(self.watch_configuration()),
                     AbortOnDrop(self.watch_fleet()),
                 ];
             }
-            ControlAction::Watch(false) => self.watches.clear(),
-            ControlAction::ReadPlatform => self.read(),
+            ControlAction::Watch(false) => self.watch_tasks.clear(),
+            ControlAction::ReadPlatform => self.read_platform(),
             ControlAction::Publish(plan) => {
                 self.shared.plan.store(Arc::from(plan));
                 self.shared.plan_changed.send_modify(|count| *count += 1);
             }
             ControlAction::Exit => {
                 spdlog::info!("stopped");
-                self.shared.ending.send_replace(true);
+                self.shared.shutdown.send_replace(true);
             }
         }
     }
 
     fn log_changes(&mut self) {
         let (phase, revision) = (self.control.phase(), self.control.revision());
-        let refused = self.control.store().rejected_revision();
-        if phase != self.phase {
+        let rejected = self.control.store().rejected_revision();
+        if phase != self.logged_phase {
             spdlog::info!("node changed", kv: { phase = phase.name(), revision = revision.0 });
         }
-        if revision != self.revision {
+        if revision != self.logged_revision {
             spdlog::info!("configuration in force", kv: { revision = revision.0 });
         }
-        if refused != self.refused {
-            let faults: Vec<String> = self
+        if rejected != self.logged_rejection {
+            let errors: Vec<String> = self
                 .control
                 .store()
                 .errors()
                 .iter()
                 .map(ToString::to_string)
                 .collect();
-            let faults = faults.join("; ");
-            spdlog::warn!("configuration refused", kv: { revision = refused.0, faults = faults.as_str() });
+            let errors = errors.join("; ");
+            spdlog::warn!("configuration refused", kv: { revision = rejected.0, faults = errors.as_str() });
         }
-        (self.phase, self.revision, self.refused) = (phase, revision, refused);
+        (self.logged_phase, self.logged_revision, self.logged_rejection) = (phase, revision, rejected);
     }
 
     // ------------------------------------------------------------------------
     // Questions
 
-    fn ask(&self, address: String, gossip: Gossip) {
-        let (clients, inbox, clock) = (Arc::clone(&self.clients), self.inbox.clone(), self.shared.clock);
+    fn send_gossip(&self, address: String, gossip: Gossip) {
+        let (clients, inbox, clock) = (
+            Arc::clone(&self.peer_clients),
+            self.inbox.clone(),
+            self.shared.clock,
+        );
         tokio::spawn(async move {
-            let asked = clock.now();
-            let known = clients.lock().await.get(&address).cloned();
-            let client = match known {
+            let sent_at = clock.now();
+            let existing = clients.lock().await.get(&address).cloned();
+            let client = match existing {
                 Some(client) => client,
                 None => match peer::connect(&address).await {
                     Ok(client) => client,
                     Err(_) => return,
                 },
             };
-            match peer::ask(&client, gossip, ASK_TIMEOUT).await {
+            match peer::ask(&client, gossip, GOSSIP_TIMEOUT).await {
                 Ok(reply) => {
                     clients.lock().await.insert(address, client);
                     let event = ControlEvent::PeerReplied {
-                        sent_at: asked,
+                        sent_at,
                         reply: Box::new(reply),
                     };
                     let _ = inbox.send(ControlMessage::Event(event));
@@ -237,32 +249,32 @@
         });
     }
 
-    fn fetch(&mut self, address: String, config: Revision, fleet: Revision) {
-        if self.fetching.is_some() {
+    fn fetch_snapshot(&mut self, address: String, config: Revision, fleet: Revision) {
+        if self.snapshot_source.is_some() {
             return;
         }
-        self.fetching = Some(address.clone());
+        self.snapshot_source = Some(address.clone());
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
-            if let Ok(snapshot) = bulk_server::fetch(&address, config, fleet).await {
+            if let Ok(snapshot) = bulk_server::fetch_snapshot(&address, config, fleet).await {
                 let event = ControlEvent::SnapshotReceived {
                     snapshot: Box::new(snapshot),
                 };
                 let _ = inbox.send(ControlMessage::Event(event));
             }
-            let _ = inbox.send(ControlMessage::FetchEnded);
+            let _ = inbox.send(ControlMessage::SnapshotFetchEnded);
         });
     }
 
     fn watch_configuration(&self) -> tokio::task::JoinHandle<()> {
         let (platform, inbox) = (Arc::clone(&self.platform), self.inbox.clone());
         tokio::spawn(async move {
-            let mut wait = RETRY_SHORTEST;
+            let mut delay = MIN_RETRY_DELAY;
             // The first read asks for what there is; only then is a change waited for.
-            let mut watch = Duration::ZERO;
+            let mut watch_wait = Duration::ZERO;
             loop {
-                let read = platform.lock().await.configuration(watch).await;
-                watch = WATCH_WAIT;
+                let read = platform.lock().await.read_configuration(watch_wait).await;
+                watch_wait = WATCH_WAIT;
                 let failed = read.is_err();
                 let event = match read {
                     Ok(Some(document)) => ControlEvent::ConfigRead {
@@ -272,7 +284,7 @@
                     Err(_) => ControlEvent::ConfigFailed,
                 };
                 let _ = inbox.send(ControlMessage::Event(event));
-                wait = back_off(failed, wait).await;
+                delay = back_off(failed, delay).await;
             }
         })
     }
@@ -282,10 +294,10 @@
         let after = self.control.fleet().revision;
         tokio::spawn(async move {
             let mut after = after;
-            let mut wait = RETRY_SHORTEST;
+            let mut delay = MIN_RETRY_DELAY;
             let client = platform.lock().await.clone();
             loop {
-                let read = client.fleet(after, WATCH_WAIT).await;
+                let read = client.read_fleet(after, WATCH_WAIT).await;
                 let failed = read.is_err();
                 match read {
                     Ok(Some(fleet)) => {
@@ -300,18 +312,18 @@
                         let _ = inbox.send(ControlMessage::Event(ControlEvent::FleetFailed));
                     }
                 }
-                wait = back_off(failed, wait).await;
+                delay = back_off(failed, delay).await;
             }
         })
     }
 
     /// Reads configuration and list once, for a node that is not one of the readers.
-    fn read(&self) {
+    fn read_platform(&self) {
         let (platform, inbox) = (Arc::clone(&self.platform), self.inbox.clone());
         let after = self.control.fleet().revision;
         tokio::spawn(async move {
             let mut client = platform.lock().await.clone();
-            let event = match client.configuration(Duration::ZERO).await {
+            let event = match client.read_configuration(Duration::ZERO).await {
                 Ok(Some(document)) => ControlEvent::ConfigRead {
                     document: Box::new(document),
                 },
@@ -319,7 +331,7 @@
                 Err(_) => ControlEvent::ConfigFailed,
             };
             let _ = inbox.send(ControlMessage::Event(event));
-            if let Ok(Some(fleet)) = client.fleet(after, Duration::ZERO).await {
+            if let Ok(Some(fleet)) = client.read_fleet(after, Duration::ZERO).await {
                 let event = ControlEvent::FleetRead {
                     fleet: Box::new(fleet),
                 };
@@ -334,8 +346,13 @@
     fn status(&self) -> rpc::StatusReply {
         let now = self.shared.clock.now();
         let plan = self.shared.plan.load();
-        let waiting: u32 = self.shared.stats.iter().map(|stats| stats.load().waiting).sum();
-        let (lease, wait) = self.lease_status();
+        let waiting_steps: u32 = self
+            .shared
+            .lane_stats
+            .iter()
+            .map(|stats| stats.load().waiting_steps)
+            .sum();
+        let (lease, lease_wait_ms) = self.lease_status();
         rpc::StatusReply {
             node: self.shared.settings.node.to_string(),
             zone: self.shared.settings.zone.clone(),
@@ -344,10 +361,10 @@
             fleet_revision: self.control.fleet().revision.0,
             epoch: self.control.epoch().0,
             lease,
-            lease_wait_ms: wait,
+            lease_wait_ms,
             plan_age_ms: now.since(plan.refreshed_at).as_millis(),
-            running: self.live() as u64,
-            waiting: waiting.into(),
+            running: self.live_requests_and_streams() as u64,
+            waiting: waiting_steps.into(),
             uptime_ms: now.since(self.shared.clock.started()).as_millis(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
         }
@@ -356,20 +373,22 @@
     /// Whether this node may take unrepeatable keys of its own, and how long it still waits.
     fn lease_status(&self) -> (String, u64) {
         let now = self.shared.clock.now();
-        let view = &self.shared.plan.load().lease;
-        if now >= view.confirmed_until {
+        let lease = &self.shared.plan.load().lease;
+        if now >= lease.confirmed_until {
             return ("unconfirmed".to_owned(), 0);
         }
-        match view.eras.last().and_then(|(_, settled)| *settled) {
+        match lease.eras.last().and_then(|(_, owned_from)| *owned_from) {
             None => ("unconfirmed".to_owned(), 0),
-            Some(settled) if now < settled => ("settling".to_owned(), settled.since(now).ceil_millis()),
+            Some(owned_from) if now < owned_from => {
+                ("settling".to_owned(), owned_from.since(now).ceil_millis())
+            }
             Some(_) => ("held".to_owned(), 0),
         }
     }
 
     fn peers(&self) -> rpc::PeersReply {
         let now = self.shared.clock.now();
-        let state = |peer: &barleyspool_core::PeerEntry| rpc::PeerState {
+        let peer_state = |peer: &barleyspool_core::PeerEntry| rpc::PeerState {
             node: peer.listed.id.to_string(),
             address: peer.listed.address.clone(),
             zone: peer.listed.zone.clone(),
@@ -378,17 +397,17 @@
             word_age_ms: now.since(peer.last_message_at).as_millis(),
         };
         rpc::PeersReply {
-            peers: self.control.peers().iter().map(state).collect(),
+            peers: self.control.peers().iter().map(peer_state).collect(),
         }
     }
 }
 
 /// Waits after a failure, longer each time and never in step with others; gives the next wait.
-async fn back_off(failed: bool, wait: Duration) -> Duration {
+async fn back_off(failed: bool, delay: Duration) -> Duration {
     if !failed {
-        return RETRY_SHORTEST;
+        return MIN_RETRY_DELAY;
     }
     let jitter = rand::rng().random_range(0.5..1.5);
-    tokio::time::sleep(wait.mul_f64(jitter)).await;
-    (wait * 2).min(RETRY_LONGEST)
+    tokio::time::sleep(delay.mul_f64(jitter)).await;
+    (delay * 2).min(MAX_RETRY_DELAY)
 }
--- a/crates/barleyspool_entry/src/daemon.rs
+++ b/crates/barleyspool_entry/src/daemon.rs
@@ -1,10 +1,10 @@
 //! Starting a daemon's threads, and ending them together.
 
 use crate::control_thread::{ControlMessage, ControlSender, ControlThread};
-use crate::gateway::Gateway;
+use crate::gateway_service::GatewayService;
 use crate::lane::{self, Lane, LaneNotice, LaneReceiver};
 use crate::metrics::Metrics;
-use crate::operations::Operations;
+use crate::operations_service::OperationsService;
 use crate::settings::EntrySettings;
 use crate::shared::Shared;
 use crate::{bulk_server, peer_server};
@@ -25,11 +25,11 @@
 use tonic::transport::Server;
 
 /// How often an open connection of a caller is asked whether it is still there.
-const KEEPALIVE: Duration = Duration::from_secs(10);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 /// How long the last bytes to callers may take when the daemon ends.
-const LAST_BYTES: Duration = Duration::from_secs(1);
+const CALLER_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// What a message may hold besides its payload, in bytes.
-const MESSAGE_MARGIN: usize = 64 * 1024;
+const MESSAGE_OVERHEAD: usize = 64 * 1024;
 
 /// Why a daemon cannot start.
 #[derive(Debug, displaydoc::Display)]
@@ -67,30 +67,38 @@
     /// When an address is in use, or a thread cannot be started.
     pub fn start(settings: EntrySettings) -> Result<Self, DaemonError> {
         let clock = Clock::start();
-        let run = Incarnation(clock.started().0);
-        let (lanes, inboxes): (Vec<_>, Vec<_>) = (0..settings.lanes).map(|_| lane::inbox()).unzip();
+        let incarnation = Incarnation(clock.started().0);
+        let (lane_senders, lane_receivers): (Vec<_>, Vec<_>) =
+            (0..settings.lanes).map(|_| lane::inbox_channel()).unzip();
         let shared = Arc::new(Shared {
             clock,
             plan: ArcSwap::default(),
             plan_changed: watch::Sender::new(0),
-            stats: lanes.iter().map(|_| ArcSwap::default()).collect(),
-            lanes,
+            lane_stats: lane_senders.iter().map(|_| ArcSwap::default()).collect(),
+            lanes: lane_senders,
             control_counters: ArcSwap::default(),
-            lane_full: AtomicU64::new(0),
+            lane_rejects: AtomicU64::new(0),
             open_streams: AtomicUsize::new(0),
-            ending: watch::Sender::new(false),
+            shutdown: watch::Sender::new(false),
             settings,
         });
         let control_runtime = runtime()?;
         let signals = Signals::new(&control_runtime).map_err(DaemonError::Signals)?;
-        let (notices, noticed) = mpsc::unbounded_channel();
+        let (notices, notice_receiver) = mpsc::unbounded_channel();
         let mut threads = Threads::default();
-        for (index, inbox) in inboxes.into_iter().enumerate() {
-            let router = Router::new(shared.settings.router_settings(run, index as u32))
+        for (index, inbox) in lane_receivers.into_iter().enumerate() {
+            let router = Router::new(shared.settings.router_settings(incarnation, index as u32))
                 .map_err(DaemonError::Chart)?;
             start_lane(&mut threads, &shared, index, router, inbox, notices.clone())?;
         }
-        start_control(&mut threads, control_runtime, signals, &shared, run, noticed)?;
+        start_control(
+            &mut threads,
+            control_runtime,
+            signals,
+            &shared,
+            incarnation,
+            notice_receiver,
+        )?;
         Ok(Self { shared, threads })
     }
 
@@ -116,7 +124,7 @@
 }
 
 fn bind(runtime: &Runtime, address: SocketAddr) -> Result<tokio::net::TcpListener, DaemonError> {
-    let _inside = runtime.enter();
+    let _guard = runtime.enter();
     net::listen(address).map_err(|cause| DaemonError::Listen { address, cause })
 }
 
@@ -132,32 +140,33 @@
     notices: mpsc::UnboundedSender<LaneNotice>,
 ) -> Result<(), DaemonError> {
     let runtime = runtime()?;
-    let listener = bind(&runtime, shared.settings.callers)?;
+    let listener = bind(&runtime, shared.settings.caller_address)?;
     let shared = Arc::clone(shared);
-    let lane = move || {
+    let run_lane = move || {
         runtime.block_on(async {
-            let (lane, events) = Lane::new(Arc::clone(&shared), index, router, notices);
-            let callers = serve_callers(listener, Arc::clone(&shared));
-            let callers = tokio::spawn(callers);
-            lane.run(inbox, events).await;
+            let (lane, event_receiver) = Lane::new(Arc::clone(&shared), index, router, notices);
+            let serve = serve_callers(listener, Arc::clone(&shared));
+            let callers = tokio::spawn(serve);
+            lane.run(inbox, event_receiver).await;
             // The outcomes are in the streams; let the connections deliver them.
-            let _ = tokio::time::timeout(LAST_BYTES, callers).await;
+            let _ = tokio::time::timeout(CALLER_DRAIN_TIMEOUT, callers).await;
         });
     };
     let name = format!("lane-{index}");
-    threads.spawn(&name, lane).map_err(DaemonError::Thread)
+    threads.spawn(&name, run_lane).map_err(DaemonError::Thread)
 }
 
 async fn serve_callers(listener: tokio::net::TcpListener, shared: Arc<Shared>) {
-    let mut ending = shared.ending.subscribe();
-    let most = shared.settings.max_payload * 2 + MESSAGE_MARGIN;
-    let service = GatewayServer::new(Gateway::new(Arc::clone(&shared))).max_decoding_message_size(most);
+    let mut shutdown = shared.shutdown.subscribe();
+    let max_message = shared.settings.max_payload * 2 + MESSAGE_OVERHEAD;
+    let service =
+        GatewayServer::new(GatewayService::new(Arc::clone(&shared))).max_decoding_message_size(max_message);
     let server = Server::builder()
-        .http2_keepalive_interval(Some(KEEPALIVE))
-        .http2_keepalive_timeout(Some(KEEPALIVE))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL))
         .add_service(service)
         .serve_with_incoming_shutdown(net::incoming_callers(listener), async move {
-            let _ = ending.wait_for(|ending| *ending).await;
+            let _ = shutdown.wait_for(|shutdown| *shutdown).await;
         });
     if let Err(error) = server.await {
         let cause = error.to_string();
@@ -173,34 +182,34 @@
     runtime: Runtime,
     signals: Signals,
     shared: &Arc<Shared>,
-    run: Incarnation,
-    notices: mpsc::UnboundedReceiver<LaneNotice>,
+    incarnation: Incarnation,
+    notice_receiver: mpsc::UnboundedReceiver<LaneNotice>,
 ) -> Result<(), DaemonError> {
     let settings = &shared.settings;
-    let peers = bind(&runtime, settings.control)?;
-    let bulk = bind(&runtime, settings.bulk)?;
-    let operators = bind(&runtime, settings.operators)?;
+    let peers = bind(&runtime, settings.control_address)?;
+    let bulk = bind(&runtime, settings.bulk_address)?;
+    let operators = bind(&runtime, settings.operator_address)?;
     let metrics = Arc::new(Metrics::new(shared).map_err(DaemonError::Metrics)?);
-    let control =
-        Control::new(settings.control_settings(run), shared.clock.now()).map_err(DaemonError::Chart)?;
+    let control = Control::new(settings.control_settings(incarnation), shared.clock.now())
+        .map_err(DaemonError::Chart)?;
     let shared = Arc::clone(shared);
-    let control = move || {
+    let run_control = move || {
         runtime.block_on(async {
             let (sender, inbox) = mpsc::unbounded_channel();
             let thread = ControlThread::new(Arc::clone(&shared), control, sender.clone());
             tokio::spawn(peer_server::serve(peers, sender.clone()));
             tokio::spawn(bulk_server::serve(bulk, sender.clone(), Arc::clone(&metrics)));
-            let operations = Operations::new(Arc::clone(&shared), sender.clone(), metrics);
+            let operations = OperationsService::new(Arc::clone(&shared), sender.clone(), metrics);
             tokio::spawn(
                 Server::builder()
                     .add_service(OperationsServer::new(operations))
                     .serve_with_incoming(net::incoming(operators)),
             );
             tokio::spawn(stop_on_signal(signals, sender));
-            thread.run(inbox, notices).await;
+            thread.run(inbox, notice_receiver).await;
         });
     };
-    threads.spawn("control", control).map_err(DaemonError::Thread)
+    threads.spawn("control", run_control).map_err(DaemonError::Thread)
 }
 
 /// A planned stop on SIGTERM or SIGINT. A second signal changes nothing: what is in flight is still finished.
--- a/crates/barleyspool_entry/src/gateway.rs
+++ b/crates/barleyspool_entry/src/gateway_service.rs
@@ -16,37 +16,37 @@
 use tonic::{Request, Response, Status};
 
 /// When to come back to a node whose lane cannot take another call.
-const LANE_FULL_WAIT: Span = Span::from_millis(100);
+const LANE_FULL_RETRY_AFTER: Span = Span::from_millis(100);
 
 /// Numbers the callers of this process.
-static NEXT_CALLER: AtomicU64 = AtomicU64::new(1);
+static NEXT_CALLER_ID: AtomicU64 = AtomicU64::new(1);
 
 /// The callers' service of one entry node.
 #[derive(Clone, Debug)]
-pub struct Gateway {
+pub struct GatewayService {
     shared: Arc<Shared>,
 }
 
-impl Gateway {
+impl GatewayService {
     /// The service over what the threads share.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
     /// Refuses a call that no lane can take. Nothing of it ran here.
-    fn refuse(&self, uncertain: bool) -> rpc::RunReply {
+    fn lane_full_reply(&self, uncertain: bool) -> rpc::RunReply {
         let verdict = if uncertain {
             Verdict::Unknown
         } else {
             Verdict::NotRun
         };
-        let peer = Some(RefusalOrigin::Node(self.shared.settings.node));
+        let origin = Some(RefusalOrigin::Node(self.shared.settings.node));
         let refusal = Refusal {
             reason: Reason::QueueFull,
             verdict,
             step: None,
-            origin: peer,
-            retry_after: LANE_FULL_WAIT,
+            origin,
+            retry_after: LANE_FULL_RETRY_AFTER,
         };
         let revision = self
             .shared
@@ -63,14 +63,14 @@
 }
 
 #[tonic::async_trait]
-impl rpc::gateway_server::Gateway for Gateway {
+impl rpc::gateway_server::Gateway for GatewayService {
     async fn ask(&self, request: Request<rpc::AskRequest>) -> Result<Response<rpc::AskReply>, Status> {
-        let ask = request.into_inner();
+        let request = request.into_inner();
         let plan = self.shared.plan.load();
-        let key = (!ask.key.is_empty()).then(|| RequestKey::new(&ask.organisation, &ask.key));
+        let key = (!request.key.is_empty()).then(|| RequestKey::new(&request.organisation, &request.key));
         // Callers of one organisation are spread too: a large one must not fall onto one node.
-        let spread = rendezvous::text_key(&ask.organisation) ^ u128::from(rand::rng().random::<u64>());
-        let addresses = plan.addresses(&ask.zone, key, spread);
+        let spread = rendezvous::text_key(&request.organisation) ^ u128::from(rand::rng().random::<u64>());
+        let addresses = plan.addresses(&request.zone, key, spread);
         let addresses = addresses
             .into_iter()
             .map(|peer| rpc::Address {
@@ -80,7 +80,7 @@
             .collect();
         Ok(Response::new(rpc::AskReply {
             addresses,
-            keep_ms: self.shared.settings.keep.as_millis(),
+            keep_ms: self.shared.settings.address_ttl.as_millis(),
             revision: plan.config.as_ref().map_or(0, |config| config.revision.0),
         }))
     }
@@ -91,23 +91,23 @@
         let call = rpc_convert::call(request.into_inner());
         let key = RequestKey::new(&call.organisation, &call.key);
         let uncertain = call.earlier == barleyspool_core::Earlier::Uncertain;
-        let caller = CallerId(NEXT_CALLER.fetch_add(1, Ordering::Relaxed));
-        let (replies, received) = mpsc::unbounded_channel();
+        let caller = CallerId(NEXT_CALLER_ID.fetch_add(1, Ordering::Relaxed));
+        let (sender, replies) = mpsc::unbounded_channel();
         let message = LaneMessage::Arrive {
             caller,
             call,
-            replies: replies.clone(),
+            replies: sender.clone(),
         };
-        if self.shared.lane(key).try_send(message).is_err() {
-            self.shared.lane_full.fetch_add(1, Ordering::Relaxed);
-            let _ = replies.send(self.refuse(uncertain));
+        if self.shared.lane_for(key).try_send(message).is_err() {
+            self.shared.lane_rejects.fetch_add(1, Ordering::Relaxed);
+            let _ = sender.send(self.lane_full_reply(uncertain));
         }
         let stream = RunStream {
             shared: Arc::clone(&self.shared),
             key,
             caller,
-            received,
-            done: false,
+            replies,
+            finished: false,
         };
         self.shared.open_streams.fetch_add(1, Ordering::Relaxed);
         Ok(Response::new(stream))
@@ -120,19 +120,19 @@
     shared: Arc<Shared>,
     key: RequestKey,
     caller: CallerId,
-    received: mpsc::UnboundedReceiver<rpc::RunReply>,
-    done: bool,
+    replies: mpsc::UnboundedReceiver<rpc::RunReply>,
+    finished: bool,
 }
 
 impl Stream for RunStream {
     type Item = Result<rpc::RunReply, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.done {
+        if self.finished {
             return Poll::Ready(None);
         }
-        let reply = std::task::ready!(self.received.poll_recv(context));
-        self.done = reply
+        let reply = std::task::ready!(self.replies.poll_recv(context));
+        self.finished = reply
             .as_ref()
             .is_none_or(|reply| matches!(reply.reply, Some(rpc::run_reply::Reply::Outcome(_))));
         Poll::Ready(reply.map(Ok))
@@ -142,8 +142,8 @@
 impl Drop for RunStream {
     fn drop(&mut self) {
         self.shared.open_streams.fetch_sub(1, Ordering::Relaxed);
-        if !self.done {
-            let (lane, caller) = (self.shared.lane(self.key).clone(), self.caller);
+        if !self.finished {
+            let (lane, caller) = (self.shared.lane_for(self.key).clone(), self.caller);
             tokio::spawn(async move {
                 let _ = lane.send(LaneMessage::CallerLeft(caller)).await;
             });
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -1,7 +1,7 @@
 //! A traffic thread: one router, its connections to targets, and the callers that wait for it.
 
 use crate::shared::{LaneStats, Shared, TargetView};
-use crate::target_pool::TargetPool;
+use crate::target_client::TargetClient;
 use barleyspool_core::chart::Symbol;
 use barleyspool_core::{
     AttemptEnd, AttemptId, Call, CallerId, Counter, Forecast, LeavingTarget, Outcome, Router, TargetCooldown,
@@ -15,9 +15,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Arrivals and questions that may wait for a lane.
-const INBOX: usize = 4096;
+const INBOX_CAPACITY: usize = 4096;
 /// How often a lane shows its counters.
-const SHOW_EVERY: Duration = Duration::from_millis(200);
+const STATS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What a lane is told from outside its thread.
 #[derive(Debug)]
@@ -48,8 +48,8 @@
 pub type LaneReceiver = mpsc::Receiver<LaneMessage>;
 
 /// Makes a lane's inbox.
-pub fn inbox() -> (LaneSender, LaneReceiver) {
-    mpsc::channel(INBOX)
+pub fn inbox_channel() -> (LaneSender, LaneReceiver) {
+    mpsc::channel(INBOX_CAPACITY)
 }
 
 /// What a lane tells the control thread.
@@ -58,9 +58,9 @@
     /// A target said that it is leaving.
     Leaving(LeavingTarget),
     /// A target wants nothing from this node for a while.
-    Rest(TargetCooldown),
+    Cooldown(TargetCooldown),
     /// A caller has seen a newer configuration.
-    Behind,
+    NewerRevision,
 }
 
 /// One traffic thread.
@@ -68,9 +68,9 @@
     shared: Arc<Shared>,
     index: usize,
     router: Router,
-    pool: Arc<TargetPool>,
+    target_client: Arc<TargetClient>,
     callers: HashMap<CallerId, mpsc::UnboundedSender<rpc::RunReply>>,
-    attempts: HashMap<AttemptId, AbortOnDrop<()>>,
+    attempt_tasks: HashMap<AttemptId, AbortOnDrop<()>>,
     events: mpsc::UnboundedSender<TrafficEvent>,
     notices: mpsc::UnboundedSender<LaneNotice>,
 }
@@ -83,60 +83,64 @@
         router: Router,
         notices: mpsc::UnboundedSender<LaneNotice>,
     ) -> (Self, mpsc::UnboundedReceiver<TrafficEvent>) {
-        let (events, received) = mpsc::unbounded_channel();
-        let pool = Arc::new(TargetPool::new(Arc::clone(&shared)));
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let target_client = Arc::new(TargetClient::new(Arc::clone(&shared)));
         let lane = Self {
             shared,
             index,
             router,
-            pool,
+            target_client,
             callers: HashMap::new(),
-            attempts: HashMap::new(),
+            attempt_tasks: HashMap::new(),
             events,
             notices,
         };
-        (lane, received)
+        (lane, event_receiver)
     }
 
     /// Runs until the daemon ends.
-    pub async fn run(mut self, mut inbox: LaneReceiver, mut events: mpsc::UnboundedReceiver<TrafficEvent>) {
-        let mut plans = self.shared.plan_changed.subscribe();
-        let mut ending = self.shared.ending.subscribe();
-        let mut show = tokio::time::interval(SHOW_EVERY);
+    pub async fn run(
+        mut self,
+        mut inbox: LaneReceiver,
+        mut event_receiver: mpsc::UnboundedReceiver<TrafficEvent>,
+    ) {
+        let mut plan_changed = self.shared.plan_changed.subscribe();
+        let mut shutdown = self.shared.shutdown.subscribe();
+        let mut stats_timer = tokio::time::interval(STATS_INTERVAL);
         loop {
-            let wake = self.sleep_for();
+            let wait = self.time_until_wake();
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(event) = events.recv() => self.step(event),
-                Ok(()) = plans.changed() => {
+                Some(event) = event_receiver.recv() => self.step(event),
+                Ok(()) = plan_changed.changed() => {
                     let actions = self.router.apply_plan(self.shared.clock.now(), self.shared.plan.load_full());
                     self.execute(actions);
                 }
-                () = tokio::time::sleep(wake) => self.step(TrafficEvent::Tick),
-                _ = show.tick() => self.show(),
-                _ = ending.changed() => return,
+                () = tokio::time::sleep(wait) => self.step(TrafficEvent::Tick),
+                _ = stats_timer.tick() => self.publish_stats(),
+                _ = shutdown.changed() => return,
             }
         }
     }
 
-    fn sleep_for(&self) -> Duration {
+    fn time_until_wake(&self) -> Duration {
         let now = self.shared.clock.now();
-        let at = self.router.next_wake().unwrap_or(Time(now.0 + 1_000_000));
-        Duration::from_micros(at.since(now).0.min(1_000_000))
+        let wake_at = self.router.next_wake().unwrap_or(Time(now.0 + 1_000_000));
+        Duration::from_micros(wake_at.since(now).0.min(1_000_000))
     }
 
-    fn take(&mut self, message: LaneMessage) {
+    fn handle_message(&mut self, message: LaneMessage) {
         match message {
             LaneMessage::Arrive {
                 caller,
                 call,
                 replies,
             } => {
-                if self.shared.settings.record {
-                    record(self.shared.clock.now(), &call);
+                if self.shared.settings.log_arrivals {
+                    log_arrival(self.shared.clock.now(), &call);
                 }
                 self.callers.insert(caller, replies);
                 self.step(TrafficEvent::Arrive { caller, call });
@@ -156,7 +160,7 @@
 
     fn step(&mut self, event: TrafficEvent) {
         if let TrafficEvent::Ended { attempt, .. } = &event {
-            self.attempts.remove(attempt);
+            self.attempt_tasks.remove(attempt);
         }
         let actions = self.router.step(self.shared.clock.now(), event);
         self.execute(actions);
@@ -166,9 +170,9 @@
         for action in actions {
             match action {
                 TrafficAction::Dispatch { attempt, order } => {
-                    let (pool, events) = (Arc::clone(&self.pool), self.events.clone());
-                    let task = tokio::spawn(async move { pool.run(attempt, order, &events).await });
-                    self.attempts.insert(attempt, AbortOnDrop(task));
+                    let (client, events) = (Arc::clone(&self.target_client), self.events.clone());
+                    let task = tokio::spawn(async move { client.run_step(attempt, order, &events).await });
+                    self.attempt_tasks.insert(attempt, AbortOnDrop(task));
                 }
                 TrafficAction::Cancel {
                     attempt,
@@ -177,8 +181,8 @@
                     ..
                 } => {
                     // Dropping the task closes its connection, so no late byte can reach another request.
-                    self.attempts.remove(&attempt);
-                    tokio::spawn(async move { TargetPool::cancel(&address, echo).await });
+                    self.attempt_tasks.remove(&attempt);
+                    tokio::spawn(async move { TargetClient::cancel(&address, echo).await });
                 }
                 TrafficAction::Part { caller, offset, data } => {
                     let part = rpc::Part {
@@ -194,13 +198,13 @@
                 } => self.finish(caller, &outcome, redirect),
                 TrafficAction::Probe { target, address } => {
                     let events = self.events.clone();
-                    tokio::spawn(async move { TargetPool::probe(target, &address, &events).await });
+                    tokio::spawn(async move { TargetClient::probe(target, &address, &events).await });
                 }
-                TrafficAction::NotifyCooldown(rest) => self.notify(LaneNotice::Rest(rest)),
+                TrafficAction::NotifyCooldown(cooldown) => self.notify(LaneNotice::Cooldown(cooldown)),
                 TrafficAction::NotifyLeaving { target, incarnation } => {
                     self.notify(LaneNotice::Leaving(LeavingTarget { target, incarnation }));
                 }
-                TrafficAction::NotifyNewerRevision => self.notify(LaneNotice::Behind),
+                TrafficAction::NotifyNewerRevision => self.notify(LaneNotice::NewerRevision),
             }
         }
     }
@@ -218,19 +222,19 @@
     }
 
     fn finish(&mut self, caller: CallerId, outcome: &Outcome, redirect: Option<String>) {
-        let step = match outcome {
+        let step_service = match outcome {
             Outcome::Refused(refusal) => refusal.step.map(|step| self.shared.service_name(step)),
             Outcome::Complete { .. } => None,
         };
         let revision = self.router.revision();
-        let message = rpc_convert::outcome(outcome, &step.unwrap_or_default(), redirect, revision);
-        self.send(caller, rpc::run_reply::Reply::Outcome(message));
+        let reply = rpc_convert::outcome(outcome, &step_service.unwrap_or_default(), redirect, revision);
+        self.send(caller, rpc::run_reply::Reply::Outcome(reply));
         self.callers.remove(&caller);
     }
 
-    fn show(&self) {
+    fn publish_stats(&self) {
         let now = self.shared.clock.now();
-        let view = |target: &barleyspool_core::TargetState| TargetView {
+        let target_view = |target: &barleyspool_core::TargetState| TargetView {
             id: target.plan.id,
             address: target.plan.address.clone(),
             zone: target.plan.zone.clone(),
@@ -243,36 +247,36 @@
         };
         let stats = LaneStats {
             counters: self.router.counters().clone(),
-            live: self.router.live_requests(),
-            waiting: self.router.waiting_steps(),
-            targets: self.router.targets().map(view).collect(),
+            live_requests: self.router.live_requests(),
+            waiting_steps: self.router.waiting_steps(),
+            targets: self.router.targets().map(target_view).collect(),
         };
-        self.log_changes(&stats);
-        self.shared.stats[self.index].store(Arc::new(stats));
+        self.log_phase_changes(&stats);
+        self.shared.lane_stats[self.index].store(Arc::new(stats));
     }
 
     /// Logs a line for each target whose phase is another one than when it was last shown.
-    fn log_changes(&self, stats: &LaneStats) {
-        let before = self.shared.stats[self.index].load();
+    fn log_phase_changes(&self, stats: &LaneStats) {
+        let previous = self.shared.lane_stats[self.index].load();
         for target in &stats.targets {
-            let was = before
+            let old_phase = previous
                 .targets
                 .iter()
                 .find(|old| old.id == target.id)
                 .map(|old| old.phase);
-            if was.is_some_and(|was| was != target.phase) {
+            if old_phase.is_some_and(|old_phase| old_phase != target.phase) {
                 spdlog::info!("target changed", kv: { target = target.id.0, phase = target.phase });
             }
         }
-        let capped = |stats: &LaneStats| stats.counters.get(Counter::QuarantineCapped);
-        if capped(&before) == 0 && capped(stats) > 0 {
+        let quarantines_capped = |stats: &LaneStats| stats.counters.get(Counter::QuarantineCapped);
+        if quarantines_capped(&previous) == 0 && quarantines_capped(stats) > 0 {
             spdlog::warn!("most targets of a service look down; this node's view is suspect");
         }
     }
 }
 
 /// Writes an arrival to the log stream in the form of a trace, for replay.
-fn record(now: Time, call: &Call) {
+fn log_arrival(now: Time, call: &Call) {
     spdlog::info!("arrival", kv: {
         at_ms = now.as_millis(),
         organisation = call.organisation.as_str(),
@@ -284,7 +288,7 @@
 }
 
 /// What an attempt reports when nothing of it was sent.
-pub fn not_sent(attempt: AttemptId) -> TrafficEvent {
+pub fn unsent_attempt_ended(attempt: AttemptId) -> TrafficEvent {
     TrafficEvent::Ended {
         attempt,
         echo: None,
--- a/crates/barleyspool_entry/src/lib.rs
+++ b/crates/barleyspool_entry/src/lib.rs
@@ -8,15 +8,15 @@
 mod bulk_server;
 mod control_thread;
 mod daemon;
-mod gateway;
+mod gateway_service;
 mod lane;
 mod metrics;
-mod operations;
+mod operations_service;
 mod peer_server;
 mod platform_client;
 mod settings;
 mod shared;
-mod target_pool;
+mod target_client;
 
 pub use daemon::{Daemon, DaemonError};
 pub use platform_client::PlatformClient;
--- a/crates/barleyspool_entry/src/main.rs
+++ b/crates/barleyspool_entry/src/main.rs
@@ -6,11 +6,11 @@
 use std::process::ExitCode;
 
 /// The settings are wrong.
-const EXIT_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// The daemon could not start.
-const EXIT_START: u8 = 3;
+const EXIT_START_FAILED: u8 = 3;
 /// A thread panicked.
-const EXIT_THREAD: u8 = 4;
+const EXIT_THREAD_PANICKED: u8 = 4;
 
 mod flags {
     use std::path::PathBuf;
@@ -39,7 +39,7 @@
     }
     let Some(file) = flags.settings else {
         eprintln!("barleyspool-entry: --settings FILE is needed; see --help");
-        return ExitCode::from(EXIT_SETTINGS);
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     };
     run(&file, flags.check)
 }
@@ -49,7 +49,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if check {
@@ -63,13 +63,13 @@
             Err(error) => {
                 let cause = error.to_string();
                 spdlog::error!("ended", kv: { cause = cause.as_str() });
-                ExitCode::from(EXIT_THREAD)
+                ExitCode::from(EXIT_THREAD_PANICKED)
             }
         },
         Err(error) => {
             let cause = error.to_string();
             spdlog::error!("cannot start", kv: { cause = cause.as_str() });
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
--- a/crates/barleyspool_entry/src/metrics.rs
+++ b/crates/barleyspool_entry/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 
 /// One example of each counter, for its name.
-const KINDS: &[Counter] = &[
+const COUNTER_EXAMPLES: &[Counter] = &[
     Counter::Arrived,
     Counter::Complete(0),
     Counter::RefusedNotRun(Reason::InvalidKey),
@@ -33,21 +33,21 @@
 ];
 
 /// Reads one of the control counters.
-type ControlRead = fn(&ControlCounters) -> u64;
+type ReadControlCounter = fn(&ControlCounters) -> u64;
 
 /// The control counters by name.
-const CONTROL: &[(&str, ControlRead)] = &[
-    ("configuration_accepted", |c| c.accepted),
-    ("configuration_rejected", |c| c.rejected),
-    ("configuration_stale", |c| c.stale),
-    ("fleet_stale", |c| c.stale_fleet_lists),
-    ("fleet_faulty", |c| c.invalid_fleet_lists),
-    ("platform_read_failed", |c| c.failed_reads),
-    ("platform_own_read", |c| c.fallback_reads),
-    ("start_without_peers", |c| c.starts_without_peers),
-    ("peer_foreign_rules", |c| c.mismatched_rules),
-    ("peer_asked", |c| c.gossip_sent),
-    ("peer_replied", |c| c.replies_received),
+const CONTROL_COUNTERS: &[(&str, ReadControlCounter)] = &[
+    ("configuration_accepted", |counters| counters.accepted),
+    ("configuration_rejected", |counters| counters.rejected),
+    ("configuration_stale", |counters| counters.stale),
+    ("fleet_stale", |counters| counters.stale_fleet_lists),
+    ("fleet_faulty", |counters| counters.invalid_fleet_lists),
+    ("platform_read_failed", |counters| counters.failed_reads),
+    ("platform_own_read", |counters| counters.fallback_reads),
+    ("start_without_peers", |counters| counters.starts_without_peers),
+    ("peer_foreign_rules", |counters| counters.mismatched_rules),
+    ("peer_asked", |counters| counters.gossip_sent),
+    ("peer_replied", |counters| counters.replies_received),
 ];
 
 /// The metrics of one daemon.
@@ -69,20 +69,20 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("barleyspool");
-        for kind in KINDS {
-            register(&meter, kind.name(), shared);
+        for example in COUNTER_EXAMPLES {
+            register_counter(&meter, example.name(), shared);
         }
-        for (name, read) in CONTROL {
+        for (name, read) in CONTROL_COUNTERS {
             let (shared, read) = (Arc::clone(shared), *read);
             meter
                 .u64_observable_counter(format!("barleyspool_{name}"))
                 .with_callback(move |observer| observer.observe(read(&shared.control_counters.load()), &[]))
                 .build();
         }
-        let lane_full = Arc::clone(shared);
+        let shared = Arc::clone(shared);
         meter
             .u64_observable_counter("barleyspool_lane_full")
-            .with_callback(move |observer| observer.observe(lane_full.lane_full.load(Ordering::Relaxed), &[]))
+            .with_callback(move |observer| observer.observe(shared.lane_rejects.load(Ordering::Relaxed), &[]))
             .build();
         Ok(Self {
             registry,
@@ -91,7 +91,7 @@
     }
 
     /// All metrics in the usual text format.
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut text = Vec::new();
         // Writing to memory does not fail; a metric that cannot be written is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
@@ -124,14 +124,14 @@
     }
 }
 
-fn register(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
+fn register_counter(meter: &Meter, name: &'static str, shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter(format!("barleyspool_{name}"))
         .with_callback(move |observer| {
-            let counters = shared.counters();
-            for zero in reasons_of(name).filter(|zero| !counters.values.contains_key(zero)) {
-                observer.observe(0, &[label(&shared, zero)]);
+            let counters = shared.total_counters();
+            for counter in zero_counters(name).filter(|counter| !counters.values.contains_key(counter)) {
+                observer.observe(0, &[label(&shared, counter)]);
             }
             for (counter, value) in counters
                 .values
@@ -145,16 +145,16 @@
 }
 
 /// The counters of a name that are shown even while they are zero: one per reason.
-fn reasons_of(name: &str) -> impl Iterator<Item = Counter> {
+fn zero_counters(name: &str) -> impl Iterator<Item = Counter> {
     let refusals = Reason::ALL
         .iter()
         .flat_map(|reason| [Counter::RefusedNotRun(*reason), Counter::RefusedUnknown(*reason)]);
     let retries = RetryReason::ALL.iter().map(|reason| Counter::Retried(*reason));
-    let all: Vec<Counter> = refusals
+    let counters: Vec<Counter> = refusals
         .chain(retries)
         .filter(|counter| counter.name() == name)
         .collect();
-    all.into_iter()
+    counters.into_iter()
 }
 
 fn label(shared: &Shared, counter: Counter) -> KeyValue {
--- a/crates/barleyspool_entry/src/operations.rs
+++ b/crates/barleyspool_entry/src/operations_service.rs
@@ -12,13 +12,13 @@
 
 /// The operators' service of one entry node.
 #[derive(Clone, Debug)]
-pub struct Operations {
+pub struct OperationsService {
     shared: Arc<Shared>,
     control: ControlSender,
     metrics: Arc<Metrics>,
 }
 
-impl Operations {
+impl OperationsService {
     /// The service over what the threads share.
     pub fn new(shared: Arc<Shared>, control: ControlSender, metrics: Arc<Metrics>) -> Self {
         Self {
@@ -29,42 +29,44 @@
     }
 
     /// Asks the control thread.
-    async fn control<T>(
+    async fn ask_control<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> ControlMessage,
     ) -> Result<T, Status> {
-        let (reply, answer) = oneshot::channel();
-        let ending = |_| Status::unavailable("the node is ending");
+        let (reply, receiver) = oneshot::channel();
+        let stopping = |_| Status::unavailable("the node is ending");
         self.control
             .send(message(reply))
             .map_err(|_| Status::unavailable("the node is ending"))?;
-        answer.await.map_err(ending)
+        receiver.await.map_err(stopping)
     }
 
     fn explain_reply(&self, forecast: &Forecast) -> rpc::ExplainReply {
-        let stage =
+        let stage_reply =
             |stage: &(_, Option<barleyspool_core::TargetId>, barleyspool_core::Span)| rpc::ExplainStage {
                 stage: self.shared.service_name(stage.0),
                 target: stage.1.map(|target| target.to_string()).unwrap_or_default(),
                 expected_ms: stage.2.ceil_millis(),
             };
-        let (reason, wait) = match forecast.refusal {
-            Some((reason, wait)) => (reason.name().to_owned(), wait.ceil_millis()),
+        let (reason, retry_after) = match forecast.refusal {
+            Some((reason, retry_after)) => (reason.name().to_owned(), retry_after.ceil_millis()),
             None => (String::new(), 0),
         };
         rpc::ExplainReply {
             admitted: forecast.refusal.is_none(),
             reason,
-            come_back_ms: wait,
-            stages: forecast.stages.iter().map(stage).collect(),
+            come_back_ms: retry_after,
+            stages: forecast.stages.iter().map(stage_reply).collect(),
         }
     }
 }
 
 #[tonic::async_trait]
-impl rpc::operations_server::Operations for Operations {
+impl rpc::operations_server::Operations for OperationsService {
     async fn status(&self, _: Request<rpc::StatusRequest>) -> Result<Response<rpc::StatusReply>, Status> {
-        self.control(ControlMessage::Status).await.map(Response::new)
+        self.ask_control(ControlMessage::StatusRequest)
+            .await
+            .map(Response::new)
     }
 
     async fn counters(
@@ -77,12 +79,12 @@
 
     async fn targets(&self, _: Request<rpc::TargetsRequest>) -> Result<Response<rpc::TargetsReply>, Status> {
         let mut targets: Vec<rpc::TargetState> = Vec::new();
-        for stats in &self.shared.stats {
+        for stats in &self.shared.lane_stats {
             for view in &stats.load().targets {
                 let id = view.id.to_string();
-                if let Some(known) = targets.iter_mut().find(|target| target.target == id) {
-                    known.in_flight += u64::from(view.in_flight);
-                    known.limit += u64::from(view.limit);
+                if let Some(entry) = targets.iter_mut().find(|target| target.target == id) {
+                    entry.in_flight += u64::from(view.in_flight);
+                    entry.limit += u64::from(view.limit);
                     continue;
                 }
                 targets.push(rpc::TargetState {
@@ -102,7 +104,9 @@
     }
 
     async fn peers(&self, _: Request<rpc::PeersRequest>) -> Result<Response<rpc::PeersReply>, Status> {
-        self.control(ControlMessage::Peers).await.map(Response::new)
+        self.ask_control(ControlMessage::PeersRequest)
+            .await
+            .map(Response::new)
     }
 
     async fn explain(
@@ -112,20 +116,27 @@
         let request = request.into_inner().request;
         let request = request.ok_or_else(|| Status::invalid_argument("request: is missing"))?;
         let call = rpc_convert::call(request);
-        let lane = self.shared.lane(RequestKey::new(&call.organisation, &call.key));
-        let (reply, answer) = oneshot::channel();
-        let busy = lane.try_send(LaneMessage::Explain { call, reply }).is_err();
-        if busy {
+        let lane = self
+            .shared
+            .lane_for(RequestKey::new(&call.organisation, &call.key));
+        let (reply, receiver) = oneshot::channel();
+        let is_full = lane.try_send(LaneMessage::Explain { call, reply }).is_err();
+        if is_full {
             return Err(Status::unavailable("the traffic thread takes nothing more now"));
         }
-        let forecast = answer
+        let forecast = receiver
             .await
             .map_err(|_| Status::unavailable("the node is ending"))?;
         Ok(Response::new(self.explain_reply(&forecast)))
     }
 
     async fn stop(&self, _: Request<rpc::StopRequest>) -> Result<Response<rpc::StopReply>, Status> {
-        let running: usize = self.shared.stats.iter().map(|stats| stats.load().live).sum();
+        let running: usize = self
+            .shared
+            .lane_stats
+            .iter()
+            .map(|stats| stats.load().live_requests)
+            .sum();
         let stop = ControlMessage::Event(ControlEvent::Stop);
         self.control
             .send(stop)
--- a/crates/barleyspool_entry/src/peer_server.rs
+++ b/crates/barleyspool_entry/src/peer_server.rs
@@ -18,13 +18,13 @@
 
 impl Peer for PeerServer {
     async fn ask(self, _: Context, gossip: Gossip) -> PeerReply {
-        let (reply, answer) = oneshot::channel();
-        let asked = self.control.send(ControlMessage::Answer { gossip, reply });
+        let (reply, receiver) = oneshot::channel();
+        let sent = self.control.send(ControlMessage::GossipRequest { gossip, reply });
         // Without a control state there is no word; the default counts for nothing.
-        if asked.is_err() {
+        if sent.is_err() {
             PeerReply::default()
         } else {
-            answer.await.unwrap_or_default()
+            receiver.await.unwrap_or_default()
         }
     }
 }
@@ -39,8 +39,8 @@
             control: control.clone(),
         };
         let channel = BaseChannel::with_defaults(transport);
-        tokio::spawn(channel.execute(server.serve()).for_each(|answer| async {
-            tokio::spawn(answer);
+        tokio::spawn(channel.execute(server.serve()).for_each(|response| async {
+            tokio::spawn(response);
         }));
     }
 }
--- a/crates/barleyspool_entry/src/platform_client.rs
+++ b/crates/barleyspool_entry/src/platform_client.rs
@@ -12,23 +12,23 @@
 /// How long a read that does not wait may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// The largest fleet list, in bytes.
-const MAX_FLEET: usize = 8 << 20;
+const MAX_FLEET_BYTES: usize = 8 << 20;
 
 /// Where the platform is, and what was last read there.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
-    configuration: String,
-    fleet: String,
-    document: Option<ConfigDocument>,
+    configuration_address: String,
+    fleet_address: String,
+    last_document: Option<ConfigDocument>,
 }
 
 impl PlatformClient {
     /// A client that has read nothing.
-    pub fn new(configuration: String, fleet: String) -> Self {
+    pub fn new(configuration_address: String, fleet_address: String) -> Self {
         Self {
-            configuration,
-            fleet,
-            document: None,
+            configuration_address,
+            fleet_address,
+            last_document: None,
         }
     }
 
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     /// When the service does not answer, or not with a configuration.
-    pub async fn configuration(&mut self, wait: Duration) -> Result<Option<ConfigDocument>, HttpError> {
+    pub async fn read_configuration(&mut self, wait: Duration) -> Result<Option<ConfigDocument>, HttpError> {
         let after = self
-            .document
+            .last_document
             .as_ref()
             .map_or(Revision(0), |document| document.revision);
         let path = format!(
@@ -47,28 +47,32 @@
             wait.as_millis()
         );
         let head =
-            http::get_json::<HeadValue>(&self.configuration, &path, MAX_VALUE, wait + READ_TIMEOUT).await?;
+            http::get_json::<HeadValue>(&self.configuration_address, &path, MAX_VALUE, wait + READ_TIMEOUT)
+                .await?;
         let Some(head) = head else { return Ok(None) };
         let mut parts = Vec::with_capacity(head.value.parts.len());
         for wanted in &head.value.parts {
-            parts.push(self.part(wanted).await?);
+            parts.push(self.read_part(wanted).await?);
         }
         let document = ConfigDocument {
             revision: head.revision,
             head: head.value,
             parts,
         };
-        self.document = Some(document.clone());
+        self.last_document = Some(document.clone());
         Ok(Some(document))
     }
 
-    async fn part(&self, wanted: &PartRef) -> Result<VersionedPart, HttpError> {
-        let mut known = self.document.iter().flat_map(|document| &document.parts);
-        if let Some(at) = known.find(|at| at.key == wanted.key && at.revision >= wanted.revision) {
-            return Ok(at.clone());
+    async fn read_part(&self, wanted: &PartRef) -> Result<VersionedPart, HttpError> {
+        let mut previous_parts = self.last_document.iter().flat_map(|document| &document.parts);
+        if let Some(part) =
+            previous_parts.find(|part| part.key == wanted.key && part.revision >= wanted.revision)
+        {
+            return Ok(part.clone());
         }
         let path = format!("{CONFIG_PATH}{}", wanted.key);
-        let value = http::get_json::<PartValue>(&self.configuration, &path, MAX_VALUE, READ_TIMEOUT).await?;
+        let value =
+            http::get_json::<PartValue>(&self.configuration_address, &path, MAX_VALUE, READ_TIMEOUT).await?;
         match value {
             Some(value) if value.revision >= wanted.revision => Ok(VersionedPart {
                 key: wanted.key.clone(),
@@ -78,7 +82,7 @@
             _ => {
                 let cause = format!("part {} is older than its head", wanted.key);
                 Err(HttpError::Malformed {
-                    peer: self.configuration.clone(),
+                    peer: self.configuration_address.clone(),
                     cause,
                 })
             }
@@ -89,8 +93,8 @@
     ///
     /// # Errors
     /// When the platform does not answer, or not with a list.
-    pub async fn fleet(&self, after: Revision, wait: Duration) -> Result<Option<Fleet>, HttpError> {
+    pub async fn read_fleet(&self, after: Revision, wait: Duration) -> Result<Option<Fleet>, HttpError> {
         let path = format!("{FLEET_PATH}?after={after}&wait_ms={}", wait.as_millis());
-        http::get_json(&self.fleet, &path, MAX_FLEET, wait + READ_TIMEOUT).await
+        http::get_json(&self.fleet_address, &path, MAX_FLEET_BYTES, wait + READ_TIMEOUT).await
     }
 }
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -20,33 +20,33 @@
     /// Its cell.
     pub cell: CellId,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where peers connect for control calls.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Where peers fetch configurations and lists, and where metrics are read.
-    pub bulk: SocketAddr,
+    pub bulk_address: SocketAddr,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// Control addresses of peers, for the start.
     pub seeds: Vec<String>,
     /// The configuration service.
-    pub configuration: String,
+    pub configuration_address: String,
     /// The fleet list.
-    pub fleet: String,
+    pub fleet_address: String,
     /// Traffic threads.
     pub lanes: u32,
     /// The least severe level that is logged.
     pub log_level: String,
     /// The spans on which the lease rests.
-    pub rules: LeaseRules,
+    pub lease_rules: LeaseRules,
     /// The time between two questions to a peer.
-    pub beat: Span,
+    pub heartbeat_interval: Span,
     /// How long a starting node waits for its peers.
-    pub start_wait: Span,
+    pub startup_timeout: Span,
     /// How long nobody may have read the configuration service before this node does.
-    pub read_age: Span,
+    pub max_read_age: Span,
     /// How long callers keep an answer to `Ask`.
-    pub keep: Span,
+    pub address_ttl: Span,
     /// Peers outside the cell asked per beat.
     pub fanout: usize,
     /// How many targets of each service the node uses.
@@ -58,9 +58,9 @@
     /// The most unrepeatable keys that are remembered.
     pub max_keys: usize,
     /// The oldest plan that is acted on.
-    pub plan_age: Span,
+    pub max_plan_age: Span,
     /// Whether requests and reports are written to the log, for replay.
-    pub record: bool,
+    pub log_arrivals: bool,
 }
 
 impl EntrySettings {
@@ -77,8 +77,8 @@
     /// # Errors
     /// Everything that is wrong with them.
     pub fn read(mut reader: SettingsReader) -> Result<Self, SettingsError> {
-        let ms = |reader: &mut SettingsReader, name: &str, from: u64, to: u64, default: u64| {
-            Span::from_millis(reader.number(name, from..=to, "ms", Some(default)))
+        let millis = |reader: &mut SettingsReader, name: &str, min: u64, max: u64, default: u64| {
+            Span::from_millis(reader.number(name, min..=max, "ms", Some(default)))
         };
         let r = &mut reader;
         let settings = Self {
@@ -86,25 +86,25 @@
             zone: r.text("zone", None),
             region: r.text("region", None),
             cell: CellId(r.number("cell", 0..=65_535, "", Some(0)) as u16),
-            callers: r.address("callers"),
-            control: r.address("control"),
-            bulk: r.address("bulk"),
-            operators: r.address("operators"),
+            caller_address: r.address("callers"),
+            control_address: r.address("control"),
+            bulk_address: r.address("bulk"),
+            operator_address: r.address("operators"),
             seeds: r.addresses("seeds"),
-            configuration: r.address("configuration").to_string(),
-            fleet: r.address("fleet").to_string(),
+            configuration_address: r.address("configuration").to_string(),
+            fleet_address: r.address("fleet").to_string(),
             lanes: r.number("lanes", 1..=64, "threads", Some(1)) as u32,
             log_level: r.choice("log_level", LEVELS, "info"),
-            record: r.flag("record", false),
-            rules: r.object("lease", |r| LeaseRules {
-                freshness: ms(r, "freshness_ms", 200, 60_000, 2_000),
-                horizon: ms(r, "horizon_ms", 500, 600_000, 15_000),
-                skew: ms(r, "skew_ms", 0, 10_000, 500),
+            log_arrivals: r.flag("record", false),
+            lease_rules: r.object("lease", |r| LeaseRules {
+                freshness: millis(r, "freshness_ms", 200, 60_000, 2_000),
+                horizon: millis(r, "horizon_ms", 500, 600_000, 15_000),
+                skew: millis(r, "skew_ms", 0, 10_000, 500),
             }),
-            beat: ms(r, "beat_ms", 50, 10_000, 500),
-            start_wait: ms(r, "start_wait_ms", 100, 60_000, 3_000),
-            read_age: ms(r, "read_age_ms", 4_000, 600_000, 7_000),
-            keep: ms(r, "keep_ms", 100, 600_000, 5_000),
+            heartbeat_interval: millis(r, "beat_ms", 50, 10_000, 500),
+            startup_timeout: millis(r, "start_wait_ms", 100, 60_000, 3_000),
+            max_read_age: millis(r, "read_age_ms", 4_000, 600_000, 7_000),
+            address_ttl: millis(r, "keep_ms", 100, 600_000, 5_000),
             fanout: r.number("fanout", 0..=64, "peers", Some(2)) as usize,
             subset: r.object("subset", |r| SubsetSize {
                 same_zone: r.number("near", 1..=10_000, "targets", Some(16)) as usize,
@@ -113,10 +113,10 @@
             max_payload: r.number("max_payload", 1..=(64 << 20), "bytes", Some(1 << 20)) as usize,
             max_answer: r.number("max_answer", 1..=(256 << 20), "bytes", Some(4 << 20)) as usize,
             max_keys: r.number("max_keys", 1..=10_000_000, "keys", Some(100_000)) as usize,
-            plan_age: ms(r, "plan_age_ms", 200, 60_000, 3_000),
+            max_plan_age: millis(r, "plan_age_ms", 200, 60_000, 3_000),
         };
-        if settings.beat.0 * 2 > settings.rules.freshness.0 {
-            let value = settings.beat.as_millis().to_string();
+        if settings.heartbeat_interval.0 * 2 > settings.lease_rules.freshness.0 {
+            let value = settings.heartbeat_interval.as_millis().to_string();
             r.fault(
                 "beat_ms",
                 &value,
@@ -127,41 +127,41 @@
     }
 
     /// What the control state is set up with.
-    pub fn control_settings(&self, run: Incarnation) -> ControlSettings {
+    pub fn control_settings(&self, incarnation: Incarnation) -> ControlSettings {
         ControlSettings {
             node: self.node,
-            incarnation: run,
+            incarnation,
             zone: self.zone.clone(),
             region: self.region.clone(),
             cell: self.cell,
-            address: self.callers.to_string(),
+            address: self.caller_address.to_string(),
             seeds: self.seeds.clone(),
-            rules: self.rules,
+            rules: self.lease_rules,
             subset: self.subset,
-            heartbeat_interval: self.beat,
-            startup_timeout: self.start_wait,
-            max_read_age: self.read_age,
+            heartbeat_interval: self.heartbeat_interval,
+            startup_timeout: self.startup_timeout,
+            max_read_age: self.max_read_age,
             fanout: self.fanout,
-            address_ttl: self.keep,
-            seed: run.0 ^ u64::from(self.node.0),
-            bulk_address: self.bulk.to_string(),
+            address_ttl: self.address_ttl,
+            seed: incarnation.0 ^ u64::from(self.node.0),
+            bulk_address: self.bulk_address.to_string(),
             ..ControlSettings::default()
         }
     }
 
     /// What the router of traffic thread `lane` is set up with.
-    pub fn router_settings(&self, run: Incarnation, lane: u32) -> RouterSettings {
+    pub fn router_settings(&self, incarnation: Incarnation, lane: u32) -> RouterSettings {
         RouterSettings {
             node: self.node,
             // Each lane numbers its requests by itself, so each is a run of its own to targets.
-            incarnation: Incarnation(run.0 + u64::from(lane)),
+            incarnation: Incarnation(incarnation.0 + u64::from(lane)),
             lanes: self.lanes,
-            seed: run.0 ^ (u64::from(self.node.0) << 32) ^ u64::from(lane),
+            seed: incarnation.0 ^ (u64::from(self.node.0) << 32) ^ u64::from(lane),
             max_payload: self.max_payload,
             max_answer: self.max_answer,
             max_keys: self.max_keys.div_ceil(self.lanes as usize),
-            max_plan_age: self.plan_age,
-            skew: self.rules.skew,
+            max_plan_age: self.max_plan_age,
+            skew: self.lease_rules.skew,
             ..RouterSettings::default()
         }
     }
--- a/crates/barleyspool_entry/src/shared.rs
+++ b/crates/barleyspool_entry/src/shared.rs
@@ -38,9 +38,9 @@
     /// Its counters.
     pub counters: Counters,
     /// Requests it is working on.
-    pub live: usize,
+    pub live_requests: usize,
     /// Steps that wait.
-    pub waiting: u32,
+    pub waiting_steps: u32,
     /// Its targets.
     pub targets: Vec<TargetView>,
 }
@@ -59,41 +59,41 @@
     /// The inboxes of the lanes.
     pub lanes: Vec<LaneSender>,
     /// What each lane last showed.
-    pub stats: Vec<ArcSwap<LaneStats>>,
+    pub lane_stats: Vec<ArcSwap<LaneStats>>,
     /// What the control state last counted.
     pub control_counters: ArcSwap<ControlCounters>,
     /// Calls refused because their lane took nothing more.
-    pub lane_full: AtomicU64,
+    pub lane_rejects: AtomicU64,
     /// Streams to callers that are open.
     pub open_streams: AtomicUsize,
     /// Set when the daemon is to end.
-    pub ending: watch::Sender<bool>,
+    pub shutdown: watch::Sender<bool>,
 }
 
 impl Shared {
     /// The lane that works on `key`: the same for every repeat of it.
-    pub fn lane(&self, key: RequestKey) -> &LaneSender {
+    pub fn lane_for(&self, key: RequestKey) -> &LaneSender {
         &self.lanes[(key.0 % self.lanes.len() as u128) as usize]
     }
 
     /// All lanes' counters together.
-    pub fn counters(&self) -> Counters {
-        let mut all = Counters::default();
-        for stats in &self.stats {
+    pub fn total_counters(&self) -> Counters {
+        let mut total = Counters::default();
+        for stats in &self.lane_stats {
             for (counter, value) in &stats.load().counters.values {
-                all.add(*counter, *value);
+                total.add(*counter, *value);
             }
         }
-        all
+        total
     }
 
     /// The name of a service in the configuration in force.
     pub fn service_name(&self, service: barleyspool_core::ServiceIx) -> String {
         let plan: Arc<Plan> = self.plan.load_full();
-        let known = plan
+        let spec = plan
             .config
             .as_ref()
             .and_then(|config| config.services.get(usize::from(service.0)));
-        known.map(|service| service.name.clone()).unwrap_or_default()
+        spec.map(|service| service.name.clone()).unwrap_or_default()
     }
 }
--- a/crates/barleyspool_entry/src/target_pool.rs
+++ b/crates/barleyspool_entry/src/target_client.rs
@@ -1,6 +1,6 @@
 //! Sending steps to targets over HTTP/1.1, and telling exactly what became of each.
 
-use crate::lane::not_sent;
+use crate::lane::unsent_attempt_ended;
 use crate::shared::Shared;
 use barleyspool_core::{
     AttemptEnd, AttemptId, Echo, LoadReport, Payload, Span, StepOrder, TargetId, TrafficEvent,
@@ -21,46 +21,46 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Idle connections kept per target.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// How long a probe or a cancellation may take.
-const SIDE_CALL: Duration = Duration::from_millis(500);
+const SIDE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The largest report of a target, in bytes.
-const MAX_REPORT: usize = 64 * 1024;
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 /// How long a finished answer may take to close before its connection is given up.
-const CLOSE_WAIT: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-type Sender = SendRequest<http::Whole>;
+type RequestSender = SendRequest<http::Whole>;
 
 /// The connections of one lane to its targets.
 #[derive(Debug)]
-pub struct TargetPool {
+pub struct TargetClient {
     shared: Arc<Shared>,
-    idle: Mutex<HashMap<String, Vec<Sender>>>,
+    idle: Mutex<HashMap<String, Vec<RequestSender>>>,
 }
 
 /// How the answer to an attempt ended.
-struct Ending {
+struct AttemptResult {
     echo: Option<Echo>,
     end: AttemptEnd,
     report: Option<LoadReport>,
     leaving: bool,
     /// Whether everything was read, so that the connection may be used again.
-    clean: bool,
+    reusable: bool,
 }
 
-impl Ending {
-    fn broken() -> Self {
+impl AttemptResult {
+    fn interrupted() -> Self {
         Self {
             echo: None,
             end: AttemptEnd::Interrupted,
             report: None,
             leaving: false,
-            clean: false,
+            reusable: false,
         }
     }
 }
 
-impl TargetPool {
+impl TargetClient {
     /// A pool with no connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
@@ -70,10 +70,15 @@
     }
 
     /// Sends a step and reports its parts and its end. Dropping the future closes the connection.
-    pub async fn run(&self, attempt: AttemptId, order: StepOrder, events: &UnboundedSender<TrafficEvent>) {
+    pub async fn run_step(
+        &self,
+        attempt: AttemptId,
+        order: StepOrder,
+        events: &UnboundedSender<TrafficEvent>,
+    ) {
         let event = match self.exchange(attempt, &order, events).await {
-            None => not_sent(attempt),
-            Some(Ending {
+            None => unsent_attempt_ended(attempt),
+            Some(AttemptResult {
                 echo,
                 end,
                 report,
@@ -97,29 +102,33 @@
         attempt: AttemptId,
         order: &StepOrder,
         events: &UnboundedSender<TrafficEvent>,
-    ) -> Option<Ending> {
+    ) -> Option<AttemptResult> {
         let body = Bytes::from(serde_json::to_vec(&StepRequest::from(order)).ok()?);
-        let (mut sender, response) = self.send(order, body).await?;
+        let (mut sender, response) = self.send_step(order, body).await?;
         let Some(response) = response else {
-            return Some(Ending::broken());
+            return Some(AttemptResult::interrupted());
         };
-        let mut ending = read_answer(attempt, response, events).await;
-        if ending.clean {
-            ending.clean = tokio::time::timeout(CLOSE_WAIT, sender.ready())
+        let mut result = read_answer(attempt, response, events).await;
+        if result.reusable {
+            result.reusable = tokio::time::timeout(READY_TIMEOUT, sender.ready())
                 .await
                 .is_ok_and(|ready| ready.is_ok());
         }
-        if ending.clean {
-            self.keep(&order.address, sender);
+        if result.reusable {
+            self.add_idle(&order.address, sender);
         }
-        Some(ending)
+        Some(result)
     }
 
     /// Sends on an idle connection, or on a new one when the idle ones turn out to be closed before
     /// anything was written. `Some((_, None))` means that something was written and no answer began.
-    async fn send(&self, order: &StepOrder, body: Bytes) -> Option<(Sender, Option<Response<Incoming>>)> {
+    async fn send_step(
+        &self,
+        order: &StepOrder,
+        body: Bytes,
+    ) -> Option<(RequestSender, Option<Response<Incoming>>)> {
         loop {
-            let (mut sender, fresh) = match self.take(&order.address) {
+            let (mut sender, is_new) = match self.take_idle(&order.address) {
                 Some(sender) => (sender, false),
                 None => (connect(&order.address).await?, true),
             };
@@ -131,12 +140,12 @@
                 .body(http::Whole::new(body.clone()))
                 .ok()?;
             // The process may have slept since the decision: look at the clock once more.
-            if !self.still_due(order) {
+            if !self.may_still_send(order) {
                 return None;
             }
             match sender.try_send_request(request).await {
                 Ok(response) => return Some((sender, Some(response))),
-                Err(mut error) => match (error.take_message(), fresh) {
+                Err(mut error) => match (error.take_message(), is_new) {
                     (Some(_), false) => {}
                     (Some(_), true) => return None,
                     (None, _) => return Some((sender, None)),
@@ -145,17 +154,17 @@
         }
     }
 
-    fn still_due(&self, order: &StepOrder) -> bool {
+    fn may_still_send(&self, order: &StepOrder) -> bool {
         let now = self.shared.clock.now();
         now < order.deadline
             && self
                 .shared
                 .plan
                 .load()
-                .is_fresh(now, self.shared.settings.plan_age)
+                .is_fresh(now, self.shared.settings.max_plan_age)
     }
 
-    fn take(&self, address: &str) -> Option<Sender> {
+    fn take_idle(&self, address: &str) -> Option<RequestSender> {
         let mut idle = self.idle.lock().ok()?;
         let senders = idle.get_mut(address)?;
         while let Some(sender) = senders.pop() {
@@ -166,10 +175,10 @@
         None
     }
 
-    fn keep(&self, address: &str, sender: Sender) {
+    fn add_idle(&self, address: &str, sender: RequestSender) {
         let Ok(mut idle) = self.idle.lock() else { return };
         let senders = idle.entry(address.to_owned()).or_default();
-        if senders.len() < MAX_IDLE {
+        if senders.len() < MAX_IDLE_CONNECTIONS {
             senders.push(sender);
         }
     }
@@ -177,13 +186,22 @@
     /// Tells a target that nobody waits for a step any more. It is only a hint: nothing depends on it.
     pub async fn cancel(address: &str, echo: Echo) {
         if let Ok(body) = serde_json::to_vec(&echo) {
-            let _ = http::call(address, Method::POST, CANCEL_PATH, body, MAX_REPORT, SIDE_CALL).await;
+            let _ = http::call(
+                address,
+                Method::POST,
+                CANCEL_PATH,
+                body,
+                MAX_REPORT_BYTES,
+                SIDE_CALL_TIMEOUT,
+            )
+            .await;
         }
     }
 
     /// Asks a target for its load, to see whether it answers.
     pub async fn probe(target: TargetId, address: &str, events: &UnboundedSender<TrafficEvent>) {
-        let answer = http::get_json::<TargetReport>(address, LOAD_PATH, MAX_REPORT, SIDE_CALL).await;
+        let answer =
+            http::get_json::<TargetReport>(address, LOAD_PATH, MAX_REPORT_BYTES, SIDE_CALL_TIMEOUT).await;
         let report = answer.ok().flatten();
         let ok = report.is_some();
         let report = report.unwrap_or_default();
@@ -198,7 +216,7 @@
 }
 
 /// Makes a connection; its task ends when the sender is dropped.
-async fn connect(address: &str) -> Option<Sender> {
+async fn connect(address: &str) -> Option<RequestSender> {
     let stream = net::connect(address).await.ok()?;
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
@@ -211,20 +229,20 @@
     attempt: AttemptId,
     response: Response<Incoming>,
     events: &UnboundedSender<TrafficEvent>,
-) -> Ending {
+) -> AttemptResult {
     if response.status() != StatusCode::OK {
         // A bare error status says nothing of whether the step ran.
-        return Ending::broken();
+        return AttemptResult::interrupted();
     }
-    let kind = response.headers().get(hyper::header::CONTENT_TYPE);
-    if kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream")) {
-        return read_stream(attempt, response.into_body(), events).await;
+    let content_type = response.headers().get(hyper::header::CONTENT_TYPE);
+    if content_type.is_some_and(|content_type| content_type.as_bytes().starts_with(b"text/event-stream")) {
+        return read_event_stream(attempt, response.into_body(), events).await;
     }
     let Ok(body) = response.into_body().collect().await else {
-        return Ending::broken();
+        return AttemptResult::interrupted();
     };
     let Ok(reply) = serde_json::from_slice::<StepReply>(&body.to_bytes()) else {
-        return Ending::broken();
+        return AttemptResult::interrupted();
     };
     let end = match reply.output {
         Some(output) => AttemptEnd::Done {
@@ -237,30 +255,32 @@
         },
         None => AttemptEnd::Interrupted,
     };
-    Ending {
+    AttemptResult {
         echo: Some(reply.echo),
         end,
         report: reply.load,
         leaving: reply.leaving,
-        clean: true,
+        reusable: true,
     }
 }
 
 /// Reads server-sent events until the one that ends the answer.
-async fn read_stream(
+async fn read_event_stream(
     attempt: AttemptId,
     mut body: Incoming,
     events: &UnboundedSender<TrafficEvent>,
-) -> Ending {
+) -> AttemptResult {
     let mut buffer = BytesMut::new();
-    let mut last: Option<StreamEvent> = None;
+    let mut end_event: Option<StreamEvent> = None;
     let mut leaving = false;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { break };
         let Ok(data) = frame.into_data() else { continue };
         buffer.extend_from_slice(&data);
         while let Some(event) = next_event(&mut buffer) {
-            let Ok(event) = event else { return Ending::broken() };
+            let Ok(event) = event else {
+                return AttemptResult::interrupted();
+            };
             if event.leaving && !leaving {
                 // At once: the stream may go on for seconds, or break off.
                 leaving = true;
@@ -277,12 +297,12 @@
                 });
             }
             if event.length.is_some() {
-                last = Some(event);
+                end_event = Some(event);
             }
         }
     }
-    let clean = hyper::body::Body::is_end_stream(&body);
-    match last {
+    let reusable = hyper::body::Body::is_end_stream(&body);
+    match end_event {
         Some(StreamEvent {
             echo,
             length: Some(length),
@@ -293,24 +313,26 @@
                 output: Payload::default(),
                 length,
             };
-            Ending {
+            AttemptResult {
                 echo: Some(echo),
                 end,
                 report: load,
                 leaving,
-                clean,
+                reusable,
             }
         }
-        _ => Ending::broken(),
+        _ => AttemptResult::interrupted(),
     }
 }
 
 /// Takes the next whole event out of what has been read; `None` when there is none yet.
 fn next_event(buffer: &mut BytesMut) -> Option<Result<StreamEvent, serde_json::Error>> {
-    const END: &[u8] = b"\n\n";
-    const FIELD: &[u8] = b"data:";
-    let at = buffer.windows(END.len()).position(|window| window == END)?;
-    let event = buffer.split_to(at + END.len());
-    let line = event.strip_prefix(FIELD).unwrap_or(&event);
+    const EVENT_END: &[u8] = b"\n\n";
+    const DATA_FIELD: &[u8] = b"data:";
+    let end = buffer
+        .windows(EVENT_END.len())
+        .position(|window| window == EVENT_END)?;
+    let event = buffer.split_to(end + EVENT_END.len());
+    let line = event.strip_prefix(DATA_FIELD).unwrap_or(&event);
     Some(serde_json::from_slice(line))
 }
--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -61,12 +61,15 @@
 
     async fn read(&mut self) {
         // An outage of the platform changes nothing: what was accepted stays in force.
-        if let Ok(Some(document)) = self.platform.configuration(Duration::ZERO).await
+        if let Ok(Some(document)) = self.platform.read_configuration(Duration::ZERO).await
             && self.store.offer(&document, &mut self.counters)
         {
             spdlog::info!("configuration in force", kv: { revision = document.revision.0 });
         }
-        if let Ok(Some(fleet)) = self.platform.fleet(self.fleet.revision, Duration::ZERO).await
+        if let Ok(Some(fleet)) = self
+            .platform
+            .read_fleet(self.fleet.revision, Duration::ZERO)
+            .await
             && fleet.revision > self.fleet.revision
             && fleet.validation_error().is_none()
         {
