--- a/crates/barleyspool_entry/src/bulk_server.rs
+++ b/crates/barleyspool_entry/src/bulk_server.rs
@@ -3,7 +3,7 @@
 use crate::control_thread::{ControlMessage, ControlSender};
 use crate::metrics::Metrics;
 use barleyspool_core::{Revision, Snapshot};
-use barleyspool_wire::http::{self, HttpError, Whole};
+use barleyspool_wire::http::{self, FullBody, HttpError};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use std::sync::Arc;
@@ -29,7 +29,11 @@
     .await;
 }
 
-async fn respond(request: &Request<Incoming>, control: &ControlSender, metrics: &Metrics) -> Response<Whole> {
+async fn respond(
+    request: &Request<Incoming>,
+    control: &ControlSender,
+    metrics: &Metrics,
+) -> Response<FullBody> {
     match request.uri().path() {
         METRICS_PATH => http::reply(StatusCode::OK, metrics.encode_text()),
         SNAPSHOT_PATH => snapshot_response(request.uri().query().unwrap_or_default(), control).await,
@@ -37,7 +41,7 @@
     }
 }
 
-async fn snapshot_response(query: &str, control: &ControlSender) -> Response<Whole> {
+async fn snapshot_response(query: &str, control: &ControlSender) -> Response<FullBody> {
     let (Some(config), Some(fleet)) = (query_number(query, "config"), query_number(query, "fleet")) else {
         return http::reply(
             StatusCode::BAD_REQUEST,
@@ -75,7 +79,7 @@
 /// When the peer does not answer, or not with a snapshot.
 pub async fn fetch_snapshot(peer: &str, config: Revision, fleet: Revision) -> Result<Snapshot, HttpError> {
     let path = format!("{SNAPSHOT_PATH}?config={config}&fleet={fleet}");
-    let (status, body) = http::call(
+    let (status, body) = http::send_request(
         peer,
         Method::GET,
         &path,
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -233,7 +233,7 @@
                     Err(_) => return,
                 },
             };
-            match peer::ask(&client, gossip, GOSSIP_TIMEOUT).await {
+            match peer::exchange_gossip(&client, gossip, GOSSIP_TIMEOUT).await {
                 Ok(reply) => {
                     clients.lock().await.insert(address, client);
                     let event = ControlEvent::PeerReplied {
@@ -365,7 +365,7 @@
             plan_age_ms: now.since(plan.refreshed_at).as_millis(),
             running: self.live_requests_and_streams() as u64,
             waiting: waiting_steps.into(),
-            uptime_ms: now.since(self.shared.clock.started()).as_millis(),
+            uptime_ms: now.since(self.shared.clock.started_at()).as_millis(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
         }
     }
--- a/crates/barleyspool_entry/src/daemon.rs
+++ b/crates/barleyspool_entry/src/daemon.rs
@@ -67,7 +67,7 @@
     /// When an address is in use, or a thread cannot be started.
     pub fn start(settings: EntrySettings) -> Result<Self, DaemonError> {
         let clock = Clock::start();
-        let incarnation = Incarnation(clock.started().0);
+        let incarnation = Incarnation(clock.started_at().0);
         let (lane_senders, lane_receivers): (Vec<_>, Vec<_>) =
             (0..settings.lanes).map(|_| lane::inbox_channel()).unzip();
         let shared = Arc::new(Shared {
@@ -215,7 +215,7 @@
 /// A planned stop on SIGTERM or SIGINT. A second signal changes nothing: what is in flight is still finished.
 async fn stop_on_signal(mut signals: Signals, control: ControlSender) {
     loop {
-        Signals::stop(&mut signals.terminate, &mut signals.interrupt).await;
+        Signals::wait_for_stop(&mut signals.terminate, &mut signals.interrupt).await;
         spdlog::info!("stop was asked for by a signal");
         let _ = control.send(ControlMessage::Event(ControlEvent::Stop));
     }
--- a/crates/barleyspool_entry/src/gateway_service.rs
+++ b/crates/barleyspool_entry/src/gateway_service.rs
@@ -55,7 +55,7 @@
             .config
             .as_ref()
             .map_or(Revision(0), |config| config.revision);
-        let outcome = rpc_convert::outcome(&Outcome::Refused(refusal), "", None, revision);
+        let outcome = rpc_convert::outcome_message(&Outcome::Refused(refusal), "", None, revision);
         rpc::RunReply {
             reply: Some(rpc::run_reply::Reply::Outcome(outcome)),
         }
@@ -88,7 +88,7 @@
     type RunStream = RunStream;
 
     async fn run(&self, request: Request<rpc::RunRequest>) -> Result<Response<RunStream>, Status> {
-        let call = rpc_convert::call(request.into_inner());
+        let call = rpc_convert::call_from_request(request.into_inner());
         let key = RequestKey::new(&call.organisation, &call.key);
         let uncertain = call.earlier == barleyspool_core::Earlier::Uncertain;
         let caller = CallerId(NEXT_CALLER_ID.fetch_add(1, Ordering::Relaxed));
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -227,7 +227,8 @@
             Outcome::Complete { .. } => None,
         };
         let revision = self.router.revision();
-        let reply = rpc_convert::outcome(outcome, &step_service.unwrap_or_default(), redirect, revision);
+        let reply =
+            rpc_convert::outcome_message(outcome, &step_service.unwrap_or_default(), redirect, revision);
         self.send(caller, rpc::run_reply::Reply::Outcome(reply));
         self.callers.remove(&caller);
     }
--- a/crates/barleyspool_entry/src/main.rs
+++ b/crates/barleyspool_entry/src/main.rs
@@ -56,7 +56,7 @@
         eprintln!("{}: good", file.display());
         return ExitCode::SUCCESS;
     }
-    logging::start(&format!("entry-{}", settings.node), &settings.log_level);
+    logging::init(&format!("entry-{}", settings.node), &settings.log_level);
     match Daemon::start(settings) {
         Ok(daemon) => match daemon.wait() {
             Ok(()) => ExitCode::SUCCESS,
--- a/crates/barleyspool_entry/src/operations_service.rs
+++ b/crates/barleyspool_entry/src/operations_service.rs
@@ -115,7 +115,7 @@
     ) -> Result<Response<rpc::ExplainReply>, Status> {
         let request = request.into_inner().request;
         let request = request.ok_or_else(|| Status::invalid_argument("request: is missing"))?;
-        let call = rpc_convert::call(request);
+        let call = rpc_convert::call_from_request(request);
         let lane = self
             .shared
             .lane_for(RequestKey::new(&call.organisation, &call.key));
--- a/crates/barleyspool_entry/src/platform_client.rs
+++ b/crates/barleyspool_entry/src/platform_client.rs
@@ -2,7 +2,7 @@
 
 use barleyspool_core::{ConfigDocument, Fleet, PartRef, Revision, VersionedPart};
 use barleyspool_wire::http::{self, HttpError};
-use barleyspool_wire::platform::{CONFIG_PATH, FLEET_PATH, HEAD_KEY, HeadValue, MAX_VALUE, PartValue};
+use barleyspool_wire::platform::{CONFIG_PATH, FLEET_PATH, HEAD_KEY, HeadValue, MAX_VALUE_BYTES, PartValue};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -46,9 +46,13 @@
             "{CONFIG_PATH}{HEAD_KEY}?after={after}&wait_ms={}",
             wait.as_millis()
         );
-        let head =
-            http::get_json::<HeadValue>(&self.configuration_address, &path, MAX_VALUE, wait + READ_TIMEOUT)
-                .await?;
+        let head = http::get_json::<HeadValue>(
+            &self.configuration_address,
+            &path,
+            MAX_VALUE_BYTES,
+            wait + READ_TIMEOUT,
+        )
+        .await?;
         let Some(head) = head else { return Ok(None) };
         let mut parts = Vec::with_capacity(head.value.parts.len());
         for wanted in &head.value.parts {
@@ -72,7 +76,8 @@
         }
         let path = format!("{CONFIG_PATH}{}", wanted.key);
         let value =
-            http::get_json::<PartValue>(&self.configuration_address, &path, MAX_VALUE, READ_TIMEOUT).await?;
+            http::get_json::<PartValue>(&self.configuration_address, &path, MAX_VALUE_BYTES, READ_TIMEOUT)
+                .await?;
         match value {
             Some(value) if value.revision >= wanted.revision => Ok(VersionedPart {
                 key: wanted.key.clone(),
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -117,7 +117,7 @@
         };
         if settings.heartbeat_interval.0 * 2 > settings.lease_rules.freshness.0 {
             let value = settings.heartbeat_interval.as_millis().to_string();
-            r.fault(
+            r.add_error(
                 "beat_ms",
                 &value,
                 "at most half of lease.freshness_ms, or no word stays fresh",
--- a/crates/barleyspool_entry/src/target_client.rs
+++ b/crates/barleyspool_entry/src/target_client.rs
@@ -29,7 +29,7 @@
 /// How long a finished answer may take to close before its connection is given up.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-type RequestSender = SendRequest<http::Whole>;
+type RequestSender = SendRequest<http::FullBody>;
 
 /// The connections of one lane to its targets.
 #[derive(Debug)]
@@ -137,7 +137,7 @@
                 .uri(STEPS_PATH)
                 .header(hyper::header::HOST, &order.address)
                 .header(hyper::header::CONTENT_TYPE, "application/json")
-                .body(http::Whole::new(body.clone()))
+                .body(http::FullBody::new(body.clone()))
                 .ok()?;
             // The process may have slept since the decision: look at the clock once more.
             if !self.may_still_send(order) {
@@ -186,7 +186,7 @@
     /// Tells a target that nobody waits for a step any more. It is only a hint: nothing depends on it.
     pub async fn cancel(address: &str, echo: Echo) {
         if let Ok(body) = serde_json::to_vec(&echo) {
-            let _ = http::call(
+            let _ = http::send_request(
                 address,
                 Method::POST,
                 CANCEL_PATH,
@@ -251,7 +251,7 @@
         },
         None if reply.not_run => AttemptEnd::Refused {
             leaving: reply.leaving,
-            cooldown: Span::from_millis(reply.rest_ms),
+            cooldown: Span::from_millis(reply.cooldown_ms),
         },
         None => AttemptEnd::Interrupted,
     };
--- a/crates/barleyspool_gateway/src/control/directory.rs
+++ b/crates/barleyspool_gateway/src/control/directory.rs
@@ -63,7 +63,7 @@
 /// How long callers may cache the addresses.
 fn address_ttl(state: &ControlState) -> Span {
     let ttl = state.shared.settings.address_ttl();
-    let age = state.now().since(state.shared.clock.started());
+    let age = state.now().since(state.shared.clock.started_at());
     if age < STARTUP_PERIOD {
         ttl.min(STARTUP_ADDRESS_TTL)
     } else {
--- a/crates/barleyspool_gateway/src/control/mod.rs
+++ b/crates/barleyspool_gateway/src/control/mod.rs
@@ -16,7 +16,7 @@
 use crate::metrics::Metrics;
 use crate::shared::TargetObservation;
 use barleyspool_wire::process::{EssentialTasks, Signals};
-use barleyspool_wire::{awake_time, boot_time, timer};
+use barleyspool_wire::{monotonic_time, time_since_boot, timer};
 pub use state::ControlState;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -88,7 +88,7 @@
 
 /// After a suspension of the machine, wakes the timers that expired meanwhile and logs the duration.
 async fn watch_suspensions(state: Rc<ControlState>) {
-    let suspended_time = || boot_time().saturating_sub(awake_time());
+    let suspended_time = || time_since_boot().saturating_sub(monotonic_time());
     let log_suspension = |slept: Duration| {
         let slept_ms = slept.as_millis() as u64;
         state.log.write(state.now(), &LogEvent::Suspended { slept_ms });
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -92,7 +92,7 @@
                 serving: false,
                 link_mbps: settings.link_mbps(),
             },
-            incarnation: Incarnation(shared.clock.started().0),
+            incarnation: Incarnation(shared.clock.started_at().0),
             seeds: seeds
                 .map(|seed| format!("{}:{members_port}", seed.ip()))
                 .collect(),
--- a/crates/barleyspool_gateway/src/control/stop.rs
+++ b/crates/barleyspool_gateway/src/control/stop.rs
@@ -24,7 +24,7 @@
 
 /// Waits for SIGTERM or SIGINT, performs a planned stop ([`StopPhase`]) and exits the process.
 pub async fn stop_on_signal(state: Rc<ControlState>, mut terminate: Signal, mut interrupt: Signal) {
-    Signals::stop(&mut terminate, &mut interrupt).await;
+    Signals::wait_for_stop(&mut terminate, &mut interrupt).await;
     let mut stop = begin_stop(&state);
     let shared = &state.shared;
     loop {
--- a/crates/barleyspool_gateway/src/traffic/callers.rs
+++ b/crates/barleyspool_gateway/src/traffic/callers.rs
@@ -41,7 +41,7 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     }
-    for stream in net::accept_waiting(listener) {
+    for stream in net::accept_pending(listener) {
         let open = OpenCaller::new(&traffic);
         spawn_local(serve_caller(open, stream));
     }
--- a/crates/barleyspool_gateway/src/traffic/connections.rs
+++ b/crates/barleyspool_gateway/src/traffic/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to targets. A connection serves one call at a time, and is reused only after a complete answer.
 
-use barleyspool_wire::{boot_time, net, timer};
+use barleyspool_wire::{net, time_since_boot, timer};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -120,7 +120,7 @@
     fn take(&self, address: &str, target: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let queue = idle.get_mut(address)?;
-        let now = boot_time();
+        let now = time_since_boot();
         while let Some(entry) = queue.pop_back() {
             let usable = entry.connection.target == target
                 && entry.until > now
@@ -139,7 +139,7 @@
         }
         let idle_timeout =
             keep_alive.map_or(IDLE_TIMEOUT, |keep_alive| keep_alive.saturating_sub(IDLE_MARGIN));
-        let until = boot_time() + idle_timeout;
+        let until = time_since_boot() + idle_timeout;
         let address = connection.address.clone();
         let entry = IdleConnection { connection, until };
         self.idle
@@ -156,7 +156,7 @@
 
     /// Drops expired and closed idle connections.
     pub fn expire(&self) {
-        let now = boot_time();
+        let now = time_since_boot();
         self.idle.borrow_mut().retain(|_, queue| {
             queue.retain(|entry| entry.until > now && !entry.connection.sender.is_closed());
             !queue.is_empty()
--- a/crates/barleyspool_gateway/src/traffic/starting.rs
+++ b/crates/barleyspool_gateway/src/traffic/starting.rs
@@ -14,7 +14,11 @@
         if traffic.plan().is_complete() {
             return;
         }
-        let until = hold_until(traffic.shared.clock.started(), arrived, objective(traffic, parts));
+        let until = hold_until(
+            traffic.shared.clock.started_at(),
+            arrived,
+            objective(traffic, parts),
+        );
         let left = until.since(traffic.now());
         if left == Span::ZERO {
             return;
--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -176,9 +176,10 @@
         let Ok(body) = serde_json::to_vec(&request) else {
             return;
         };
-        let answer = http::call(address, Method::POST, ORDERS_PATH, body, MAX_ANSWER, CALL_TIMEOUT).await;
+        let answer =
+            http::send_request(address, Method::POST, ORDERS_PATH, body, MAX_ANSWER, CALL_TIMEOUT).await;
         let taken = answer.is_ok_and(|(_, body)| {
-            serde_json::from_slice::<OrderReply>(&body).is_ok_and(|reply| reply.taken)
+            serde_json::from_slice::<OrderReply>(&body).is_ok_and(|reply| reply.accepted)
         });
         spdlog::info!("order", kv: {
             target = order.target.0, revision = order.fence.revision.0, counter = order.fence.counter, taken = taken,
@@ -226,7 +227,7 @@
             .to_owned(),
             revision: self.revision().0,
             fleet_revision: self.fleet.revision.0,
-            uptime_ms: self.clock.now().since(self.clock.started()).as_millis(),
+            uptime_ms: self.clock.now().since(self.clock.started_at()).as_millis(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             ..rpc::StatusReply::default()
         }
--- a/crates/barleyspool_keeper/src/main.rs
+++ b/crates/barleyspool_keeper/src/main.rs
@@ -56,7 +56,7 @@
         eprintln!("{}: good", Path::display(&file));
         return ExitCode::SUCCESS;
     }
-    logging::start(&format!("keeper-{}", settings.node), &settings.log_level);
+    logging::init(&format!("keeper-{}", settings.node), &settings.log_level);
     match start(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -83,7 +83,7 @@
         );
         tokio::select! {
             () = run(&keeper) => {}
-            () = Signals::stop(&mut signals.terminate, &mut signals.interrupt) => {}
+            () = Signals::wait_for_stop(&mut signals.terminate, &mut signals.interrupt) => {}
         }
         Ok(())
     })
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
@@ -40,7 +40,7 @@
             let body = tell.what.into_bytes();
             let wait = Duration::from_secs(2);
             let (status, answer) =
-                http::call(&tell.address, hyper::Method::POST, TELL_PATH, body, 4096, wait).await?;
+                http::send_request(&tell.address, hyper::Method::POST, TELL_PATH, body, 4096, wait).await?;
             if !status.is_success() {
                 return Err(format!("{status}: {}", String::from_utf8_lossy(&answer)).into());
             }
--- a/crates/barleyspool_stands/src/platform.rs
+++ b/crates/barleyspool_stands/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::deployment::{Deployment, PART_KEY};
 use barleyspool_core::{ConfigHead, ConfigPart, Epoch, Era, Fleet, ListState, NodeId, Revision, TargetId};
-use barleyspool_wire::http::{self, Whole};
+use barleyspool_wire::http::{self, FullBody};
 use barleyspool_wire::platform::{CONFIG_PATH, ConfigValue, FLEET_PATH, HEAD_KEY};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -137,7 +137,7 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Whole> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<FullBody> {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         if request.method() == Method::POST && path == TELL_PATH {
@@ -165,8 +165,8 @@
     async fn wait_for(
         &self,
         wait: Duration,
-        read: impl Fn(&Self) -> Option<Response<Whole>>,
-    ) -> Response<Whole> {
+        read: impl Fn(&Self) -> Option<Response<FullBody>>,
+    ) -> Response<FullBody> {
         let mut changed = self.changed.subscribe();
         let answer = async {
             loop {
@@ -187,7 +187,7 @@
         }
     }
 
-    fn head_after(&self, after: Revision) -> Option<Response<Whole>> {
+    fn head_after(&self, after: Revision) -> Option<Response<FullBody>> {
         let state = self.seen();
         if self.with(|state| state.mode) == Mode::Down {
             return Some(http::reply(StatusCode::SERVICE_UNAVAILABLE, "down\n"));
@@ -195,11 +195,11 @@
         (state.head.revision > after).then(|| json(&state.head))
     }
 
-    fn fleet_after(&self, after: Revision) -> Option<Response<Whole>> {
+    fn fleet_after(&self, after: Revision) -> Option<Response<FullBody>> {
         self.with(|state| (state.fleet.revision > after).then(|| json(&state.fleet)))
     }
 
-    async fn told(&self, request: Request<Incoming>) -> Response<Whole> {
+    async fn told(&self, request: Request<Incoming>) -> Response<FullBody> {
         let Ok(body) = request.into_body().collect().await else {
             return http::reply(StatusCode::BAD_REQUEST, "broken off\n");
         };
@@ -301,7 +301,7 @@
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Response<Whole> {
+fn json<T: Serialize>(value: &T) -> Response<FullBody> {
     match serde_json::to_vec(value) {
         Ok(body) => http::reply(StatusCode::OK, body),
         Err(error) => http::reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -81,7 +81,7 @@
         value: deployment.part(),
     };
     let parts = [(crate::deployment::PART_KEY.to_owned(), part)];
-    let document: ConfigDocument = platform::document(revision, &deployment.head(revision), &parts);
+    let document: ConfigDocument = platform::assemble_document(revision, &deployment.head(revision), &parts);
     let config = Config::from_document(&document, None).map_err(|faults| {
         faults
             .iter()
--- a/crates/barleyspool_stands/src/target.rs
+++ b/crates/barleyspool_stands/src/target.rs
@@ -188,7 +188,7 @@
             not_run: output.is_none(),
             output: output.map(|output| Blob(Arc::from(output))),
             leaving: report.leaving,
-            rest_ms: 0,
+            cooldown_ms: 0,
             load: report.load,
         }
     }
@@ -318,7 +318,7 @@
         let mut state = self.state();
         if self.settings.fences && order.fence <= state.engine.fence {
             return OrderReply {
-                taken: false,
+                accepted: false,
                 fence: state.engine.fence,
             };
         }
@@ -348,7 +348,7 @@
             }
         });
         OrderReply {
-            taken: true,
+            accepted: true,
             fence: order.fence,
         }
     }
--- a/crates/barleyspool_wire/src/http.rs
+++ b/crates/barleyspool_wire/src/http.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 
 /// A body that is whole in memory.
-pub type Whole = Full<Bytes>;
+pub type FullBody = Full<Bytes>;
 
 /// Why a request failed.
 #[derive(Debug, displaydoc::Display)]
@@ -27,7 +27,7 @@
         cause: String,
     },
     /// {peer}: broken off: {cause}
-    Broken {
+    ConnectionLost {
         /// The address.
         peer: String,
         /// What went wrong.
@@ -62,15 +62,15 @@
 ///
 /// # Errors
 /// When there is no whole answer in time. A status other than 200 is an answer.
-pub async fn call(
+pub async fn send_request(
     peer: &str,
     method: Method,
     path: &str,
     body: Vec<u8>,
-    limit: usize,
+    max_bytes: usize,
     timeout: Duration,
 ) -> Result<(StatusCode, Bytes), HttpError> {
-    let exchange = exchange(peer, method, path, body, limit);
+    let exchange = exchange(peer, method, path, body, max_bytes);
     let ms = timeout.as_millis() as u64;
     timer::timeout(timeout, exchange)
         .await
@@ -85,9 +85,9 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-    limit: usize,
+    max_bytes: usize,
 ) -> Result<(StatusCode, Bytes), HttpError> {
-    let broken = |cause: hyper::Error| HttpError::Broken {
+    let connection_lost = |cause: hyper::Error| HttpError::ConnectionLost {
         peer: peer.to_owned(),
         cause: cause.to_string(),
     };
@@ -97,23 +97,23 @@
     })?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(broken)?;
+        .map_err(connection_lost)?;
     let _connection = AbortOnDrop(tokio::spawn(connection));
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header(hyper::header::HOST, peer)
-        .body(Whole::from(body))
+        .body(FullBody::from(body))
         .map_err(|cause| HttpError::Malformed {
             peer: peer.to_owned(),
             cause: cause.to_string(),
         })?;
-    let response = sender.send_request(request).await.map_err(broken)?;
+    let response = sender.send_request(request).await.map_err(connection_lost)?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), limit)
+    let body = Limited::new(response.into_body(), max_bytes)
         .collect()
         .await
-        .map_err(|cause| HttpError::Broken {
+        .map_err(|cause| HttpError::ConnectionLost {
             peer: peer.to_owned(),
             cause: cause.to_string(),
         })?;
@@ -130,19 +130,19 @@
     }
 }
 
-/// Like [`call`], for JSON: 200 gives a value, 204 gives `None`.
+/// Like [`send_request`], for JSON: 200 gives a value, 204 gives `None`.
 ///
 /// # Errors
-/// As [`call`]; and when the status is another one or the JSON is not understood.
+/// As [`send_request`]; and when the status is another one or the JSON is not understood.
 pub async fn get_json<T: serde::de::DeserializeOwned>(
     peer: &str,
     path: &str,
-    limit: usize,
+    max_bytes: usize,
     timeout: Duration,
 ) -> Result<Option<T>, HttpError> {
-    let (status, body) = call(peer, Method::GET, path, Vec::new(), limit, timeout).await?;
+    let (status, body) = send_request(peer, Method::GET, path, Vec::new(), max_bytes, timeout).await?;
     match status {
-        StatusCode::OK => parse(peer, &body).map(Some),
+        StatusCode::OK => parse_json(peer, &body).map(Some),
         StatusCode::NO_CONTENT => Ok(None),
         status => Err(HttpError::Status {
             peer: peer.to_owned(),
@@ -155,7 +155,7 @@
 ///
 /// # Errors
 /// When it does not fit.
-pub fn parse<T: serde::de::DeserializeOwned>(peer: &str, body: &[u8]) -> Result<T, HttpError> {
+pub fn parse_json<T: serde::de::DeserializeOwned>(peer: &str, body: &[u8]) -> Result<T, HttpError> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut reader).map_err(|cause| HttpError::Malformed {
         peer: peer.to_owned(),
@@ -164,8 +164,8 @@
 }
 
 /// A whole answer.
-pub fn reply(status: StatusCode, body: impl Into<Bytes>) -> Response<Whole> {
-    let mut response = Response::new(Whole::new(body.into()));
+pub fn reply(status: StatusCode, body: impl Into<Bytes>) -> Response<FullBody> {
+    let mut response = Response::new(FullBody::new(body.into()));
     *response.status_mut() = status;
     response
 }
--- a/crates/barleyspool_wire/src/lib.rs
+++ b/crates/barleyspool_wire/src/lib.rs
@@ -28,5 +28,5 @@
     include!("generated/barleyspool.v1.rs");
 }
 
-pub use clock::{Clock, awake_time, boot_time};
+pub use clock::{Clock, monotonic_time, time_since_boot};
 pub use settings::{SettingsError, SettingsReader};
--- a/crates/barleyspool_wire/src/logging.rs
+++ b/crates/barleyspool_wire/src/logging.rs
@@ -10,7 +10,7 @@
 
 /// Sends the logs of this process to standard error, from `level` up. An unknown level means `info`; the
 /// settings have been checked before.
-pub fn start(process: &str, level: &str) {
+pub fn init(process: &str, level: &str) {
     let level = match level {
         "error" => Level::Error,
         "warn" => Level::Warn,
--- a/crates/barleyspool_wire/src/net.rs
+++ b/crates/barleyspool_wire/src/net.rs
@@ -12,12 +12,12 @@
 /// How long a connection may take to be made.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection rests before it is probed, and how long between probes.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer that end a connection.
 const KEEPALIVE_RETRIES: u32 = 3;
 /// How long written bytes may stay unacknowledged before a connection between processes of the deployment ends. The kernel also
 /// counts the time in which the other side takes nothing, so connections of callers, who may read slowly, have no such limit.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
 
@@ -29,26 +29,26 @@
 pub async fn connect(address: &str) -> io::Result<TcpStream> {
     let address: SocketAddr = address.parse().map_err(io::Error::other)?;
     let stream = timer::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
-    prepare(&stream)?;
-    bound_unacknowledged(&stream)?;
+    set_socket_options(&stream)?;
+    set_unacknowledged_timeout(&stream)?;
     Ok(stream)
 }
 
 /// Sets what every connection needs: no delay of small writes, and an end within seconds when it is at rest and the other side
 /// has lost power or is cut off, which no reset tells.
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&probes)
 }
 
 /// Ends a connection within seconds also while written bytes wait to be acknowledged: probes are sent at rest only.
-fn bound_unacknowledged(stream: &TcpStream) -> io::Result<()> {
-    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+fn set_unacknowledged_timeout(stream: &TcpStream) -> io::Result<()> {
+    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 /// Listens on an IP number and port. Several traffic threads may listen on the same.
@@ -72,7 +72,7 @@
 /// When the operating system refuses, for instance for want of file descriptors.
 pub async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     let stream = accept_caller(listener).await?;
-    bound_unacknowledged(&stream)?;
+    set_unacknowledged_timeout(&stream)?;
     Ok(stream)
 }
 
@@ -82,7 +82,7 @@
 /// When the operating system refuses, for instance for want of file descriptors.
 pub async fn accept_caller(listener: &TcpListener) -> io::Result<TcpStream> {
     let (stream, _) = listener.accept().await?;
-    prepare(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
@@ -90,31 +90,31 @@
 ///
 /// A listening socket that is closed resets the connections that nobody has taken, with the calls that were sent on them.
 /// An error, for want of file descriptors for instance, ends it early: what still waits is reset.
-pub fn accept_waiting(listener: TcpListener) -> Vec<TcpStream> {
+pub fn accept_pending(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else {
         return Vec::new();
     };
-    let taken = listener.incoming().map_while(Result::ok);
-    let prepared = taken.filter_map(|stream| {
+    let pending = listener.incoming().map_while(Result::ok);
+    let streams = pending.filter_map(|stream| {
         stream.set_nonblocking(true).ok()?;
         let stream = TcpStream::from_std(stream).ok()?;
-        prepare(&stream).ok()?;
+        set_socket_options(&stream).ok()?;
         Some(stream)
     });
-    prepared.collect()
+    streams.collect()
 }
 
 /// The connections of other processes of the deployment as a stream, for servers that want one. A failed accept is skipped.
 pub fn incoming(listener: TcpListener) -> impl futures::Stream<Item = io::Result<TcpStream>> {
-    accepted(listener, async |listener| accept(listener).await)
+    accept_all(listener, async |listener| accept(listener).await)
 }
 
 /// The connections of callers as a stream; see [`accept_caller`].
 pub fn incoming_callers(listener: TcpListener) -> impl futures::Stream<Item = io::Result<TcpStream>> {
-    accepted(listener, async |listener| accept_caller(listener).await)
+    accept_all(listener, async |listener| accept_caller(listener).await)
 }
 
-fn accepted(
+fn accept_all(
     listener: TcpListener,
     accept: impl AsyncFn(&TcpListener) -> io::Result<TcpStream>,
 ) -> impl futures::Stream<Item = io::Result<TcpStream>> {
--- a/crates/barleyspool_wire/src/peer.rs
+++ b/crates/barleyspool_wire/src/peer.rs
@@ -13,7 +13,7 @@
 use tokio_serde::formats::MessagePack;
 
 /// The largest message between peers, in bytes.
-const MAX_FRAME: usize = 512 * 1024;
+const MAX_FRAME_BYTES: usize = 512 * 1024;
 
 /// What a node answers to its peers.
 #[tarpc::service]
@@ -35,7 +35,7 @@
     SinkItem: Serialize,
 {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
     tarpc::serde_transport::new(Framed::new(stream, codec), MessagePack::default())
 }
@@ -53,7 +53,11 @@
 ///
 /// # Errors
 /// When the connection fails or the peer does not answer in time.
-pub async fn ask(client: &PeerClient, gossip: Gossip, timeout: Duration) -> Result<PeerReply, RpcError> {
+pub async fn exchange_gossip(
+    client: &PeerClient,
+    gossip: Gossip,
+    timeout: Duration,
+) -> Result<PeerReply, RpcError> {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
     client.ask(context, gossip).await
--- a/crates/barleyspool_wire/src/platform.rs
+++ b/crates/barleyspool_wire/src/platform.rs
@@ -11,7 +11,7 @@
 /// The key of the head of the configuration.
 pub const HEAD_KEY: &str = "serving";
 /// The largest value, in bytes.
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A value of the configuration service, with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -28,8 +28,12 @@
 pub type PartValue = ConfigValue<ConfigPart>;
 
 /// The whole configuration, from its head and the values of its parts.
-pub fn document(revision: Revision, head: &ConfigHead, values: &[(String, PartValue)]) -> ConfigDocument {
-    let at = |(key, value): &(String, PartValue)| VersionedPart {
+pub fn assemble_document(
+    revision: Revision,
+    head: &ConfigHead,
+    values: &[(String, PartValue)],
+) -> ConfigDocument {
+    let versioned_part = |(key, value): &(String, PartValue)| VersionedPart {
         key: key.clone(),
         revision: value.revision,
         part: Arc::new(value.value.clone()),
@@ -37,6 +41,6 @@
     ConfigDocument {
         revision,
         head: head.clone(),
-        parts: values.iter().map(at).collect(),
+        parts: values.iter().map(versioned_part).collect(),
     }
 }
--- a/crates/barleyspool_wire/src/process.rs
+++ b/crates/barleyspool_wire/src/process.rs
@@ -35,7 +35,7 @@
     }
 
     /// Waits until a planned stop is asked for.
-    pub async fn stop(terminate: &mut Signal, interrupt: &mut Signal) {
+    pub async fn wait_for_stop(terminate: &mut Signal, interrupt: &mut Signal) {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
@@ -58,40 +58,40 @@
 /// without its control thread acts for ever on what it knew. So the first that panics is the end of the process.
 #[derive(Debug)]
 pub struct Threads {
-    ends: mpsc::Sender<ThreadEnd>,
-    ended: mpsc::Receiver<ThreadEnd>,
+    exit_sender: mpsc::Sender<ThreadExit>,
+    exits: mpsc::Receiver<ThreadExit>,
     running: usize,
 }
 
 #[derive(Debug)]
-struct ThreadEnd {
+struct ThreadExit {
     name: String,
     panicked: bool,
 }
 
 /// Tells that a thread ended, also when it panicked.
-struct EndNotice {
+struct ExitNotifier {
     name: String,
-    ends: mpsc::Sender<ThreadEnd>,
+    exit_sender: mpsc::Sender<ThreadExit>,
 }
 
-impl Drop for EndNotice {
+impl Drop for ExitNotifier {
     fn drop(&mut self) {
-        let end = ThreadEnd {
+        let exit = ThreadExit {
             name: std::mem::take(&mut self.name),
             panicked: std::thread::panicking(),
         };
         // Nobody listens any more when the process is ending already.
-        let _ = self.ends.send(end);
+        let _ = self.exit_sender.send(exit);
     }
 }
 
 impl Default for Threads {
     fn default() -> Self {
-        let (ends, ended) = mpsc::channel();
+        let (exit_sender, exits) = mpsc::channel();
         Self {
-            ends,
-            ended,
+            exit_sender,
+            exits,
             running: 0,
         }
     }
@@ -103,13 +103,13 @@
     /// # Errors
     /// When the operating system refuses it.
     pub fn spawn(&mut self, name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-        let notice = EndNotice {
+        let notifier = ExitNotifier {
             name: name.to_owned(),
-            ends: self.ends.clone(),
+            exit_sender: self.exit_sender.clone(),
         };
         let thread = std::thread::Builder::new().name(name.to_owned());
         thread.spawn(move || {
-            let _notice = notice;
+            let _notifier = notifier;
             body();
         })?;
         self.running += 1;
@@ -121,9 +121,9 @@
     /// # Errors
     /// The first thread that panicked.
     pub fn wait(self) -> Result<(), ThreadError> {
-        for end in self.ended.iter().take(self.running) {
-            if end.panicked {
-                return Err(ThreadError::Panicked(end.name));
+        for exit in self.exits.iter().take(self.running) {
+            if exit.panicked {
+                return Err(ThreadError::Panicked(exit.name));
             }
         }
         Ok(())
@@ -145,8 +145,8 @@
 
     /// Waits for ever, or panics as the first of the tasks did.
     pub async fn watch(&mut self) {
-        while let Some(ended) = self.0.join_next().await {
-            if let Err(error) = ended
+        while let Some(result) = self.0.join_next().await {
+            if let Err(error) = result
                 && error.is_panic()
             {
                 std::panic::resume_unwind(error.into_panic());
--- a/crates/barleyspool_wire/src/rpc_convert.rs
+++ b/crates/barleyspool_wire/src/rpc_convert.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// A call as the core takes it.
-pub fn call(request: rpc::RunRequest) -> Call {
+pub fn call_from_request(request: rpc::RunRequest) -> Call {
     let earlier = match request.earlier() {
         rpc::EarlierSends::None => Earlier::None,
         rpc::EarlierSends::AllNotRun => Earlier::AllNotRun,
@@ -27,7 +27,12 @@
 }
 
 /// An outcome as callers get it. `step` is the name of the service at which it arose.
-pub fn outcome(outcome: &Outcome, step: &str, redirect: Option<String>, revision: Revision) -> rpc::Outcome {
+pub fn outcome_message(
+    outcome: &Outcome,
+    step: &str,
+    redirect: Option<String>,
+    revision: Revision,
+) -> rpc::Outcome {
     let mut message = rpc::Outcome {
         revision: revision.0,
         ..rpc::Outcome::default()
@@ -44,7 +49,7 @@
             });
             message.reason = refusal.reason.name().to_owned();
             message.step = step.to_owned();
-            message.peer = refusal.origin.map(peer_name).unwrap_or_default();
+            message.peer = refusal.origin.map(origin_name).unwrap_or_default();
             message.come_back_ms = refusal.retry_after.ceil_millis();
             message.redirect = redirect.unwrap_or_default();
         }
@@ -53,8 +58,8 @@
 }
 
 /// How callers and operators see where something arose.
-pub fn peer_name(peer: RefusalOrigin) -> String {
-    match peer {
+pub fn origin_name(origin: RefusalOrigin) -> String {
+    match origin {
         RefusalOrigin::Target(id) => format!("target {id}"),
         RefusalOrigin::Node(id) => format!("node {id}"),
     }
--- a/crates/barleyspool_wire/src/settings.rs
+++ b/crates/barleyspool_wire/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// One thing that is wrong with a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct InvalidSetting {
     /// Where, such as `lease.horizon_ms`.
     pub path: String,
     /// What stands there.
@@ -23,15 +23,15 @@
 pub struct SettingsError {
     /// The file.
     pub file: String,
-    /// The faults, in the order of the file's fields.
-    pub faults: Vec<Fault>,
+    /// The errors, in the order of the file's fields.
+    pub errors: Vec<InvalidSetting>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, fault) in self.faults.iter().enumerate() {
-            let end = if at + 1 < self.faults.len() { "\n" } else { "" };
-            let Fault { path, value, allowed } = fault;
+        for (index, error) in self.errors.iter().enumerate() {
+            let end = if index + 1 < self.errors.len() { "\n" } else { "" };
+            let InvalidSetting { path, value, allowed } = error;
             write!(
                 f,
                 "{}: {path}: {value} is not allowed; allowed: {allowed}{end}",
@@ -44,23 +44,23 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads the fields of one JSON object, collects faults, and at the end refuses fields it was not asked for.
+/// Reads the fields of one JSON object, collects errors, and at the end refuses fields it was not asked for.
 ///
 /// ```
 /// use barleyspool_wire::SettingsReader;
 /// let mut reader = SettingsReader::parse("a.json", r#"{"zone": "mi-a", "beat_ms": 0, "x": 1}"#);
 /// assert_eq!(reader.text("zone", None), "mi-a");
 /// reader.number("beat_ms", 50..=10_000, "ms", Some(500));
-/// let faults = reader.finish().unwrap_err().faults;
-/// assert_eq!(faults.len(), 2);
+/// let errors = reader.finish().unwrap_err().errors;
+/// assert_eq!(errors.len(), 2);
 /// ```
 #[derive(Debug)]
 pub struct SettingsReader {
     file: String,
     prefix: String,
     fields: Map<String, Value>,
-    known: Vec<String>,
-    faults: Vec<Fault>,
+    requested: Vec<String>,
+    errors: Vec<InvalidSetting>,
 }
 
 impl SettingsReader {
@@ -69,33 +69,33 @@
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text),
-            Err(error) => Self::faulty(file, &error.to_string(), "a readable file"),
+            Err(error) => Self::unreadable(file, &error.to_string(), "a readable file"),
         }
     }
 
     /// Reads a text as if it stood in `file`.
     pub fn parse(file: &str, text: &str) -> Self {
         match serde_json::from_str(text) {
-            Ok(Value::Object(fields)) => Self::over(file.to_owned(), String::new(), fields),
-            Ok(other) => Self::faulty(file.to_owned(), &short(&other), "a JSON object"),
-            Err(error) => Self::faulty(file.to_owned(), &error.to_string(), "valid JSON"),
+            Ok(Value::Object(fields)) => Self::from_fields(file.to_owned(), String::new(), fields),
+            Ok(other) => Self::unreadable(file.to_owned(), &truncated_json(&other), "a JSON object"),
+            Err(error) => Self::unreadable(file.to_owned(), &error.to_string(), "valid JSON"),
         }
     }
 
-    fn over(file: String, prefix: String, fields: Map<String, Value>) -> Self {
+    fn from_fields(file: String, prefix: String, fields: Map<String, Value>) -> Self {
         Self {
             file,
             prefix,
             fields,
-            known: Vec::new(),
-            faults: Vec::new(),
+            requested: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
-    fn faulty(file: String, value: &str, allowed: &str) -> Self {
-        let mut reader = Self::over(file, String::new(), Map::new());
+    fn unreadable(file: String, value: &str, allowed: &str) -> Self {
+        let mut reader = Self::from_fields(file, String::new(), Map::new());
         let (path, value, allowed) = ("(file)".to_owned(), value.to_owned(), allowed.to_owned());
-        reader.faults.push(Fault { path, value, allowed });
+        reader.errors.push(InvalidSetting { path, value, allowed });
         reader
     }
 
@@ -108,27 +108,27 @@
     }
 
     /// Reports a fault of the field `name`.
-    pub fn fault(&mut self, name: &str, value: &str, allowed: &str) {
+    pub fn add_error(&mut self, name: &str, value: &str, allowed: &str) {
         let (path, value, allowed) = (self.path(name), value.to_owned(), allowed.to_owned());
-        self.faults.push(Fault { path, value, allowed });
+        self.errors.push(InvalidSetting { path, value, allowed });
     }
 
-    fn take(&mut self, name: &str) -> Option<Value> {
-        self.known.push(name.to_owned());
+    fn field(&mut self, name: &str) -> Option<Value> {
+        self.requested.push(name.to_owned());
         self.fields.get(name).cloned()
     }
 
     /// A text that is not empty. Without a default it must be there.
     pub fn text(&mut self, name: &str, default: Option<&str>) -> String {
-        match (self.take(name), default) {
+        match (self.field(name), default) {
             (Some(Value::String(text)), _) if !text.is_empty() => text,
             (Some(other), _) => {
-                self.fault(name, &short(&other), "a text that is not empty");
+                self.add_error(name, &truncated_json(&other), "a text that is not empty");
                 String::new()
             }
             (None, Some(default)) => default.to_owned(),
             (None, None) => {
-                self.fault(name, "nothing", "a text; it has no default");
+                self.add_error(name, "nothing", "a text; it has no default");
                 String::new()
             }
         }
@@ -138,7 +138,7 @@
     pub fn choice(&mut self, name: &str, choices: &[&str], default: &str) -> String {
         let text = self.text(name, Some(default));
         if !choices.contains(&text.as_str()) && !text.is_empty() {
-            self.fault(
+            self.add_error(
                 name,
                 &format!("\"{text}\""),
                 &format!("one of {}", choices.join(", ")),
@@ -156,17 +156,17 @@
         default: Option<u64>,
     ) -> u64 {
         let allowed = format!("a whole number from {} to {} {unit}", range.start(), range.end());
-        match (self.take(name), default) {
+        match (self.field(name), default) {
             (Some(value), _) => match value.as_u64() {
                 Some(number) if range.contains(&number) => number,
                 _ => {
-                    self.fault(name, &short(&value), allowed.trim_end());
+                    self.add_error(name, &truncated_json(&value), allowed.trim_end());
                     *range.start()
                 }
             },
             (None, Some(default)) => default,
             (None, None) => {
-                self.fault(
+                self.add_error(
                     name,
                     "nothing",
                     &format!("{}; it has no default", allowed.trim_end()),
@@ -178,14 +178,14 @@
 
     /// A number that need not be whole.
     pub fn decimal(&mut self, name: &str, range: RangeInclusive<f64>, unit: &str, default: f64) -> f64 {
-        let Some(value) = self.take(name) else {
+        let Some(value) = self.field(name) else {
             return default;
         };
         match value.as_f64() {
             Some(number) if range.contains(&number) => number,
             _ => {
                 let allowed = format!("a number from {} to {} {unit}", range.start(), range.end());
-                self.fault(name, &short(&value), allowed.trim_end());
+                self.add_error(name, &truncated_json(&value), allowed.trim_end());
                 default
             }
         }
@@ -193,11 +193,11 @@
 
     /// Yes or no.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
-        match self.take(name) {
+        match self.field(name) {
             None => default,
             Some(Value::Bool(flag)) => flag,
             Some(other) => {
-                self.fault(name, &short(&other), "true or false");
+                self.add_error(name, &truncated_json(&other), "true or false");
                 default
             }
         }
@@ -210,7 +210,7 @@
             Ok(address) => address,
             Err(_) => {
                 if !text.is_empty() {
-                    self.fault(
+                    self.add_error(
                         name,
                         &format!("\"{text}\""),
                         "an IP number and port, such as 10.0.0.1:7100",
@@ -223,7 +223,7 @@
 
     /// A list of texts.
     pub fn texts(&mut self, name: &str) -> Vec<String> {
-        let Some(value) = self.take(name) else {
+        let Some(value) = self.field(name) else {
             return Vec::new();
         };
         let texts: Option<Vec<String>> = value.as_array().and_then(|items| {
@@ -233,7 +233,7 @@
                 .collect()
         });
         texts.unwrap_or_else(|| {
-            self.fault(name, &short(&value), "a list of texts");
+            self.add_error(name, &truncated_json(&value), "a list of texts");
             Vec::new()
         })
     }
@@ -241,10 +241,10 @@
     /// A list of IP numbers with ports.
     pub fn addresses(&mut self, name: &str) -> Vec<String> {
         let texts = self.texts(name);
-        for (at, text) in texts.iter().enumerate() {
+        for (index, text) in texts.iter().enumerate() {
             if text.parse::<SocketAddr>().is_err() {
-                self.fault(
-                    &format!("{name}[{at}]"),
+                self.add_error(
+                    &format!("{name}[{index}]"),
                     &format!("\"{text}\""),
                     "an IP number and port",
                 );
@@ -255,36 +255,36 @@
 
     /// An object of its own, read by `read`. A missing one is read as empty, so that defaults apply.
     pub fn object<T>(&mut self, name: &str, read: impl FnOnce(&mut Self) -> T) -> T {
-        let fields = match self.take(name) {
+        let fields = match self.field(name) {
             None => Map::new(),
             Some(Value::Object(fields)) => fields,
             Some(other) => {
-                self.fault(name, &short(&other), "an object");
+                self.add_error(name, &truncated_json(&other), "an object");
                 Map::new()
             }
         };
-        let mut inner = Self::over(self.file.clone(), self.path(name), fields);
+        let mut inner = Self::from_fields(self.file.clone(), self.path(name), fields);
         let value = read(&mut inner);
-        inner.refuse_unknown();
-        self.faults.append(&mut inner.faults);
+        inner.reject_unknown_fields();
+        self.errors.append(&mut inner.errors);
         value
     }
 
     /// Any JSON, for values that have a check of their own.
     pub fn raw(&mut self, name: &str) -> Option<Value> {
-        self.take(name)
+        self.field(name)
     }
 
-    fn refuse_unknown(&mut self) {
+    fn reject_unknown_fields(&mut self) {
         let unknown: Vec<(String, Value)> = self
             .fields
             .iter()
-            .filter(|(name, _)| !self.known.contains(name))
+            .filter(|(name, _)| !self.requested.contains(name))
             .map(|(name, value)| (name.clone(), value.clone()))
             .collect();
         for (name, value) in unknown {
-            let allowed = format!("one of the fields {}", self.known.join(", "));
-            self.fault(&name, &short(&value), &allowed);
+            let allowed = format!("one of the fields {}", self.requested.join(", "));
+            self.add_error(&name, &truncated_json(&value), &allowed);
         }
     }
 
@@ -293,26 +293,26 @@
     /// # Errors
     /// Everything that was wrong, unknown fields included.
     pub fn finish(mut self) -> Result<(), SettingsError> {
-        if self.faults.first().is_none_or(|fault| fault.path != "(file)") {
-            self.refuse_unknown();
+        if self.errors.first().is_none_or(|error| error.path != "(file)") {
+            self.reject_unknown_fields();
         } else {
-            self.faults.truncate(1);
+            self.errors.truncate(1);
         }
-        if self.faults.is_empty() {
+        if self.errors.is_empty() {
             return Ok(());
         }
         Err(SettingsError {
             file: self.file,
-            faults: self.faults,
+            errors: self.errors,
         })
     }
 }
 
 /// A value as it is shown in a fault.
-fn short(value: &Value) -> String {
-    const MOST: usize = 60;
+fn truncated_json(value: &Value) -> String {
+    const MAX_CHARS: usize = 60;
     let text = value.to_string();
-    match text.char_indices().nth(MOST) {
+    match text.char_indices().nth(MAX_CHARS) {
         Some((cut, _)) => format!("{}…", &text[..cut]),
         None => text,
     }
--- a/crates/barleyspool_wire/src/target.rs
+++ b/crates/barleyspool_wire/src/target.rs
@@ -93,8 +93,8 @@
     #[serde(default)]
     pub leaving: bool,
     /// With a refusal: how long the target wants nothing from this node, in milliseconds.
-    #[serde(default)]
-    pub rest_ms: u64,
+    #[serde(default, rename = "rest_ms")]
+    pub cooldown_ms: u64,
     /// Its load.
     #[serde(default)]
     pub load: Option<LoadReport>,
@@ -150,7 +150,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
     /// Whether it took the order.
-    pub taken: bool,
+    #[serde(rename = "taken")]
+    pub accepted: bool,
     /// Its last fence.
     pub fence: Fence,
 }
--- a/crates/barleyspool_wire/src/timer.rs
+++ b/crates/barleyspool_wire/src/timer.rs
@@ -4,7 +4,7 @@
 //! interrupts the wait for events without telling any. Whatever acts on a time-out at once takes calls and answers for missing that lie in the kernel.
 //!
 //! The runtime's timers stand still while the machine is suspended. So one task looks now and then whether it was
-//! ([`watch_suspensions`]), and then the waits of this module take off what they have slept through: a call whose time is over is
+//! ([`watch_suspensions`]), and then the waits of this module take off what they have suspended through: a call whose time is over is
 //! answered at the next look, not seconds later.
 
 use std::io;
@@ -15,60 +15,62 @@
 
 /// The time between two looks whether the machine was suspended. A call whose time is over has to be answered within half a
 /// second.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Less than this is no suspension: two clocks are read one after the other, and the process may be stopped in between.
-const LEAST: Duration = Duration::from_millis(50);
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// The suspensions that this process has seen.
 static SUSPENSIONS: Suspensions = Suspensions {
-    slept_us: AtomicU64::new(0),
-    over: Notify::const_new(),
+    suspended_us: AtomicU64::new(0),
+    ended: Notify::const_new(),
 };
 
 #[derive(Debug)]
 struct Suspensions {
     /// How long they were all in all, in microseconds.
-    slept_us: AtomicU64,
+    suspended_us: AtomicU64,
     /// Wakes all waits after each.
-    over: Notify,
+    ended: Notify,
 }
 
 impl Suspensions {
-    fn slept(&self) -> Duration {
-        Duration::from_micros(self.slept_us.load(Ordering::Acquire))
+    fn total(&self) -> Duration {
+        Duration::from_micros(self.suspended_us.load(Ordering::Acquire))
     }
 }
 
-/// Looks for suspensions of the machine for as long as it is polled, and wakes the waits of all threads after each. `ahead` tells how far
-/// the clock that counts them is ahead of the one that does not; `noted` is told how long each was.
-pub async fn watch_suspensions(ahead: impl Fn() -> Duration, noted: impl Fn(Duration)) {
-    let mut before = ahead();
+/// Looks for suspensions of the machine for as long as it is polled, and wakes the waits of all threads after each. `clock_difference` tells how far
+/// the clock that counts them is clock_difference of the one that does not; `on_suspension` is told how long each was.
+pub async fn watch_suspensions(clock_difference: impl Fn() -> Duration, on_suspension: impl Fn(Duration)) {
+    let mut before = clock_difference();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let slept = ahead().saturating_sub(before);
-        if slept < LEAST {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let suspended = clock_difference().saturating_sub(before);
+        if suspended < MIN_SUSPENSION {
             continue;
         }
-        before += slept;
-        let slept_us = slept.as_micros() as u64;
-        SUSPENSIONS.slept_us.fetch_add(slept_us, Ordering::Release);
-        SUSPENSIONS.over.notify_waiters();
-        noted(slept);
+        before += suspended;
+        let suspended_us = suspended.as_micros() as u64;
+        SUSPENSIONS
+            .suspended_us
+            .fetch_add(suspended_us, Ordering::Release);
+        SUSPENSIONS.ended.notify_waiters();
+        on_suspension(suspended);
     }
 }
 
 /// Sleeps, and then lets the sockets be read once.
 ///
 /// In a `select!` the branch with the work goes first (`biased`), so that what was read decides.
-pub async fn sleep(time: Duration) {
-    let (start, before) = (Instant::now(), SUSPENSIONS.slept());
+pub async fn sleep(duration: Duration) {
+    let (start, before) = (Instant::now(), SUSPENSIONS.total());
     loop {
         // Made before the time is read, so that no suspension is missed in between.
-        let over = SUSPENSIONS.over.notified();
-        let suspended = SUSPENSIONS.slept().saturating_sub(before);
+        let ended = SUSPENSIONS.ended.notified();
+        let suspended = SUSPENSIONS.total().saturating_sub(before);
         tokio::select! {
-            () = sleep_until(start + time.saturating_sub(suspended)) => return,
-            () = over => {}
+            () = sleep_until(start + duration.saturating_sub(suspended)) => return,
+            () = ended => {}
         }
     }
 }
@@ -82,13 +84,13 @@
 
 /// not done in time
 #[derive(Copy, Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub struct TimeOver;
+pub struct TimedOut;
 
-impl std::error::Error for TimeOver {}
+impl std::error::Error for TimedOut {}
 
-impl From<TimeOver> for io::Error {
-    fn from(over: TimeOver) -> Self {
-        Self::new(io::ErrorKind::TimedOut, over)
+impl From<TimedOut> for io::Error {
+    fn from(error: TimedOut) -> Self {
+        Self::new(io::ErrorKind::TimedOut, error)
     }
 }
 
@@ -96,10 +98,10 @@
 ///
 /// # Errors
 /// When it was not done in time, and nothing that had arrived by then completed it.
-pub async fn timeout<T>(time: Duration, work: impl Future<Output = T>) -> Result<T, TimeOver> {
+pub async fn timeout<T>(duration: Duration, work: impl Future<Output = T>) -> Result<T, TimedOut> {
     tokio::select! {
         biased;
-        done = work => Ok(done),
-        () = sleep(time) => Err(TimeOver),
+        output = work => Ok(output),
+        () = sleep(duration) => Err(TimedOut),
     }
 }
--- a/crates/barleyspool_wire/tests/suspension.rs
+++ b/crates/barleyspool_wire/tests/suspension.rs
@@ -11,7 +11,7 @@
 )]
 
 use barleyspool_core::Span;
-use barleyspool_wire::{Clock, awake_time, boot_time, timer};
+use barleyspool_wire::{Clock, monotonic_time, time_since_boot, timer};
 use std::cell::Cell;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -47,7 +47,7 @@
     assert!(took < Duration::from_millis(300) + SOON, "{took:?}");
     let never = std::future::pending::<()>();
     let (done, took) = beside_a_suspension(timer::timeout(Duration::from_secs(5), never)).await;
-    assert_eq!(done, Err(timer::TimeOver));
+    assert_eq!(done, Err(timer::TimedOut));
     assert!(took < Duration::from_millis(300) + SOON, "{took:?}");
 }
 
@@ -62,12 +62,12 @@
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 fn suspended_clock() -> Duration {
-    awake_time() + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed))
+    monotonic_time() + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed))
 }
 
 #[test]
 fn the_clock_counts_a_suspension() {
-    let clock = Clock::with(suspended_clock);
+    let clock = Clock::with_time_source(suspended_clock);
     let before = clock.now();
     SUSPENDED_MS.store(10_000, Ordering::Relaxed);
     assert!(clock.now().since(before) >= Span::from_secs(10));
@@ -76,9 +76,9 @@
 /// Both clocks of this machine count on, and the one that the daemons use is never behind the other.
 #[test]
 fn the_clock_of_the_machine_counts_on() {
-    let (boot, awake) = (boot_time(), awake_time());
+    let (boot, awake) = (time_since_boot(), monotonic_time());
     std::thread::sleep(Duration::from_millis(20));
-    assert!(boot_time() >= boot + Duration::from_millis(20));
-    assert!(awake_time() >= awake + Duration::from_millis(20));
-    assert!(boot_time() + Duration::from_millis(1) >= awake_time());
+    assert!(time_since_boot() >= boot + Duration::from_millis(20));
+    assert!(monotonic_time() >= awake + Duration::from_millis(20));
+    assert!(time_since_boot() + Duration::from_millis(1) >= monotonic_time());
 }
