--- a/crates/barleyspool_codegen/src/main.rs
+++ b/crates/barleyspool_codegen/src/main.rs
@@ -7,41 +7,42 @@
 use std::path::{Path, PathBuf};
 
 /// The schema file, from the workspace root.
-const SCHEMA: &str = "schema/barleyspool.proto";
+const SCHEMA_FILE: &str = "schema/barleyspool.proto";
 /// The folder of the committed code, from the workspace root.
-const OUTPUT: &str = "crates/barleyspool_wire/src/generated";
+const OUTPUT_DIR: &str = "crates/barleyspool_wire/src/generated";
 /// The file that the generator writes: one per package of the schema.
-const FILE: &str = "barleyspool.v1.rs";
+const OUTPUT_FILE: &str = "barleyspool.v1.rs";
 
 fn main() -> Result<(), Box<dyn Error>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let check = std::env::args().any(|arg| arg == "--check");
-    let committed = root.join(OUTPUT);
+    let committed = root.join(OUTPUT_DIR);
     if !check {
         return generate(&root, &committed);
     }
-    let fresh = std::env::temp_dir().join(format!("barleyspool-codegen-{}", std::process::id()));
-    std::fs::create_dir_all(&fresh)?;
-    generate(&root, &fresh)?;
-    let same = std::fs::read(fresh.join(FILE))? == std::fs::read(committed.join(FILE))?;
-    std::fs::remove_dir_all(&fresh)?;
-    if same {
+    let temporary = std::env::temp_dir().join(format!("barleyspool-codegen-{}", std::process::id()));
+    std::fs::create_dir_all(&temporary)?;
+    generate(&root, &temporary)?;
+    let is_current =
+        std::fs::read(temporary.join(OUTPUT_FILE))? == std::fs::read(committed.join(OUTPUT_FILE))?;
+    std::fs::remove_dir_all(&temporary)?;
+    if is_current {
         Ok(())
     } else {
         Err(
-            format!("{OUTPUT}/{FILE} is not what {SCHEMA} gives; run: cargo run -p barleyspool_codegen")
+            format!("{OUTPUT_DIR}/{OUTPUT_FILE} is not what {SCHEMA_FILE} gives; run: cargo run -p barleyspool_codegen")
                 .into(),
         )
     }
 }
 
-/// Writes the code for [`SCHEMA`] into `out`.
-fn generate(root: &Path, out: &Path) -> Result<(), Box<dyn Error>> {
-    let schema: PathBuf = root.join(SCHEMA);
+/// Writes the code for [`SCHEMA_FILE`] into `out_dir`.
+fn generate(root: &Path, out_dir: &Path) -> Result<(), Box<dyn Error>> {
+    let schema: PathBuf = root.join(SCHEMA_FILE);
     let files = protox::compile([&schema], [root.join("schema")])?;
     tonic_prost_build::configure()
         .build_transport(false)
-        .out_dir(out)
+        .out_dir(out_dir)
         .compile_fds(files)?;
     Ok(())
 }
--- a/crates/barleyspool_ctl/src/explain_log.rs
+++ b/crates/barleyspool_ctl/src/explain_log.rs
@@ -17,14 +17,14 @@
 impl std::error::Error for UnreadableLog {}
 
 /// The event of a call that was kept away from targets.
-const KEPT_AWAY: &str = "kept_away";
+const CALL_BLOCKED: &str = "kept_away";
 /// The event of a target that ended while it had a call.
-const TARGET_ENDED: &str = "target_ended";
+const TARGET_CRASHED: &str = "target_ended";
 
 /// The event of a call that found no room.
-const AT_LIMIT: &str = "at_limit";
+const TARGETS_AT_LIMIT: &str = "at_limit";
 /// The event of a target that names another limit than before.
-const TARGET_LIMIT: &str = "target_limit";
+const TARGET_RATE_LIMIT: &str = "target_limit";
 
 /// One line that names a request, or says why a target of it was left out.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,11 +52,11 @@
         })
     }
 
-    fn text(&self, field: &str) -> &str {
+    fn text_field(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Value::as_str).unwrap_or_default()
     }
 
-    fn number(&self, field: &str) -> u64 {
+    fn number_field(&self, field: &str) -> u64 {
         self.fields.get(field).and_then(Value::as_u64).unwrap_or_default()
     }
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// When a file cannot be read. Lines that are no log lines are passed over.
-pub fn lines_of(id: &str, files: &[PathBuf]) -> Result<Vec<LogLine>, UnreadableLog> {
+pub fn request_lines(id: &str, files: &[PathBuf]) -> Result<Vec<LogLine>, UnreadableLog> {
     let read = |path: &PathBuf| {
         fs::read_to_string(path).map_err(|cause| UnreadableLog {
             path: path.display().to_string(),
@@ -75,83 +75,87 @@
         })
     };
     let texts: Vec<String> = files.iter().map(read).collect::<Result<_, _>>()?;
-    let naming = |name: &str, field: &str| -> Vec<LogLine> {
-        let texts = texts.iter().flat_map(|text| text.lines());
-        let lines = texts
-            .filter(|line| line.contains(name))
+    let lines_with = |value: &str, field: &str| -> Vec<LogLine> {
+        let all_lines = texts.iter().flat_map(|text| text.lines());
+        let lines = all_lines
+            .filter(|line| line.contains(value))
             .filter_map(LogLine::parse);
-        lines.filter(|line| line.text(field) == name).collect()
+        lines.filter(|line| line.text_field(field) == value).collect()
     };
-    let mut lines = naming(id, "id");
-    let kept_away = lines.iter().find(|line| line.event == KEPT_AWAY);
-    if let Some(print) = kept_away.map(|line| line.text("print").to_owned()) {
-        let same_call = naming(&print, "print").into_iter();
-        lines.extend(same_call.filter(|line| line.event == TARGET_ENDED && line.text("id") != id));
+    let mut lines = lines_with(id, "id");
+    let call_blocked = lines.iter().find(|line| line.event == CALL_BLOCKED);
+    if let Some(fingerprint) = call_blocked.map(|line| line.text_field("print").to_owned()) {
+        let same_call = lines_with(&fingerprint, "print").into_iter();
+        lines.extend(same_call.filter(|line| line.event == TARGET_CRASHED && line.text_field("id") != id));
     }
-    let at_limit = lines.iter().find(|line| line.event == AT_LIMIT);
-    if let Some((service, at_ms)) = at_limit.map(|line| (line.text("service").to_owned(), line.at_ms)) {
-        let limits = naming(&service, "service").into_iter();
-        let before = limits.filter(|line| line.event == TARGET_LIMIT && line.at_ms <= at_ms);
-        let mut last: BTreeMap<String, LogLine> = BTreeMap::new();
-        for line in before {
-            let newer = last
-                .get(line.text("target"))
-                .is_none_or(|known| known.at_ms <= line.at_ms);
-            if newer {
-                last.insert(line.text("target").to_owned(), line);
+    let targets_at_limit = lines.iter().find(|line| line.event == TARGETS_AT_LIMIT);
+    if let Some((service, at_ms)) =
+        targets_at_limit.map(|line| (line.text_field("service").to_owned(), line.at_ms))
+    {
+        let limit_lines = lines_with(&service, "service").into_iter();
+        let earlier = limit_lines.filter(|line| line.event == TARGET_RATE_LIMIT && line.at_ms <= at_ms);
+        let mut latest_by_target: BTreeMap<String, LogLine> = BTreeMap::new();
+        for line in earlier {
+            let is_newer = latest_by_target
+                .get(line.text_field("target"))
+                .is_none_or(|latest| latest.at_ms <= line.at_ms);
+            if is_newer {
+                latest_by_target.insert(line.text_field("target").to_owned(), line);
             }
         }
-        let others = last.into_values().filter(|line| line.text("id") != id);
-        lines.extend(others);
+        let latest_limits = latest_by_target
+            .into_values()
+            .filter(|line| line.text_field("id") != id);
+        lines.extend(latest_limits);
     }
     lines.sort_by_key(|line| line.at_ms);
     Ok(lines)
 }
 
 /// What became of the request, in a sentence.
-pub fn cause(lines: &[LogLine]) -> String {
-    let Some(end) = lines.iter().rev().find(|line| line.event == "ended") else {
+pub fn describe_outcome(lines: &[LogLine]) -> String {
+    let Some(ended) = lines.iter().rev().find(|line| line.event == "ended") else {
         return "its end was not logged: the process ended first, or the line was dropped".to_owned();
     };
-    let status = end.number("status");
-    let took = end.number("took_ms");
-    match end.text("reason") {
+    let status = ended.number_field("status");
+    let took_ms = ended.number_field("took_ms");
+    match ended.text_field("reason") {
         "" => format!(
-            "answered by a target with status {status} after {took} ms{}",
-            slowest(lines)
+            "answered by a target with status {status} after {took_ms} ms{}",
+            slowest_stage(lines)
         ),
         reason => {
-            let step = located(" at ", end.text("step"));
-            let peer = located(" by ", end.text("peer"));
-            let verdict = match end.text("verdict") {
+            let step = prefixed(" at ", ended.text_field("step"));
+            let peer = prefixed(" by ", ended.text_field("peer"));
+            let verdict = match ended.text_field("verdict") {
                 "not_run" => "nothing of it ran",
                 _ => "it ran or may have run",
             };
-            let come_back = match end.number("come_back_ms") {
+            let retry_after = match ended.number_field("come_back_ms") {
                 0 => String::new(),
                 ms => format!("; it was told to come back after {ms} ms"),
             };
             format!(
-                "{reason}{step}{peer} after {took} ms; {verdict}{come_back}{}{}",
-                slowest(lines),
-                ended_targets(lines) + &limited_targets(lines)
+                "{reason}{step}{peer} after {took_ms} ms; {verdict}{retry_after}{}{}",
+                slowest_stage(lines),
+                crashed_targets(lines) + &rate_limited_targets(lines)
             )
         }
     }
 }
 
-fn located(word: &str, place: &str) -> String {
-    if place.is_empty() {
+fn prefixed(prefix: &str, text: &str) -> String {
+    if text.is_empty() {
         String::new()
     } else {
-        format!("{word}{place}")
+        format!("{prefix}{text}")
     }
 }
 
 /// The targets that ended under this try or others of the same call.
-fn ended_targets(lines: &[LogLine]) -> String {
-    let ended = lines.iter().filter(|line| line.event == TARGET_ENDED);
-    let ids: BTreeSet<&str> = ended.map(|line| line.text("target")).collect();
+fn crashed_targets(lines: &[LogLine]) -> String {
+    let crashes = lines.iter().filter(|line| line.event == TARGET_CRASHED);
+    let ids: BTreeSet<&str> = crashes.map(|line| line.text_field("target")).collect();
     if ids.is_empty() {
         return String::new();
     }
@@ -160,13 +164,13 @@
 }
 
 /// The targets that limited what they take, and to how many calls a second.
-fn limited_targets(lines: &[LogLine]) -> String {
-    let limits = lines.iter().filter(|line| line.event == TARGET_LIMIT);
-    let limit = |line: &LogLine| {
-        let per_s = line.fields.get("per_s").and_then(Value::as_f64)?;
-        Some(format!("{} to {per_s}", line.text("target")))
+fn rate_limited_targets(lines: &[LogLine]) -> String {
+    let limits = lines.iter().filter(|line| line.event == TARGET_RATE_LIMIT);
+    let describe = |line: &LogLine| {
+        let calls_per_s = line.fields.get("per_s").and_then(Value::as_f64)?;
+        Some(format!("{} to {calls_per_s}", line.text_field("target")))
     };
-    let limits: Vec<String> = limits.filter_map(limit).collect();
+    let limits: Vec<String> = limits.filter_map(describe).collect();
     if limits.is_empty() {
         return String::new();
     }
@@ -177,15 +181,15 @@
 }
 
 /// The stage that took longest, when stages ran.
-fn slowest(lines: &[LogLine]) -> String {
+fn slowest_stage(lines: &[LogLine]) -> String {
     let stages = lines.iter().filter(|line| line.event == "stage");
-    let slowest = stages.max_by_key(|line| line.number("took_ms"));
+    let slowest = stages.max_by_key(|line| line.number_field("took_ms"));
     slowest.map_or(String::new(), |line| {
         format!(
             "; its longest stage was {} ({}) with {} ms",
-            line.number("stage"),
-            line.text("service"),
-            line.number("took_ms")
+            line.number_field("stage"),
+            line.text_field("service"),
+            line.number_field("took_ms")
         )
     })
 }
--- a/crates/barleyspool_ctl/src/main.rs
+++ b/crates/barleyspool_ctl/src/main.rs
@@ -15,15 +15,15 @@
 use tonic::transport::{Channel, Endpoint, Uri};
 
 /// The node answered, and the answer is no: a request that would be refused.
-const EXIT_NO: u8 = 1;
+const EXIT_NEGATIVE_RESULT: u8 = 1;
 /// The command line or a settings file is wrong.
 const EXIT_USAGE: u8 = 2;
 /// The node cannot be reached.
 const EXIT_UNREACHABLE: u8 = 3;
 /// The node refused the call.
-const EXIT_CALL: u8 = 4;
+const EXIT_CALL_FAILED: u8 = 4;
 /// How long a node may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a command failed.
 #[derive(Debug, displaydoc::Display)]
@@ -36,7 +36,7 @@
         cause: String,
     },
     /// {node}: {cause}
-    Call {
+    CallFailed {
         /// The node's operator address.
         node: String,
         /// What it said.
@@ -53,20 +53,20 @@
     if let BarleyspoolCmd::Settings(settings) = &flags.subcommand {
         return check_settings(settings);
     }
-    if let BarleyspoolCmd::ExplainLog(wanted) = &flags.subcommand {
-        return explain_log(wanted, &output);
+    if let BarleyspoolCmd::ExplainLog(arguments) = &flags.subcommand {
+        return explain_log(arguments, &output);
     }
     let Some(node) = flags.node.clone() else {
         eprintln!("barleyspool: --node IP:PORT is needed: the operator address of an entry node");
         return ExitCode::from(EXIT_USAGE);
     };
-    match command(&node, flags.subcommand, &output).await {
+    match run_command(&node, flags.subcommand, &output).await {
         Ok(code) => code,
         Err(error) => {
             eprintln!("barleyspool: {error}");
             ExitCode::from(match error {
                 CommandError::Unreachable { .. } => EXIT_UNREACHABLE,
-                CommandError::Call { .. } => EXIT_CALL,
+                CommandError::CallFailed { .. } => EXIT_CALL_FAILED,
             })
         }
     }
@@ -97,22 +97,25 @@
         let address = uri.authority().map(ToString::to_string).unwrap_or_default();
         net::connect(&address).await.map(TokioIo::new)
     });
-    let channel = endpoint.timeout(TIMEOUT).connect_with_connector(connector).await;
+    let channel = endpoint
+        .timeout(CALL_TIMEOUT)
+        .connect_with_connector(connector)
+        .await;
     channel.map(OperationsClient::new).map_err(|error| {
         let cause = std::error::Error::source(&error).map_or(error.to_string(), ToString::to_string);
         unreachable(cause)
     })
 }
 
-async fn command(node: &str, command: BarleyspoolCmd, output: &Output) -> Result<ExitCode, CommandError> {
+async fn run_command(node: &str, command: BarleyspoolCmd, output: &Output) -> Result<ExitCode, CommandError> {
     let mut client = connect(node).await?;
-    let failed = |status: tonic::Status| CommandError::Call {
+    let call_failed = |status: tonic::Status| CommandError::CallFailed {
         node: node.to_owned(),
         cause: status.message().to_owned(),
     };
     match command {
         BarleyspoolCmd::Status(_) => {
-            let reply = client.status(rpc::StatusRequest {}).await.map_err(failed)?;
+            let reply = client.status(rpc::StatusRequest {}).await.map_err(call_failed)?;
             output.status(&reply.into_inner());
         }
         BarleyspoolCmd::Counters(counters) => {
@@ -120,33 +123,36 @@
             let reply = client
                 .counters(rpc::CountersRequest { prefix })
                 .await
-                .map_err(failed)?;
+                .map_err(call_failed)?;
             output.counters(&reply.into_inner());
         }
         BarleyspoolCmd::Targets(_) => {
-            let reply = client.targets(rpc::TargetsRequest {}).await.map_err(failed)?;
+            let reply = client
+                .targets(rpc::TargetsRequest {})
+                .await
+                .map_err(call_failed)?;
             output.targets(&reply.into_inner());
         }
         BarleyspoolCmd::Peers(_) => {
-            let reply = client.peers(rpc::PeersRequest {}).await.map_err(failed)?;
+            let reply = client.peers(rpc::PeersRequest {}).await.map_err(call_failed)?;
             output.peers(&reply.into_inner());
         }
         BarleyspoolCmd::Orders(_) => {
-            let reply = client.orders(rpc::OrdersRequest {}).await.map_err(failed)?;
+            let reply = client.orders(rpc::OrdersRequest {}).await.map_err(call_failed)?;
             output.orders(&reply.into_inner());
         }
         BarleyspoolCmd::Stop(_) => {
-            let reply = client.stop(rpc::StopRequest {}).await.map_err(failed)?;
+            let reply = client.stop(rpc::StopRequest {}).await.map_err(call_failed)?;
             output.stop(&reply.into_inner());
         }
         BarleyspoolCmd::Explain(explain) => {
             let request = rpc::ExplainRequest {
-                request: Some(explained(explain)),
+                request: Some(explained_request(explain)),
             };
-            let reply = client.explain(request).await.map_err(failed)?.into_inner();
+            let reply = client.explain(request).await.map_err(call_failed)?.into_inner();
             output.explain(&reply);
             if !reply.admitted {
-                return Ok(ExitCode::from(EXIT_NO));
+                return Ok(ExitCode::from(EXIT_NEGATIVE_RESULT));
             }
         }
         // These ask no node; they were answered before.
@@ -156,7 +162,7 @@
 }
 
 /// The request that an operator asks about.
-fn explained(explain: flags::Explain) -> rpc::RunRequest {
+fn explained_request(explain: flags::Explain) -> rpc::RunRequest {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -172,8 +178,8 @@
 }
 
 /// Prints a request's lines in order, and its cause.
-fn explain_log(wanted: &ExplainLog, output: &Output) -> ExitCode {
-    let lines = match explain_log::lines_of(&wanted.id, &wanted.file) {
+fn explain_log(arguments: &ExplainLog, output: &Output) -> ExitCode {
+    let lines = match explain_log::request_lines(&arguments.id, &arguments.file) {
         Ok(lines) => lines,
         Err(error) => {
             eprintln!("barleyspool: {error}");
@@ -181,9 +187,9 @@
         }
     };
     if lines.is_empty() {
-        eprintln!("barleyspool: no line names {}", wanted.id);
-        return ExitCode::from(EXIT_NO);
+        eprintln!("barleyspool: no line names {}", arguments.id);
+        return ExitCode::from(EXIT_NEGATIVE_RESULT);
     }
-    output.request_log(&lines, &explain_log::cause(&lines));
+    output.request_log(&lines, &explain_log::describe_outcome(&lines));
     ExitCode::SUCCESS
 }
--- a/crates/barleyspool_ctl/src/output.rs
+++ b/crates/barleyspool_ctl/src/output.rs
@@ -36,14 +36,14 @@
             return println!("{}", Value::Object(object));
         }
         for (name, value) in fields {
-            println!("{name:<16} {}", plain(&value));
+            println!("{name:<16} {}", plain_text(&value));
         }
     }
 
     pub fn counters(&self, reply: &rpc::CountersReply) {
         let row =
             |counter: &rpc::Counter| vec![json!(counter.name), json!(counter.labels), json!(counter.value)];
-        self.rows(
+        self.print_rows(
             &["name", "labels", "value"],
             reply.counters.iter().map(row).collect(),
         );
@@ -74,7 +74,7 @@
                 json!(target.report_age_ms),
             ]
         };
-        self.rows(&names, reply.targets.iter().map(row).collect());
+        self.print_rows(&names, reply.targets.iter().map(row).collect());
     }
 
     pub fn peers(&self, reply: &rpc::PeersReply) {
@@ -89,7 +89,7 @@
             ]
         };
         let names = ["node", "address", "zone", "state", "epoch", "word_age_ms"];
-        self.rows(&names, reply.peers.iter().map(row).collect());
+        self.print_rows(&names, reply.peers.iter().map(row).collect());
     }
 
     pub fn orders(&self, reply: &rpc::OrdersReply) {
@@ -103,7 +103,7 @@
             ]
         };
         let names = ["target", "wanted", "reported", "pending", "reason"];
-        self.rows(&names, reply.orders.iter().map(row).collect());
+        self.print_rows(&names, reply.orders.iter().map(row).collect());
     }
 
     pub fn stop(&self, reply: &rpc::StopReply) {
@@ -126,7 +126,7 @@
                     reply.reason, reply.come_back_ms
                 );
             }
-            return self.rows(
+            return self.print_rows(
                 &["stage", "target", "done_after_ms"],
                 reply.stages.iter().map(row).collect(),
             );
@@ -136,10 +136,10 @@
             .iter()
             .map(|stage| Value::Array(row(stage)))
             .collect();
-        let (admitted, reason, wait) = (reply.admitted, &reply.reason, reply.come_back_ms);
+        let (admitted, reason, retry_after_ms) = (reply.admitted, &reply.reason, reply.come_back_ms);
         println!(
             "{}",
-            json!({ "admitted": admitted, "reason": reason, "come_back_ms": wait, "stages": stages })
+            json!({ "admitted": admitted, "reason": reason, "come_back_ms": retry_after_ms, "stages": stages })
         );
     }
 
@@ -150,15 +150,15 @@
             let lines: Vec<Value> = lines.iter().map(line).collect();
             return println!("{}", json!({ "cause": cause, "lines": lines }));
         }
-        let began = lines.first().map_or(0, |line| line.at_ms);
+        let started_at_ms = lines.first().map_or(0, |line| line.at_ms);
         for line in lines {
             let fields = line.fields.iter().filter(|(name, _)| *name != "id");
             let fields: Vec<String> = fields
-                .map(|(name, value)| format!("{name}={}", plain(value)))
+                .map(|(name, value)| format!("{name}={}", plain_text(value)))
                 .collect();
-            let after = line.at_ms - began;
+            let elapsed_ms = line.at_ms - started_at_ms;
             println!(
-                "{after:>6} ms  {:<16} {:<10} {}",
+                "{elapsed_ms:>6} ms  {:<16} {:<10} {}",
                 line.node,
                 line.event,
                 fields.join(" ")
@@ -167,7 +167,7 @@
         println!("cause: {cause}");
     }
 
-    fn rows(&self, names: &[&str], rows: Vec<Vec<Value>>) {
+    fn print_rows(&self, names: &[&str], rows: Vec<Vec<Value>>) {
         if self.json {
             let object = |row: Vec<Value>| {
                 let fields = names.iter().map(|name| (*name).to_owned()).zip(row);
@@ -176,28 +176,31 @@
             let rows: Vec<Value> = rows.into_iter().map(object).collect();
             return println!("{}", Value::Array(rows));
         }
-        let texts: Vec<Vec<String>> = rows.iter().map(|row| row.iter().map(plain).collect()).collect();
+        let texts: Vec<Vec<String>> = rows
+            .iter()
+            .map(|row| row.iter().map(plain_text).collect())
+            .collect();
         let width = |column: usize| {
             let cells = texts.iter().map(|row| row[column].len());
             cells.chain([names[column].len()]).max().unwrap_or_default()
         };
         let widths: Vec<usize> = (0..names.len()).map(width).collect();
-        let line = |cells: &mut dyn Iterator<Item = &str>| {
+        let print_line = |cells: &mut dyn Iterator<Item = &str>| {
             let cells: Vec<String> = cells
                 .zip(&widths)
                 .map(|(cell, width)| format!("{cell:<width$}"))
                 .collect();
             println!("{}", cells.join("  ").trim_end());
         };
-        line(&mut names.iter().copied());
+        print_line(&mut names.iter().copied());
         for row in &texts {
-            line(&mut row.iter().map(String::as_str));
+            print_line(&mut row.iter().map(String::as_str));
         }
     }
 }
 
 /// A value as a person reads it.
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/barleyspool_ctl/tests/explain_log.rs
+++ b/crates/barleyspool_ctl/tests/explain_log.rs
@@ -5,30 +5,33 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_log(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("barleyspool-explain-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("a temporary file");
     path
 }
 
-fn run(arguments: &[&str], files: &[&PathBuf]) -> Output {
+fn run_command(arguments: &[&str], files: &[&PathBuf]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_barleyspool"));
     command.args(arguments).args(files);
     command.output().expect("the program runs")
 }
 
-const ONE: &str = r#"  12.1 node-a {"at_ms":1000,"node":"node-a","event":"admitted","id":"c1","route":"r","left_ms":900}
+const FIRST_NODE_LOG: &str = r#"  12.1 node-a {"at_ms":1000,"node":"node-a","event":"admitted","id":"c1","route":"r","left_ms":900}
 {"at_ms":1400,"node":"node-a","event":"ended","id":"c1","route":"r","status":503,"reason":"pool_busy","verdict":"not_run","step":"rerank","peer":"","come_back_ms":250,"took_ms":400}
 {"at_ms":1200,"node":"node-a","event":"ended","id":"c10","status":200,"reason":""}
 not a line
 "#;
-const OTHER: &str = r#"{"at_ms":1300,"node":"node-b","event":"stage","id":"c1","stage":2,"service":"rerank","end":"too_late","took_ms":290}
+const SECOND_NODE_LOG: &str = r#"{"at_ms":1300,"node":"node-b","event":"stage","id":"c1","stage":2,"service":"rerank","end":"too_late","took_ms":290}
 "#;
 
 #[test]
-fn the_lines_of_a_request_come_in_order_with_its_cause() {
-    let files = [file("one", ONE), file("other", OTHER)];
-    let output = run(&["explain-log", "c1"], &[&files[0], &files[1]]);
+fn lines_of_a_request_are_printed_by_time_with_its_cause() {
+    let files = [
+        write_log("one", FIRST_NODE_LOG),
+        write_log("other", SECOND_NODE_LOG),
+    ];
+    let output = run_command(&["explain-log", "c1"], &[&files[0], &files[1]]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
     let events: Vec<&str> = text
@@ -44,19 +47,22 @@
 }
 
 #[test]
-fn it_is_said_when_nothing_names_the_request_or_a_file_cannot_be_read() {
-    let one = file("none", ONE);
-    assert_eq!(run(&["explain-log", "c9"], &[&one]).status.code(), Some(1));
+fn an_unknown_request_and_an_unreadable_file_have_their_own_exit_codes() {
+    let one = write_log("none", FIRST_NODE_LOG);
+    assert_eq!(
+        run_command(&["explain-log", "c9"], &[&one]).status.code(),
+        Some(1)
+    );
     let missing = PathBuf::from("/nowhere/log");
-    let output = run(&["explain-log", "c1"], &[&missing]);
+    let output = run_command(&["explain-log", "c1"], &[&missing]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("/nowhere/log"));
 }
 
 #[test]
-fn as_json_it_names_cause_and_lines() {
-    let one = file("json", ONE);
-    let output = run(&["--json", "explain-log", "c1"], &[&one]);
+fn json_output_contains_the_cause_and_the_lines() {
+    let one = write_log("json", FIRST_NODE_LOG);
+    let output = run_command(&["--json", "explain-log", "c1"], &[&one]);
     let value: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(value["lines"].as_array().map(Vec::len), Some(2));
     assert!(
@@ -66,7 +72,7 @@
     );
 }
 
-const KEPT_AWAY: &str = r#"{"at_ms":900,"node":"node-b","event":"target_ended","target":"i-1","id":"c7","print":"00ab","counts":true}
+const CALL_BLOCKED_LOG: &str = r#"{"at_ms":900,"node":"node-b","event":"target_ended","target":"i-1","id":"c7","print":"00ab","counts":true}
 {"at_ms":950,"node":"node-c","event":"target_ended","target":"i-2","id":"c8","print":"00ab","counts":true}
 {"at_ms":960,"node":"node-c","event":"target_ended","target":"i-3","id":"c9","print":"00cd","counts":true}
 {"at_ms":1000,"node":"node-a","event":"kept_away","id":"c1","print":"00ab","wait_ms":4900}
@@ -74,9 +80,9 @@
 "#;
 
 #[test]
-fn a_call_that_is_kept_from_targets_is_explained_by_those_that_ended_under_its_other_tries() {
-    let log = file("kept", KEPT_AWAY);
-    let output = run(&["explain-log", "c1"], &[&log]);
+fn a_blocked_call_is_explained_by_the_targets_that_crashed_under_its_other_attempts() {
+    let log = write_log("kept", CALL_BLOCKED_LOG);
+    let output = run_command(&["explain-log", "c1"], &[&log]);
     let text = String::from_utf8_lossy(&output.stdout);
     let cause = text.lines().last().expect("a last line");
     for word in ["ends_targets", "nothing of it ran", "4900 ms", "i-1, i-2"] {
@@ -85,7 +91,7 @@
     assert!(!text.contains("i-3"), "that is another call");
 }
 
-const AT_LIMIT: &str = r#"{"at_ms":700,"node":"node-b","event":"target_limit","target":"i-1","service":"engines","per_s":3.0,"id":"c7"}
+const RATE_LIMITED_LOG: &str = r#"{"at_ms":700,"node":"node-b","event":"target_limit","target":"i-1","service":"engines","per_s":3.0,"id":"c7"}
 {"at_ms":800,"node":"node-c","event":"target_limit","target":"i-1","service":"engines","per_s":1.5,"id":"c8"}
 {"at_ms":900,"node":"node-c","event":"target_limit","target":"i-2","service":"engines","per_s":null,"id":"c9"}
 {"at_ms":950,"node":"node-c","event":"target_limit","target":"i-3","service":"others","per_s":4.0,"id":"c9"}
@@ -95,9 +101,9 @@
 "#;
 
 #[test]
-fn a_call_that_found_no_room_is_explained_by_the_limits_that_stood_then() {
-    let log = file("limit", AT_LIMIT);
-    let output = run(&["explain-log", "c1"], &[&log]);
+fn a_call_refused_at_the_rate_limit_is_explained_by_the_limits_known_at_that_time() {
+    let log = write_log("limit", RATE_LIMITED_LOG);
+    let output = run_command(&["explain-log", "c1"], &[&log]);
     let text = String::from_utf8_lossy(&output.stdout);
     let cause = text.lines().last().expect("a last line");
     for word in [
--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 /// How long an engine may take to answer.
-const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// The largest answer of an engine, in bytes.
-const MAX_ANSWER: usize = 256 * 1024;
+const MAX_ANSWER_BYTES: usize = 256 * 1024;
 
 /// A keeper's state and its loop.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     store: ConfigStore,
     counters: ControlCounters,
     fleet: Fleet,
-    book: OrderBook,
+    order_book: OrderBook,
 }
 
 impl Keeper {
@@ -36,30 +36,33 @@
     pub fn new(settings: KeeperSettings) -> Self {
         Self {
             clock: Clock::start(),
-            platform: PlatformClient::new(settings.configuration.clone(), settings.fleet.clone()),
+            platform: PlatformClient::new(
+                settings.configuration_address.clone(),
+                settings.fleet_address.clone(),
+            ),
             store: ConfigStore::default(),
             counters: ControlCounters::default(),
             fleet: Fleet::default(),
-            book: OrderBook::default(),
+            order_book: OrderBook::default(),
             settings,
         }
     }
 
     /// One beat: reads the platform, asks the engines that are this keeper's and gives orders.
-    pub async fn beat(&mut self) {
-        self.read().await;
-        self.deal();
-        self.ask().await;
-        let orders = self.decide();
-        join_all(orders.iter().map(|order| self.give(order))).await;
+    pub async fn reconcile(&mut self) {
+        self.read_platform().await;
+        self.assign_engines();
+        self.query_engines().await;
+        let orders = self.plan_orders();
+        join_all(orders.iter().map(|order| self.send_order(order))).await;
     }
 
     /// How long to wait between beats.
-    pub fn pause(&self) -> Duration {
-        Duration::from_micros(self.settings.beat.0)
+    pub fn interval(&self) -> Duration {
+        Duration::from_micros(self.settings.reconcile_interval.0)
     }
 
-    async fn read(&mut self) {
+    async fn read_platform(&mut self) {
         // An outage of the platform changes nothing: what was accepted stays in force.
         if let Ok(Some(document)) = self.platform.read_configuration(Duration::ZERO).await
             && self.store.offer(&document, &mut self.counters)
@@ -79,7 +82,7 @@
 
     /// Which engines are this keeper's: by rendezvous over the published entry nodes of the region, each of
     /// which has a keeper beside it.
-    fn deal(&mut self) {
+    fn assign_engines(&mut self) {
         let keepers: Vec<u64> = self
             .fleet
             .entries
@@ -87,8 +90,8 @@
             .filter(|entry| entry.region == self.settings.region)
             .map(|entry| u64::from(entry.id.0))
             .collect();
-        self.book.limits = OrderLimits {
-            loads_per_s: self.settings.loads,
+        self.order_book.limits = OrderLimits {
+            loads_per_s: self.settings.loads_per_s,
             keeper_count: keepers.len().max(1) as u32,
             ..OrderLimits::default()
         };
@@ -99,13 +102,13 @@
             .filter(|target| target.region == self.settings.region && target.state == ListState::Live)
             .map(|target| (target.id, target))
             .collect();
-        self.book.engines.retain(|id, _| listed.contains_key(id));
+        self.order_book.engines.retain(|id, _| listed.contains_key(id));
         for (id, target) in listed {
-            if !self.placed(id) {
+            if !self.has_placement(id) {
                 continue;
             }
             let owner = rendezvous::pick(u128::from(id.0), keepers.iter().copied());
-            let engine = self.book.engines.entry(id).or_default();
+            let engine = self.order_book.engines.entry(id).or_default();
             engine.assigned = owner == Some(u64::from(self.settings.node));
             engine.fences = target.fences;
         }
@@ -117,11 +120,11 @@
             .map_or(&[], |config| config.placement.as_slice())
     }
 
-    fn placed(&self, id: TargetId) -> bool {
+    fn has_placement(&self, id: TargetId) -> bool {
         self.placement().iter().any(|placement| placement.target == id)
     }
 
-    fn address(&self, id: TargetId) -> Option<&str> {
+    fn target_address(&self, id: TargetId) -> Option<&str> {
         self.fleet
             .targets
             .iter()
@@ -131,32 +134,32 @@
 
     /// Asks every engine of the placement, each independently of the others: what the others hold decides
     /// what this keeper's may drop.
-    async fn ask(&mut self) {
-        let asked: Vec<(TargetId, String)> = self
-            .book
+    async fn query_engines(&mut self) {
+        let addresses: Vec<(TargetId, String)> = self
+            .order_book
             .engines
             .keys()
-            .filter_map(|id| Some((*id, self.address(*id)?.to_owned())))
+            .filter_map(|id| Some((*id, self.target_address(*id)?.to_owned())))
             .collect();
-        let answers = join_all(asked.iter().map(|(_, address)| {
-            http::get_json::<TargetReport>(address, LOAD_PATH, MAX_ANSWER, CALL_TIMEOUT)
+        let answers = join_all(addresses.iter().map(|(_, address)| {
+            http::get_json::<TargetReport>(address, LOAD_PATH, MAX_ANSWER_BYTES, REQUEST_TIMEOUT)
         }))
         .await;
         let now = self.clock.now();
-        for ((id, _), answer) in asked.iter().zip(answers) {
+        for ((id, _), answer) in addresses.iter().zip(answers) {
             if let Ok(Some(TargetReport {
                 engine: Some(report), ..
             })) = answer
             {
-                self.book.apply_report(now, *id, report);
+                self.order_book.apply_report(now, *id, report);
             }
         }
     }
 
-    fn decide(&mut self) -> Vec<EngineOrder> {
+    fn plan_orders(&mut self) -> Vec<EngineOrder> {
         let placement = self.placement().to_vec();
         // A keeper holds no lease of its own, so engines that check no fences get no orders; see docs/DESIGN.md.
-        self.book
+        self.order_book
             .plan(self.clock.now(), self.revision(), &placement, false)
     }
 
@@ -164,8 +167,8 @@
         self.store.revision()
     }
 
-    async fn give(&self, order: &EngineOrder) {
-        let Some(address) = self.address(order.target) else {
+    async fn send_order(&self, order: &EngineOrder) {
+        let Some(address) = self.target_address(order.target) else {
             return;
         };
         let request = OrderRequest {
@@ -176,13 +179,20 @@
         let Ok(body) = serde_json::to_vec(&request) else {
             return;
         };
-        let answer =
-            http::send_request(address, Method::POST, ORDERS_PATH, body, MAX_ANSWER, CALL_TIMEOUT).await;
-        let taken = answer.is_ok_and(|(_, body)| {
+        let answer = http::send_request(
+            address,
+            Method::POST,
+            ORDERS_PATH,
+            body,
+            MAX_ANSWER_BYTES,
+            REQUEST_TIMEOUT,
+        )
+        .await;
+        let accepted = answer.is_ok_and(|(_, body)| {
             serde_json::from_slice::<OrderReply>(&body).is_ok_and(|reply| reply.accepted)
         });
         spdlog::info!("order", kv: {
-            target = order.target.0, revision = order.fence.revision.0, counter = order.fence.counter, taken = taken,
+            target = order.target.0, revision = order.fence.revision.0, counter = order.fence.counter, taken = accepted,
         });
     }
 
@@ -190,17 +200,17 @@
     // What operators see
 
     /// What is wanted, reported and pending, per engine, and why it gets no order.
-    pub fn orders(&self) -> rpc::OrdersReply {
+    pub fn order_states(&self) -> rpc::OrdersReply {
         let now = self.clock.now();
-        let state = |placement: &Placement| {
-            let engine = self.book.engines.get(&placement.target);
+        let order_state = |placement: &Placement| {
+            let engine = self.order_book.engines.get(&placement.target);
             let report = engine
                 .and_then(|engine| engine.report.as_ref())
                 .map(|(report, _)| report.clone());
             let report = report.unwrap_or_default();
-            let reason = match self.book.order_for(now, self.revision(), placement, false) {
+            let reason = match self.order_book.order_for(now, self.revision(), placement, false) {
                 Ok(_) => "ordering",
-                Err(state) => state.name(),
+                Err(blocker) => blocker.name(),
             };
             rpc::OrderState {
                 target: placement.target.to_string(),
@@ -211,7 +221,7 @@
             }
         };
         rpc::OrdersReply {
-            orders: self.placement().iter().map(state).collect(),
+            orders: self.placement().iter().map(order_state).collect(),
         }
     }
 
--- a/crates/barleyspool_keeper/src/main.rs
+++ b/crates/barleyspool_keeper/src/main.rs
@@ -57,7 +57,7 @@
         return ExitCode::SUCCESS;
     }
     logging::init(&format!("keeper-{}", settings.node), &settings.log_level);
-    match start(settings) {
+    match run_daemon(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let cause = error.to_string();
@@ -67,13 +67,13 @@
     }
 }
 
-fn start(settings: KeeperSettings) -> std::io::Result<()> {
+fn run_daemon(settings: KeeperSettings) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let mut signals = Signals::new(&runtime)?;
     runtime.block_on(async {
-        let listener = net::listen(settings.operators)?;
+        let listener = net::listen(settings.operator_address)?;
         let keeper = Arc::new(Mutex::new(Keeper::new(settings)));
         let operations = KeeperOperations::new(Arc::clone(&keeper));
         tokio::spawn(
@@ -82,20 +82,20 @@
                 .serve_with_incoming(net::incoming(listener)),
         );
         tokio::select! {
-            () = run(&keeper) => {}
+            () = reconcile_periodically(&keeper) => {}
             () = Signals::wait_for_stop(&mut signals.terminate, &mut signals.interrupt) => {}
         }
         Ok(())
     })
 }
 
-async fn run(keeper: &Mutex<Keeper>) {
+async fn reconcile_periodically(keeper: &Mutex<Keeper>) {
     loop {
-        let pause = {
+        let interval = {
             let mut keeper = keeper.lock().await;
-            keeper.beat().await;
-            keeper.pause()
+            keeper.reconcile().await;
+            keeper.interval()
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 }
--- a/crates/barleyspool_keeper/src/operations.rs
+++ b/crates/barleyspool_keeper/src/operations.rs
@@ -20,7 +20,7 @@
 }
 
 /// What a keeper answers to the calls that only entry nodes serve.
-fn not_here<T>() -> Result<Response<T>, Status> {
+fn served_by_entry_nodes_only<T>() -> Result<Response<T>, Status> {
     Err(Status::unimplemented(
         "this is a keeper: ask an entry node's operator address",
     ))
@@ -33,29 +33,29 @@
     }
 
     async fn orders(&self, _: Request<rpc::OrdersRequest>) -> Result<Response<rpc::OrdersReply>, Status> {
-        Ok(Response::new(self.keeper.lock().await.orders()))
+        Ok(Response::new(self.keeper.lock().await.order_states()))
     }
 
     async fn counters(
         &self,
         _: Request<rpc::CountersRequest>,
     ) -> Result<Response<rpc::CountersReply>, Status> {
-        not_here()
+        served_by_entry_nodes_only()
     }
 
     async fn targets(&self, _: Request<rpc::TargetsRequest>) -> Result<Response<rpc::TargetsReply>, Status> {
-        not_here()
+        served_by_entry_nodes_only()
     }
 
     async fn peers(&self, _: Request<rpc::PeersRequest>) -> Result<Response<rpc::PeersReply>, Status> {
-        not_here()
+        served_by_entry_nodes_only()
     }
 
     async fn explain(&self, _: Request<rpc::ExplainRequest>) -> Result<Response<rpc::ExplainReply>, Status> {
-        not_here()
+        served_by_entry_nodes_only()
     }
 
     async fn stop(&self, _: Request<rpc::StopRequest>) -> Result<Response<rpc::StopReply>, Status> {
-        not_here()
+        served_by_entry_nodes_only()
     }
 }
--- a/crates/barleyspool_keeper/src/settings.rs
+++ b/crates/barleyspool_keeper/src/settings.rs
@@ -14,17 +14,17 @@
     /// Its region.
     pub region: String,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// The configuration service.
-    pub configuration: String,
+    pub configuration_address: String,
     /// The fleet list.
-    pub fleet: String,
+    pub fleet_address: String,
     /// The least severe level that is logged.
     pub log_level: String,
     /// How often engines are asked.
-    pub beat: Span,
+    pub reconcile_interval: Span,
     /// Loads a second that the weight store allows all keepers together.
-    pub loads: f64,
+    pub loads_per_s: f64,
 }
 
 impl KeeperSettings {
@@ -33,17 +33,17 @@
     /// # Errors
     /// Everything that is wrong with it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let mut r = SettingsReader::load(path);
+        let mut reader = SettingsReader::load(path);
         let settings = Self {
-            node: r.number("node", 1..=1_000_000, "", None) as u32,
-            region: r.text("region", None),
-            operators: r.address("operators"),
-            configuration: r.address("configuration").to_string(),
-            fleet: r.address("fleet").to_string(),
-            log_level: r.choice("log_level", LEVELS, "info"),
-            beat: Span::from_millis(r.number("beat_ms", 100..=60_000, "ms", Some(1_000))),
-            loads: r.decimal("loads_per_s", 0.001..=1_000.0, "loads/s", 1.0),
+            node: reader.number("node", 1..=1_000_000, "", None) as u32,
+            region: reader.text("region", None),
+            operator_address: reader.address("operators"),
+            configuration_address: reader.address("configuration").to_string(),
+            fleet_address: reader.address("fleet").to_string(),
+            log_level: reader.choice("log_level", LEVELS, "info"),
+            reconcile_interval: Span::from_millis(reader.number("beat_ms", 100..=60_000, "ms", Some(1_000))),
+            loads_per_s: reader.decimal("loads_per_s", 0.001..=1_000.0, "loads/s", 1.0),
         };
-        r.finish().map(|()| settings)
+        reader.finish().map(|()| settings)
     }
 }
