--- a/crates/barleyspool_gateway/src/adapters.rs
+++ b/crates/barleyspool_gateway/src/adapters.rs
@@ -45,7 +45,7 @@
     pub organisation: String,
     /// The time left until the deadline of the call.
     pub time_left: Span,
-    /// The rank of the priority class; 0 is the most important.
+    /// The rank of the priority class; 0 is the most important. `None` for targets that are not engines.
     pub rank: Option<u8>,
     /// The handles of the stage results that the call reads.
     pub inputs: Vec<String>,
@@ -105,7 +105,7 @@
     pub read_run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
     /// Builds the path and body of a request that releases results.
     pub release_request: fn(&[String]) -> (&'static str, Bytes),
-    /// Sets the headers of a request to the target with the given id.
+    /// Sets the headers of a request to the given incarnation of a target.
     pub prepare_headers: fn(&mut HeaderMap, &str),
 }
 
