--- a/crates/barleyspool_keeper/src/main.rs
+++ b/crates/barleyspool_keeper/src/main.rs
@@ -14,9 +14,9 @@
 use tonic::transport::Server;
 
 /// The settings are wrong.
-const EXIT_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// The daemon could not start.
-const EXIT_START: u8 = 3;
+const EXIT_START_FAILED: u8 = 3;
 
 mod flags {
     use std::path::PathBuf;
@@ -43,13 +43,13 @@
     }
     let Some(file) = flags.settings else {
         eprintln!("barleyspool-keeper: --settings FILE is needed; see --help");
-        return ExitCode::from(EXIT_SETTINGS);
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     };
     let settings = match KeeperSettings::load(&file) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if flags.check {
@@ -62,7 +62,7 @@
         Err(error) => {
             let cause = error.to_string();
             spdlog::error!("cannot start", kv: { cause = cause.as_str() });
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
