--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper's loop.
+//! The reconciliation of one keeper: reads the placement, queries the engines and sends orders.
 
 use crate::settings::KeeperSettings;
 use barleyspool_core::{
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long an engine may take to answer.
+/// The timeout of a request to an engine.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// The largest answer of an engine, in bytes.
+/// The maximum size of an engine's answer.
 const MAX_ANSWER_BYTES: usize = 256 * 1024;
 
-/// A keeper's state and its loop.
+/// The state of a keeper.
 #[derive(Debug)]
 pub struct Keeper {
     settings: KeeperSettings,
@@ -32,7 +32,7 @@
 }
 
 impl Keeper {
-    /// A keeper that knows nothing yet.
+    /// Creates a keeper without a configuration or fleet list; the first [`Keeper::reconcile`] reads both.
     pub fn new(settings: KeeperSettings) -> Self {
         Self {
             clock: Clock::start(),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// One beat: reads the platform, asks the engines that are this keeper's and gives orders.
+    /// Runs one reconciliation: reads the platform, queries the engines and sends orders to the engines assigned
+    /// to this keeper.
     pub async fn reconcile(&mut self) {
         self.read_platform().await;
         self.assign_engines();
@@ -57,17 +58,17 @@
         join_all(orders.iter().map(|order| self.send_order(order))).await;
     }
 
-    /// How long to wait between beats.
+    /// The pause between two reconciliations.
     pub fn interval(&self) -> Duration {
         Duration::from_micros(self.settings.reconcile_interval.0)
     }
 
     async fn read_platform(&mut self) {
-        // An outage of the platform changes nothing: what was accepted stays in force.
+        // If the platform cannot be read, the last accepted configuration and fleet list stay in force.
         if let Ok(Some(document)) = self.platform.read_configuration(Duration::ZERO).await
             && self.store.offer(&document, &mut self.counters)
         {
-            spdlog::info!("configuration in force", kv: { revision = document.revision.0 });
+            spdlog::info!("configuration applied", kv: { revision = document.revision.0 });
         }
         if let Ok(Some(fleet)) = self
             .platform
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Which engines are this keeper's: by rendezvous over the published entry nodes of the region, each of
-    /// which has a keeper beside it.
+    /// Determines the engines that are assigned to this keeper, by rendezvous hashing over the published entry
+    /// nodes of the region: one keeper runs beside each entry node.
     fn assign_engines(&mut self) {
         let keepers: Vec<u64> = self
             .fleet
@@ -132,8 +133,8 @@
             .map(|target| target.address.as_str())
     }
 
-    /// Asks every engine of the placement, each independently of the others: what the others hold decides
-    /// what this keeper's may drop.
+    /// Queries all engines of the placement concurrently. Engines of other keepers are included because the
+    /// models that they hold decide which models the engines of this keeper may unload.
     async fn query_engines(&mut self) {
         let addresses: Vec<(TargetId, String)> = self
             .order_book
@@ -158,7 +159,7 @@
 
     fn plan_orders(&mut self) -> Vec<EngineOrder> {
         let placement = self.placement().to_vec();
-        // A keeper holds no lease of its own, so engines that check no fences get no orders; see docs/DESIGN.md.
+        // A keeper holds no lease, so engines that do not check fences get no orders; see docs/DESIGN.md.
         self.order_book
             .plan(self.clock.now(), self.revision(), &placement, false)
     }
@@ -197,9 +198,10 @@
     }
 
     // ------------------------------------------------------------------------
-    // What operators see
+    // State shown to operators
 
-    /// What is wanted, reported and pending, per engine, and why it gets no order.
+    /// For each engine of the placement: the wanted, loaded and loading models, and why it gets no order now
+    /// (`ordering` if it gets one).
     pub fn order_states(&self) -> rpc::OrdersReply {
         let now = self.clock.now();
         let order_state = |placement: &Placement| {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The keeper's state in one page.
+    /// A summary of the keeper's state.
     pub fn status(&self) -> rpc::StatusReply {
         rpc::StatusReply {
             node: self.settings.node.to_string(),
--- a/crates/barleyspool_keeper/src/lib.rs
+++ b/crates/barleyspool_keeper/src/lib.rs
@@ -1,7 +1,9 @@
-//! The keeper daemon: asks engines what they hold, decides with [`barleyspool_core::OrderBook`], gives orders.
+//! The keeper daemon: queries the models that engines hold, plans orders with [`barleyspool_core::OrderBook`] and
+//! sends them.
 //!
-//! Keepers do not talk to each other. Which engines are whose follows from the published list, and the
-//! engine's fence decides when two keepers believe the same. See docs/DESIGN.md, "Orders".
+//! Keepers do not communicate with each other. The published fleet list determines which keeper is responsible for
+//! an engine. If two keepers with different lists send orders to the same engine, the fence that the engine checks
+//! arbitrates between them. See docs/DESIGN.md, "Orders".
 
 mod keeper;
 mod operations;
--- a/crates/barleyspool_keeper/src/main.rs
+++ b/crates/barleyspool_keeper/src/main.rs
@@ -1,7 +1,7 @@
-//! `barleyspool-keeper`: the keeper's command line.
+//! `barleyspool-keeper`: the keeper daemon.
 //!
-//! It holds nothing that would have to be finished, so it may be ended at any time: the next run goes on from
-//! what the engines report.
+//! The process can be stopped or killed at any time without losing work: it keeps no state of its own, and a new
+//! process continues from the reports of the engines.
 
 use barleyspool_keeper::{Keeper, KeeperOperations, KeeperSettings};
 use barleyspool_wire::process::Signals;
@@ -13,20 +13,20 @@
 use tokio::sync::Mutex;
 use tonic::transport::Server;
 
-/// The settings are wrong.
+/// Exit code: the settings are missing or invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// The daemon could not start.
+/// Exit code: the daemon could not start.
 const EXIT_START_FAILED: u8 = 3;
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The keeper of barleyspool: gives fenced orders to model engines.
+        /// The keeper daemon of barleyspool: sends fenced orders to model engines.
         cmd barleyspool-keeper {
             /// The settings, a JSON file. docs/OPERATING.md describes its fields.
             optional --settings file: PathBuf
-            /// Check the settings and exit: 0 when they are good, 2 when not.
+            /// Check the settings and exit: 0 if they are valid, 2 if not.
             optional --check
             /// Print the version and exit.
             optional --version
--- a/crates/barleyspool_keeper/src/operations.rs
+++ b/crates/barleyspool_keeper/src/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' RPC of a keeper: its status and its orders; the rest is the entry nodes'.
+//! The `Operations` RPC service of a keeper: `Status` and `Orders`. Only entry nodes serve the other calls.
 
 use crate::keeper::Keeper;
 use barleyspool_wire::rpc;
@@ -6,23 +6,23 @@
 use tokio::sync::Mutex;
 use tonic::{Request, Response, Status};
 
-/// The operators' service of one keeper.
+/// The `Operations` RPC service of a keeper.
 #[derive(Clone, Debug)]
 pub struct KeeperOperations {
     keeper: Arc<Mutex<Keeper>>,
 }
 
 impl KeeperOperations {
-    /// The service over a keeper.
+    /// Creates the service for a keeper.
     pub fn new(keeper: Arc<Mutex<Keeper>>) -> Self {
         Self { keeper }
     }
 }
 
-/// What a keeper answers to the calls that only entry nodes serve.
+/// The error for the calls that only entry nodes serve.
 fn served_by_entry_nodes_only<T>() -> Result<Response<T>, Status> {
     Err(Status::unimplemented(
-        "this is a keeper: ask an entry node's operator address",
+        "not served by a keeper; call the operator address of an entry node",
     ))
 }
 
--- a/crates/barleyspool_keeper/src/settings.rs
+++ b/crates/barleyspool_keeper/src/settings.rs
@@ -6,24 +6,24 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Everything that a keeper is told by its settings file. docs/OPERATING.md describes the fields.
+/// The content of a keeper's settings file. docs/OPERATING.md describes the fields.
 #[derive(Clone, Debug)]
 pub struct KeeperSettings {
-    /// The number of the entry node beside which it runs.
+    /// The number of the entry node beside which the keeper runs.
     pub node: u32,
-    /// Its region.
+    /// The region of the keeper and of its engines.
     pub region: String,
-    /// Where operators connect.
+    /// The address on which the `Operations` RPC service listens.
     pub operator_address: SocketAddr,
-    /// The configuration service.
+    /// The address of the configuration service.
     pub configuration_address: String,
-    /// The fleet list.
+    /// The address of the service that publishes the fleet list.
     pub fleet_address: String,
-    /// The least severe level that is logged.
+    /// The minimum log level.
     pub log_level: String,
-    /// How often engines are asked.
+    /// The pause between two reconciliations.
     pub reconcile_interval: Span,
-    /// Loads a second that the weight store allows all keepers together.
+    /// Model loads per second that the weight store sustains for all keepers together.
     pub loads_per_s: f64,
 }
 
@@ -31,7 +31,7 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// All errors in the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let mut reader = SettingsReader::load(path);
         let settings = Self {
