--- a/crates/barleyspool_codegen/src/main.rs
+++ b/crates/barleyspool_codegen/src/main.rs
@@ -1,16 +1,16 @@
 //! Regenerates the committed RPC code from `schema/`.
 //!
-//! A plain build never runs this: the output is committed, so that building needs no generator.
-//! `check.sh` runs it with `--check` and fails when the committed code is not what the schema gives.
+//! The output is committed so that a normal build does not need the generator. `check.sh` runs this program with
+//! `--check`, which fails if the committed code differs from the code generated from the schema.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-/// The schema file, from the workspace root.
+/// The path of the schema, relative to the workspace root.
 const SCHEMA_FILE: &str = "schema/barleyspool.proto";
-/// The folder of the committed code, from the workspace root.
+/// The directory of the committed code, relative to the workspace root.
 const OUTPUT_DIR: &str = "crates/barleyspool_wire/src/generated";
-/// The file that the generator writes: one per package of the schema.
+/// The name of the generated file; the generator writes one file per package of the schema.
 const OUTPUT_FILE: &str = "barleyspool.v1.rs";
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -30,13 +30,13 @@
         Ok(())
     } else {
         Err(
-            format!("{OUTPUT_DIR}/{OUTPUT_FILE} is not what {SCHEMA_FILE} gives; run: cargo run -p barleyspool_codegen")
+            format!("{OUTPUT_DIR}/{OUTPUT_FILE} is out of date with {SCHEMA_FILE}; run: cargo run -p barleyspool_codegen")
                 .into(),
         )
     }
 }
 
-/// Writes the code for [`SCHEMA_FILE`] into `out_dir`.
+/// Generates the code for [`SCHEMA_FILE`] into `out_dir`.
 fn generate(root: &Path, out_dir: &Path) -> Result<(), Box<dyn Error>> {
     let schema: PathBuf = root.join(SCHEMA_FILE);
     let files = protox::compile([&schema], [root.join("schema")])?;
