--- a/crates/barleyspool_ctl/src/explain_log.rs
+++ b/crates/barleyspool_ctl/src/explain_log.rs
@@ -1,4 +1,4 @@
-//! A request's lines from the logs of several processes, in order, and its cause.
+//! Collects the log lines of a request from the logs of several gateways, by time, and summarises its outcome.
 
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,40 +8,40 @@
 /// {path}: {cause}
 #[derive(Debug, displaydoc::Display)]
 pub struct UnreadableLog {
-    /// The file.
+    /// The path of the file.
     pub path: String,
-    /// What the operating system said.
+    /// The I/O error.
     pub cause: io::Error,
 }
 
 impl std::error::Error for UnreadableLog {}
 
-/// The event of a call that was kept away from targets.
+/// The event of a call that is sent to no target because targets crashed while running it.
 const CALL_BLOCKED: &str = "kept_away";
-/// The event of a target that ended while it had a call.
+/// The event of a target that crashed while running a call.
 const TARGET_CRASHED: &str = "target_ended";
 
-/// The event of a call that found no room.
+/// The event of a call that was refused because the targets of its service were at their rate limits.
 const TARGETS_AT_LIMIT: &str = "at_limit";
-/// The event of a target that names another limit than before.
+/// The event of a target that reported a new rate limit.
 const TARGET_RATE_LIMIT: &str = "target_limit";
 
-/// One line that names a request, or says why a target of it was left out.
+/// A log line of a request, or of a target that its call could not use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// When it was written, in milliseconds of the Unix epoch by the clock of its node.
+    /// The time of the event by the clock of the node, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The node that wrote it.
+    /// The node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// The name of the event.
     pub event: String,
-    /// Everything else that it says.
+    /// The other fields.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
     fn parse(text: &str) -> Option<Self> {
-        // A platform may put its own time and name before the line.
+        // The platform may prefix the line with its own timestamp and name.
         let start = text.find('{')?;
         let mut fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
         Some(Self {
@@ -61,12 +61,12 @@
     }
 }
 
-/// The lines that name `id`, from all files, by time; for a call that was kept away from targets also the lines of those that
-/// ended under its other tries, which have other ids, and for one that found no room the last word of each target of that service
-/// that named a limit before.
+/// The log lines with the id `id` from all files, by time. Two kinds of lines with other ids are included:
+/// - if the call was blocked because it crashes targets: the crashes under other attempts of the same call,
+/// - if it was refused at the rate limits: the last limit that each target of the service had reported by then.
 ///
 /// # Errors
-/// When a file cannot be read. Lines that are no log lines are passed over.
+/// If a file cannot be read. Lines that are not log events are skipped.
 pub fn request_lines(id: &str, files: &[PathBuf]) -> Result<Vec<LogLine>, UnreadableLog> {
     let read = |path: &PathBuf| {
         fs::read_to_string(path).map_err(|cause| UnreadableLog {
@@ -112,10 +112,10 @@
     Ok(lines)
 }
 
-/// What became of the request, in a sentence.
+/// A summary of the request's outcome in one sentence.
 pub fn describe_outcome(lines: &[LogLine]) -> String {
     let Some(ended) = lines.iter().rev().find(|line| line.event == "ended") else {
-        return "its end was not logged: the process ended first, or the line was dropped".to_owned();
+        return "its outcome was not logged: the process exited before, or the line was dropped".to_owned();
     };
     let status = ended.number_field("status");
     let took_ms = ended.number_field("took_ms");
@@ -128,12 +128,12 @@
             let step = prefixed(" at ", ended.text_field("step"));
             let peer = prefixed(" by ", ended.text_field("peer"));
             let verdict = match ended.text_field("verdict") {
-                "not_run" => "nothing of it ran",
+                "not_run" => "no part of it ran",
                 _ => "it ran or may have run",
             };
             let retry_after = match ended.number_field("come_back_ms") {
                 0 => String::new(),
-                ms => format!("; it was told to come back after {ms} ms"),
+                ms => format!("; the caller was told to retry after {ms} ms"),
             };
             format!(
                 "{reason}{step}{peer} after {took_ms} ms; {verdict}{retry_after}{}{}",
@@ -152,7 +152,7 @@
     }
 }
 
-/// The targets that ended under this try or others of the same call.
+/// The targets that crashed while running this attempt or other attempts of the same call.
 fn crashed_targets(lines: &[LogLine]) -> String {
     let crashes = lines.iter().filter(|line| line.event == TARGET_CRASHED);
     let ids: BTreeSet<&str> = crashes.map(|line| line.text_field("target")).collect();
@@ -160,10 +160,10 @@
         return String::new();
     }
     let ids: Vec<&str> = ids.into_iter().collect();
-    format!("; targets that ended under the same call: {}", ids.join(", "))
+    format!("; targets that crashed under the same call: {}", ids.join(", "))
 }
 
-/// The targets that limited what they take, and to how many calls a second.
+/// The targets that reported a rate limit, with their limits in calls per second.
 fn rate_limited_targets(lines: &[LogLine]) -> String {
     let limits = lines.iter().filter(|line| line.event == TARGET_RATE_LIMIT);
     let describe = |line: &LogLine| {
@@ -175,18 +175,18 @@
         return String::new();
     }
     format!(
-        "; targets that limited themselves, in calls a second: {}",
+        "; rate limits of targets, in calls per second: {}",
         limits.join(", ")
     )
 }
 
-/// The stage that took longest, when stages ran.
+/// The stage with the longest duration; empty if no stage ran.
 fn slowest_stage(lines: &[LogLine]) -> String {
     let stages = lines.iter().filter(|line| line.event == "stage");
     let slowest = stages.max_by_key(|line| line.number_field("took_ms"));
     slowest.map_or(String::new(), |line| {
         format!(
-            "; its longest stage was {} ({}) with {} ms",
+            "; the slowest stage was {} ({}) with {} ms",
             line.number_field("stage"),
             line.text_field("service"),
             line.number_field("took_ms")
--- a/crates/barleyspool_ctl/src/flags.rs
+++ b/crates/barleyspool_ctl/src/flags.rs
@@ -1,57 +1,58 @@
-//! The command line.
+//! The command line arguments.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// The operators' command line of barleyspool. It asks one node at a time.
+    /// The command line of barleyspool for operators. Each command queries one node or reads files.
     ///
-    /// Exit codes: 0 good; 1 the answer is no; 2 the command line or a settings file is wrong;
-    /// 3 the node cannot be reached; 4 the node refused the call.
+    /// Exit codes: 0 success; 1 the result is negative: the request would be refused, or no log line has the id;
+    /// 2 the command line is invalid, or a file is invalid or cannot be read; 3 the node cannot be reached;
+    /// 4 the call to the node failed.
     cmd barleyspool {
-        /// The operator address of the node, an IP number and port.
+        /// The operator address of the node, IP:PORT.
         optional --node address: String
         /// Print JSON instead of a table.
         optional --json
-        /// The node's state: configuration, membership, lease, load.
+        /// Show the state of the node: configuration, membership, lease, load.
         cmd status {}
-        /// Every counter of the node.
+        /// Show the counters of the node.
         cmd counters {
-            /// Only counters whose name begins so.
+            /// Show only counters whose name starts with this.
             optional --prefix text: String
         }
-        /// The targets that the node uses and what it believes of each.
+        /// Show the targets that the node uses, with the state of each as the node sees it.
         cmd targets {}
-        /// The other entry nodes and what they last said.
+        /// Show the other entry nodes with the last state that the node received from each.
         cmd peers {}
-        /// What a keeper wants, sees reported and has pending, per engine.
+        /// Show the wanted, loaded and loading models of each engine. Only keepers answer this.
         cmd orders {}
-        /// Stop the node in order: it takes nothing new, finishes what runs, then ends.
+        /// Stop the node gracefully: it refuses new requests, completes the running ones, then exits.
         cmd stop {}
-        /// Where a request would go now, or why it would be refused. Nothing is run.
+        /// Show where a request would be sent now, or why it would be refused. Nothing is run.
         cmd explain {
             /// The organisation.
             required organisation: String
             /// The pipeline.
             required pipeline: String
-            /// The key, which decides the home of an unrepeatable request.
+            /// The key, which determines the home node of an unrepeatable request.
             optional --key text: String
-            /// The deadline in milliseconds from now; 1000 if not given.
+            /// The deadline in milliseconds from now; the default is 1000.
             optional --deadline ms: u64
             /// Whether the request may run at most once.
             optional --unrepeatable
         }
-        /// What became of a request, from the logs of gateways: 0 when a line names it, 1 when none does.
+        /// Show the log lines and the outcome of a request from the logs of gateways: 0 if a line has its id, 1 if not.
         cmd explain-log {
-            /// The request's id.
+            /// The id of the request.
             required id: String
-            /// Log files, of one or several processes.
+            /// The log files of one or more gateways.
             repeated file: PathBuf
         }
-        /// Settings files.
+        /// Commands for settings files.
         cmd settings {
-            /// Check an entry node's settings: 0 when they are good, 2 when not.
+            /// Check the settings of an entry node: 0 if they are valid, 2 if not.
             cmd check {
-                /// The file.
+                /// The settings file.
                 required file: PathBuf
             }
         }
--- a/crates/barleyspool_ctl/src/main.rs
+++ b/crates/barleyspool_ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `barleyspool`: the operators' command line.
+//! `barleyspool`: the command line for operators.
 
 mod explain_log;
 mod flags;
@@ -14,15 +14,15 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tonic::transport::{Channel, Endpoint, Uri};
 
-/// The node answered, and the answer is no: a request that would be refused.
+/// Exit code: the request of `explain` would be refused, or `explain-log` found no line of the request.
 const EXIT_NEGATIVE_RESULT: u8 = 1;
-/// The command line or a settings file is wrong.
+/// Exit code: the command line is invalid, or a file is invalid or cannot be read.
 const EXIT_USAGE: u8 = 2;
-/// The node cannot be reached.
+/// Exit code: the node cannot be reached.
 const EXIT_UNREACHABLE: u8 = 3;
-/// The node refused the call.
+/// Exit code: the call to the node failed.
 const EXIT_CALL_FAILED: u8 = 4;
-/// How long a node may take to answer.
+/// The timeout of a call to the node.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a command failed.
@@ -32,14 +32,14 @@
     Unreachable {
         /// The node's operator address.
         node: String,
-        /// What went wrong.
+        /// The connection error.
         cause: String,
     },
     /// {node}: {cause}
     CallFailed {
         /// The node's operator address.
         node: String,
-        /// What it said.
+        /// The error message of the call.
         cause: String,
     },
 }
@@ -57,7 +57,7 @@
         return explain_log(arguments, &output);
     }
     let Some(node) = flags.node.clone() else {
-        eprintln!("barleyspool: --node IP:PORT is needed: the operator address of an entry node");
+        eprintln!("barleyspool: --node IP:PORT is needed: the operator address of a node");
         return ExitCode::from(EXIT_USAGE);
     };
     match run_command(&node, flags.subcommand, &output).await {
@@ -155,13 +155,13 @@
                 return Ok(ExitCode::from(EXIT_NEGATIVE_RESULT));
             }
         }
-        // These ask no node; they were answered before.
+        // These commands contact no node; `main` has handled them.
         BarleyspoolCmd::Settings(_) | BarleyspoolCmd::ExplainLog(_) => {}
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// The request that an operator asks about.
+/// The hypothetical request that `explain` asks the node about.
 fn explained_request(explain: flags::Explain) -> rpc::RunRequest {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -177,7 +177,7 @@
     }
 }
 
-/// Prints a request's lines in order, and its cause.
+/// Prints the log lines of a request by time, and its outcome.
 fn explain_log(arguments: &ExplainLog, output: &Output) -> ExitCode {
     let lines = match explain_log::request_lines(&arguments.id, &arguments.file) {
         Ok(lines) => lines,
@@ -187,7 +187,7 @@
         }
     };
     if lines.is_empty() {
-        eprintln!("barleyspool: no line names {}", arguments.id);
+        eprintln!("barleyspool: no log line of request {}", arguments.id);
         return ExitCode::from(EXIT_NEGATIVE_RESULT);
     }
     output.request_log(&lines, &explain_log::describe_outcome(&lines));
--- a/crates/barleyspool_ctl/src/output.rs
+++ b/crates/barleyspool_ctl/src/output.rs
@@ -1,13 +1,13 @@
-//! Printing answers, as tables or as JSON.
-#![allow(clippy::print_stdout, reason = "printing is what this module is for")]
+//! Prints the replies of nodes and the lines of a request, as text or as JSON.
+#![allow(clippy::print_stdout, reason = "this module prints to standard output")]
 
 use crate::explain_log::LogLine;
 use barleyspool_wire::rpc;
 use serde_json::{Value, json};
 
-/// How answers are printed.
+/// The output format, with one method for each kind of reply.
 pub struct Output {
-    /// As JSON.
+    /// Whether to print JSON instead of text.
     pub json: bool,
 }
 
@@ -121,10 +121,7 @@
             if reply.admitted {
                 println!("admitted");
             } else {
-                println!(
-                    "refused: {}; come back after {} ms",
-                    reply.reason, reply.come_back_ms
-                );
+                println!("refused: {}; retry after {} ms", reply.reason, reply.come_back_ms);
             }
             return self.print_rows(
                 &["stage", "target", "done_after_ms"],
@@ -143,7 +140,7 @@
         );
     }
 
-    /// Rows under names, as wide as they need to be.
+    /// Prints the log lines of a request with times relative to the first line, then its cause.
     pub fn request_log(&self, lines: &[LogLine], cause: &str) {
         if self.json {
             let line = |line: &LogLine| json!({ "at_ms": line.at_ms, "node": line.node, "event": line.event, "fields": line.fields });
@@ -167,6 +164,7 @@
         println!("cause: {cause}");
     }
 
+    /// Prints a table whose columns are as wide as their longest cell, or a JSON array of objects.
     fn print_rows(&self, names: &[&str], rows: Vec<Vec<Value>>) {
         if self.json {
             let object = |row: Vec<Value>| {
@@ -199,7 +197,7 @@
     }
 }
 
-/// A value as a person reads it.
+/// The text of a value, without the quotes of a JSON string.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
