--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -68,7 +68,7 @@
         if let Ok(Some(document)) = self.platform.read_configuration(Duration::ZERO).await
             && self.store.offer(&document, &mut self.counters)
         {
-            spdlog::info!("configuration applied", kv: { revision = document.revision.0 });
+            spdlog::info!("configuration in force", kv: { revision = document.revision.0 });
         }
         if let Ok(Some(fleet)) = self
             .platform
