--- a/crates/barleyspool_entry/src/bulk_server.rs
+++ b/crates/barleyspool_entry/src/bulk_server.rs
@@ -1,4 +1,5 @@
-//! What goes over HTTP between entry nodes, configurations and lists in MessagePack, and the metrics.
+//! The HTTP server of an entry node: snapshots of the configuration and the fleet list for peers, in
+//! MessagePack, and the metrics.
 
 use crate::control_thread::{ControlMessage, ControlSender};
 use crate::metrics::Metrics;
@@ -11,16 +12,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Where a peer fetches what it does not have: `/snapshot?config=REVISION&fleet=REVISION`.
+/// The path of a snapshot: `/snapshot?config=REVISION&fleet=REVISION`, with the revisions that the peer
+/// already has.
 const SNAPSHOT_PATH: &str = "/snapshot";
-/// Where metrics are read.
+/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// The largest snapshot, in bytes.
+/// The maximum size of a snapshot.
 const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// How long a snapshot may take.
+/// The timeout for fetching a snapshot.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Serves peers and metric readers until the task is dropped.
+/// Serves snapshots and metrics until the task is dropped.
 pub async fn serve(listener: TcpListener, control: ControlSender, metrics: Arc<Metrics>) {
     http::serve(listener, move |request| {
         let (control, metrics) = (control.clone(), Arc::clone(&metrics));
@@ -45,7 +47,7 @@
     let (Some(config), Some(fleet)) = (query_number(query, "config"), query_number(query, "fleet")) else {
         return http::reply(
             StatusCode::BAD_REQUEST,
-            "config and fleet: whole numbers are needed\n",
+            "config and fleet must be unsigned integers\n",
         );
     };
     let (reply, receiver) = oneshot::channel();
@@ -55,7 +57,7 @@
         reply,
     };
     if control.send(message).is_err() {
-        return http::reply(StatusCode::SERVICE_UNAVAILABLE, "ending\n");
+        return http::reply(StatusCode::SERVICE_UNAVAILABLE, "the node is shutting down\n");
     }
     let body = receiver
         .await
@@ -67,16 +69,16 @@
     }
 }
 
-/// A whole number out of a query.
+/// The value of an integer parameter in a query string.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-/// Fetches from a peer what this node does not have.
+/// Fetches from a peer what is newer than the revisions `config` and `fleet` of this node.
 ///
 /// # Errors
-/// When the peer does not answer, or not with a snapshot.
+/// If the peer does not respond, or its response is not a snapshot.
 pub async fn fetch_snapshot(peer: &str, config: Revision, fleet: Revision) -> Result<Snapshot, HttpError> {
     let path = format!("{SNAPSHOT_PATH}?config={config}&fleet={fleet}");
     let (status, body) = http::send_request(
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -1,4 +1,5 @@
-//! The control thread: one control state, its questions to peers and platform, and its answers.
+//! The control thread: runs the control state, and exchanges its messages with peers, the platform and
+//! operators.
 
 use crate::bulk_server;
 use crate::lane::LaneNotice;
@@ -17,48 +18,48 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, mpsc, oneshot};
 
-/// How often the control state is told that time passed.
+/// The interval of the timer events of the control state.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a peer may take to answer.
+/// The timeout of a gossip exchange with a peer.
 const GOSSIP_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The shortest wait after a failed read of the platform.
+/// The delay after the first failed read from the platform.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The longest wait after a failed read of the platform.
+/// The maximum delay between failed reads from the platform, before jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// What the control thread is told.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// Something happened.
+    /// An event for the control state.
     Event(ControlEvent),
-    /// A peer asks.
+    /// A peer has sent its gossip.
     GossipRequest {
-        /// What it says of itself.
+        /// The state of the peer.
         gossip: Gossip,
         /// Where the answer goes.
         reply: oneshot::Sender<PeerReply>,
     },
-    /// A peer fetches what it does not have.
+    /// A peer fetches a newer configuration or fleet list.
     SnapshotRequest {
-        /// The configuration it has.
+        /// The revision of the peer's configuration.
         config: Revision,
-        /// The list it has.
+        /// The revision of the peer's fleet list.
         fleet: Revision,
         /// Where the answer goes.
         reply: oneshot::Sender<Snapshot>,
     },
-    /// An operator asks for the node's state.
+    /// An operator requests the state of the node.
     StatusRequest(oneshot::Sender<rpc::StatusReply>),
-    /// An operator asks for the peers.
+    /// An operator requests the list of peers.
     PeersRequest(oneshot::Sender<rpc::PeersReply>),
-    /// The fetch from a peer has ended, with or without an answer.
+    /// The snapshot fetch from a peer has finished or failed.
     SnapshotFetchEnded,
 }
 
-/// The control thread's inbox.
+/// Sends messages to the control thread.
 pub type ControlSender = mpsc::UnboundedSender<ControlMessage>;
 
-/// The shell around the control state.
+/// Executes the actions of the control state and feeds it events.
 pub struct ControlThread {
     shared: Arc<Shared>,
     control: Control,
@@ -66,7 +67,8 @@
     peer_clients: Arc<Mutex<HashMap<String, peer::PeerClient>>>,
     platform: Arc<Mutex<PlatformClient>>,
     watch_tasks: Vec<AbortOnDrop<()>>,
-    /// The peer that is being fetched from. One at a time: a node that starts hears of what it lacks from many.
+    /// The peer from which a snapshot is being fetched. Only one fetch runs at a time, because many peers
+    /// offer newer revisions to a starting node.
     snapshot_source: Option<String>,
     logged_phase: NodePhase,
     logged_revision: Revision,
@@ -74,7 +76,7 @@
 }
 
 impl ControlThread {
-    /// A control thread around `control`.
+    /// Creates the control thread for `control`.
     pub fn new(shared: Arc<Shared>, control: Control, inbox: ControlSender) -> Self {
         let settings = &shared.settings;
         let platform = PlatformClient::new(
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Runs until the daemon ends.
+    /// Runs until the daemon shuts down.
     pub async fn run(
         mut self,
         mut inbox: mpsc::UnboundedReceiver<ControlMessage>,
@@ -121,7 +123,8 @@
         }
     }
 
-    /// What is still to be done for callers: requests, and streams not yet delivered to the end.
+    /// The number of unfinished requests plus the number of open streams to callers; a stopping node waits
+    /// for both.
     fn live_requests_and_streams(&self) -> usize {
         let requests: usize = self
             .shared
@@ -134,7 +137,7 @@
 
     fn handle_message(&mut self, message: ControlMessage) {
         let now = self.shared.clock.now();
-        // An operator or a peer that has gone does not want its answer any more.
+        // Sending a reply fails if the requester has disconnected; the error is ignored.
         match message {
             ControlMessage::Event(event) => self.step(event),
             ControlMessage::GossipRequest { gossip, reply } => {
@@ -215,7 +218,7 @@
     }
 
     // ------------------------------------------------------------------------
-    // Questions
+    // Requests to peers and the platform
 
     fn send_gossip(&self, address: String, gossip: Gossip) {
         let (clients, inbox, clock) = (
@@ -270,7 +273,7 @@
         let (platform, inbox) = (Arc::clone(&self.platform), self.inbox.clone());
         tokio::spawn(async move {
             let mut delay = MIN_RETRY_DELAY;
-            // The first read asks for what there is; only then is a change waited for.
+            // The first read returns the current document at once; the later ones wait for a change.
             let mut watch_wait = Duration::ZERO;
             loop {
                 let read = platform.lock().await.read_configuration(watch_wait).await;
@@ -317,7 +320,7 @@
         })
     }
 
-    /// Reads configuration and list once, for a node that is not one of the readers.
+    /// Reads the configuration and the fleet list once, on a node that does not watch them.
     fn read_platform(&self) {
         let (platform, inbox) = (Arc::clone(&self.platform), self.inbox.clone());
         let after = self.control.fleet().revision;
@@ -341,7 +344,7 @@
     }
 
     // ------------------------------------------------------------------------
-    // Answers to operators
+    // Replies to operators
 
     fn status(&self) -> rpc::StatusReply {
         let now = self.shared.clock.now();
@@ -370,7 +373,8 @@
         }
     }
 
-    /// Whether this node may take unrepeatable keys of its own, and how long it still waits.
+    /// The state of the lease, under which this node accepts its own unrepeatable keys, and the remaining
+    /// takeover wait in milliseconds.
     fn lease_status(&self) -> (String, u64) {
         let now = self.shared.clock.now();
         let lease = &self.shared.plan.load().lease;
@@ -402,7 +406,8 @@
     }
 }
 
-/// Waits after a failure, longer each time and never in step with others; gives the next wait.
+/// Waits after a failed read, with jitter so that nodes do not retry in step. Returns the delay for the next
+/// failure, which doubles up to [`MAX_RETRY_DELAY`].
 async fn back_off(failed: bool, delay: Duration) -> Duration {
     if !failed {
         return MIN_RETRY_DELAY;
--- a/crates/barleyspool_entry/src/daemon.rs
+++ b/crates/barleyspool_entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon's threads, and ending them together.
+//! Starts the threads of a daemon and shuts them down together.
 
 use crate::control_thread::{ControlMessage, ControlSender, ControlThread};
 use crate::gateway_service::GatewayService;
@@ -24,21 +24,21 @@
 use tokio::sync::{mpsc, watch};
 use tonic::transport::Server;
 
-/// How often an open connection of a caller is asked whether it is still there.
+/// The interval and the timeout of HTTP/2 keepalive pings on connections from callers.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the last bytes to callers may take when the daemon ends.
+/// The time limit for delivering the last responses to callers at shutdown.
 const CALLER_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a message may hold besides its payload, in bytes.
+/// The maximum size of the fields of a message other than its payloads, in bytes.
 const MESSAGE_OVERHEAD: usize = 64 * 1024;
 
-/// Why a daemon cannot start.
+/// The reason why a daemon cannot start.
 #[derive(Debug, displaydoc::Display)]
 pub enum DaemonError {
     /// cannot listen on {address}: {cause}
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         cause: io::Error,
     },
     /// cannot start a thread: {0}
@@ -61,10 +61,12 @@
 }
 
 impl Daemon {
-    /// Starts the threads. Every address is bound before this returns, so a daemon that starts is reachable.
+    /// Starts the threads. All addresses are bound before this function returns, so clients can connect
+    /// afterwards.
     ///
     /// # Errors
-    /// When an address is in use, or a thread cannot be started.
+    /// If an address cannot be bound, a thread cannot be started, or the setup of signals, state charts or
+    /// metrics fails.
     pub fn start(settings: EntrySettings) -> Result<Self, DaemonError> {
         let clock = Clock::start();
         let incarnation = Incarnation(clock.started_at().0);
@@ -102,15 +104,15 @@
         Ok(Self { shared, threads })
     }
 
-    /// What the threads share, for tests that look inside.
+    /// The state shared by the threads, for tests.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Waits until the daemon has ended.
+    /// Waits until all threads have ended.
     ///
     /// # Errors
-    /// The first thread that panicked; the process must end then.
+    /// If a thread panicked: the first one. The process must exit then.
     pub fn wait(self) -> Result<(), ThreadError> {
         self.threads.wait()
     }
@@ -148,7 +150,7 @@
             let serve = serve_callers(listener, Arc::clone(&shared));
             let callers = tokio::spawn(serve);
             lane.run(inbox, event_receiver).await;
-            // The outcomes are in the streams; let the connections deliver them.
+            // The outcomes are already queued in the streams; wait until the connections have sent them.
             let _ = tokio::time::timeout(CALLER_DRAIN_TIMEOUT, callers).await;
         });
     };
@@ -170,7 +172,7 @@
         });
     if let Err(error) = server.await {
         let cause = error.to_string();
-        spdlog::error!("callers cannot be served any more", kv: { cause = cause.as_str() });
+        spdlog::error!("the server for callers failed", kv: { cause = cause.as_str() });
     }
 }
 
@@ -212,11 +214,11 @@
     threads.spawn("control", run_control).map_err(DaemonError::Thread)
 }
 
-/// A planned stop on SIGTERM or SIGINT. A second signal changes nothing: what is in flight is still finished.
+/// Starts a planned stop on SIGTERM or SIGINT. Further signals do not end the running requests early.
 async fn stop_on_signal(mut signals: Signals, control: ControlSender) {
     loop {
         Signals::wait_for_stop(&mut signals.terminate, &mut signals.interrupt).await;
-        spdlog::info!("stop was asked for by a signal");
+        spdlog::info!("stop requested by a signal");
         let _ = control.send(ControlMessage::Event(ControlEvent::Stop));
     }
 }
--- a/crates/barleyspool_entry/src/gateway_service.rs
+++ b/crates/barleyspool_entry/src/gateway_service.rs
@@ -1,4 +1,4 @@
-//! The callers' RPC: `Ask` from the plan, `Run` through a lane.
+//! The RPC service for callers. `Ask` is answered from the plan; `Run` is handled by a lane.
 
 use crate::lane::LaneMessage;
 use crate::shared::Shared;
@@ -15,25 +15,26 @@
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status};
 
-/// When to come back to a node whose lane cannot take another call.
+/// The retry delay in the refusal of a call whose lane has a full inbox.
 const LANE_FULL_RETRY_AFTER: Span = Span::from_millis(100);
 
-/// Numbers the callers of this process.
+/// The next caller id of this process.
 static NEXT_CALLER_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The callers' service of one entry node.
+/// The RPC service for callers of one entry node.
 #[derive(Clone, Debug)]
 pub struct GatewayService {
     shared: Arc<Shared>,
 }
 
 impl GatewayService {
-    /// The service over what the threads share.
+    /// Creates the service.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
-    /// Refuses a call that no lane can take. Nothing of it ran here.
+    /// The refusal of a call whose lane has a full inbox. This node ran nothing of the call; `uncertain` says
+    /// that an earlier send to another node may have run.
     fn lane_full_reply(&self, uncertain: bool) -> rpc::RunReply {
         let verdict = if uncertain {
             Verdict::Unknown
@@ -68,7 +69,8 @@
         let request = request.into_inner();
         let plan = self.shared.plan.load();
         let key = (!request.key.is_empty()).then(|| RequestKey::new(&request.organisation, &request.key));
-        // Callers of one organisation are spread too: a large one must not fall onto one node.
+        // The random part spreads the callers of one organisation over the nodes; otherwise all callers of a
+        // large organisation would use the same node.
         let spread = rendezvous::text_key(&request.organisation) ^ u128::from(rand::rng().random::<u64>());
         let addresses = plan.addresses(&request.zone, key, spread);
         let addresses = addresses
@@ -114,7 +116,8 @@
     }
 }
 
-/// The stream of one `Run`. Dropping it before its outcome tells the lane that the caller has left.
+/// The response stream of one `Run`. If it is dropped before the outcome was sent, the lane is notified that
+/// the caller disconnected.
 #[derive(Debug)]
 pub struct RunStream {
     shared: Arc<Shared>,
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -1,4 +1,4 @@
-//! A traffic thread: one router, its connections to targets, and the callers that wait for it.
+//! A lane: a traffic thread with one router, its connections to targets and its callers.
 
 use crate::shared::{LaneStats, Shared, TargetView};
 use crate::target_client::TargetClient;
@@ -14,56 +14,56 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Arrivals and questions that may wait for a lane.
+/// The maximum number of messages waiting in the inbox of a lane.
 const INBOX_CAPACITY: usize = 4096;
-/// How often a lane shows its counters.
+/// The interval at which a lane publishes its [`LaneStats`].
 const STATS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a lane is told from outside its thread.
+/// A message to a lane from another thread.
 #[derive(Debug)]
 pub enum LaneMessage {
-    /// A caller asks for a run.
+    /// A caller sent a `Run` request.
     Arrive {
-        /// The caller.
+        /// The caller's open stream.
         caller: CallerId,
-        /// What it asks.
+        /// The request.
         call: Call,
-        /// Where its answer goes.
+        /// The sender of the caller's response stream.
         replies: mpsc::UnboundedSender<rpc::RunReply>,
     },
-    /// A caller's stream was closed.
+    /// A caller closed its stream before it received the outcome.
     CallerLeft(CallerId),
-    /// An operator asks what would happen to a call.
+    /// An operator requests a forecast for a call, without running it.
     Explain {
-        /// The call.
+        /// The request.
         call: Call,
-        /// Where the answer goes.
+        /// Receives the forecast.
         reply: oneshot::Sender<Forecast>,
     },
 }
 
-/// A lane's inbox.
+/// Sends messages to a lane.
 pub type LaneSender = mpsc::Sender<LaneMessage>;
-/// The lane's end of it.
+/// Receives the messages of a lane.
 pub type LaneReceiver = mpsc::Receiver<LaneMessage>;
 
-/// Makes a lane's inbox.
+/// Creates the inbox of a lane.
 pub fn inbox_channel() -> (LaneSender, LaneReceiver) {
     mpsc::channel(INBOX_CAPACITY)
 }
 
-/// What a lane tells the control thread.
+/// A notice from a lane to the control thread.
 #[derive(Copy, Clone, Debug)]
 pub enum LaneNotice {
-    /// A target said that it is leaving.
+    /// A target reported that it is leaving.
     Leaving(LeavingTarget),
-    /// A target wants nothing from this node for a while.
+    /// A target requested a cooldown: this node sends it nothing until the cooldown ends.
     Cooldown(TargetCooldown),
-    /// A caller has seen a newer configuration.
+    /// A caller has seen a newer configuration revision than this node.
     NewerRevision,
 }
 
-/// One traffic thread.
+/// The state of one traffic thread.
 pub struct Lane {
     shared: Arc<Shared>,
     index: usize,
@@ -76,7 +76,7 @@
 }
 
 impl Lane {
-    /// A lane around `router`; returns it with the receiver for what its attempts report.
+    /// Creates a lane for `router`. Also returns the receiver of the events from its attempts.
     pub fn new(
         shared: Arc<Shared>,
         index: usize,
@@ -98,7 +98,7 @@
         (lane, event_receiver)
     }
 
-    /// Runs until the daemon ends.
+    /// Runs until the daemon shuts down.
     pub async fn run(
         mut self,
         mut inbox: LaneReceiver,
@@ -152,7 +152,7 @@
             }
             LaneMessage::Explain { call, reply } => {
                 let forecast = self.router.forecast(self.shared.clock.now(), &call);
-                // The operator may have gone; then nobody wants the answer.
+                // Sending fails if the operator has disconnected; the error is ignored.
                 let _ = reply.send(forecast);
             }
         }
@@ -180,7 +180,8 @@
                     address,
                     ..
                 } => {
-                    // Dropping the task closes its connection, so no late byte can reach another request.
+                    // Dropping the task closes its connection, so no late byte of it can be taken for the
+                    // response to another request.
                     self.attempt_tasks.remove(&attempt);
                     tokio::spawn(async move { TargetClient::cancel(&address, echo).await });
                 }
@@ -210,13 +211,13 @@
     }
 
     fn notify(&self, notice: LaneNotice) {
-        // The control thread only goes when the daemon ends.
+        // The receiver is closed only at shutdown.
         let _ = self.notices.send(notice);
     }
 
     fn send(&self, caller: CallerId, reply: rpc::run_reply::Reply) {
         if let Some(replies) = self.callers.get(&caller) {
-            // A closed stream reports itself as `CallerLeft`.
+            // If the stream is closed, its `Drop` sends `LaneMessage::CallerLeft`.
             let _ = replies.send(rpc::RunReply { reply: Some(reply) });
         }
     }
@@ -256,7 +257,8 @@
         self.shared.lane_stats[self.index].store(Arc::new(stats));
     }
 
-    /// Logs a line for each target whose phase is another one than when it was last shown.
+    /// Logs each target whose phase differs from the last published one, and the first time that quarantines
+    /// were capped.
     fn log_phase_changes(&self, stats: &LaneStats) {
         let previous = self.shared.lane_stats[self.index].load();
         for target in &stats.targets {
@@ -271,12 +273,12 @@
         }
         let quarantines_capped = |stats: &LaneStats| stats.counters.get(Counter::QuarantineCapped);
         if quarantines_capped(&previous) == 0 && quarantines_capped(stats) > 0 {
-            spdlog::warn!("most targets of a service look down; this node's view is suspect");
+            spdlog::warn!("most targets of a service look down; this node may be the faulty one");
         }
     }
 }
 
-/// Writes an arrival to the log stream in the form of a trace, for replay.
+/// Logs a request in the format of a trace, which can be replayed.
 fn log_arrival(now: Time, call: &Call) {
     spdlog::info!("arrival", kv: {
         at_ms = now.as_millis(),
@@ -288,7 +290,7 @@
     });
 }
 
-/// What an attempt reports when nothing of it was sent.
+/// The end event of an attempt of which nothing was sent.
 pub fn unsent_attempt_ended(attempt: AttemptId) -> TrafficEvent {
     TrafficEvent::Ended {
         attempt,
--- a/crates/barleyspool_entry/src/lib.rs
+++ b/crates/barleyspool_entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry daemon: sockets, clocks and threads around the decisions of `barleyspool_core`.
+//! The entry daemon: the sockets, clocks and threads around the state machines of `barleyspool_core`.
 //!
-//! - [`Daemon`] starts everything and waits for the end.
-//! - `control_thread` owns the one [`barleyspool_core::Control`]; `lane` threads own a
-//!   [`barleyspool_core::Router`] each.
-//! - They share [`Shared`]: the plan, and what operators and metrics read.
+//! - [`Daemon`] starts the threads and waits until they have ended.
+//! - The control thread (`control_thread`) owns the [`barleyspool_core::Control`]. Each traffic thread,
+//!   called a lane (`lane`), owns a [`barleyspool_core::Router`].
+//! - The threads share [`Shared`]: the current plan, and the state that operators and metrics read.
 
 mod bulk_server;
 mod control_thread;
--- a/crates/barleyspool_entry/src/main.rs
+++ b/crates/barleyspool_entry/src/main.rs
@@ -5,24 +5,25 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The settings are wrong.
+/// Exit code: the settings are missing or invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// The daemon could not start.
+/// Exit code: the daemon could not start.
 const EXIT_START_FAILED: u8 = 3;
-/// A thread panicked.
+/// Exit code: a thread panicked.
 const EXIT_THREAD_PANICKED: u8 = 4;
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The entry daemon of barleyspool: takes requests of callers and runs them through their pipelines.
+        /// The entry daemon of barleyspool: accepts requests from callers and runs them through their
+        /// pipelines.
         ///
-        /// It stops in order on SIGTERM or SIGINT: it takes nothing new, finishes what runs, then ends.
+        /// On SIGTERM or SIGINT it accepts no new requests, finishes the running ones and exits.
         cmd barleyspool-entry {
-            /// The settings, a JSON file. docs/OPERATING.md describes its fields.
+            /// The settings file, in JSON. docs/OPERATING.md describes its fields.
             optional --settings file: PathBuf
-            /// Check the settings and exit: 0 when they are good, 2 when not.
+            /// Check the settings and exit: 0 if they are valid, 2 if not.
             optional --check
             /// Print the version and exit.
             optional --version
--- a/crates/barleyspool_entry/src/metrics.rs
+++ b/crates/barleyspool_entry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters as `opentelemetry` metrics, readable as text and through the operators' RPC.
+//! Counters as `opentelemetry` metrics, exported as Prometheus text and through the RPC service for
+//! operators.
 
 use crate::shared::Shared;
 use barleyspool_core::{ControlCounters, Counter, Reason, RetryReason};
@@ -10,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// One example of each counter, for its name.
+/// One example of each kind of counter, from which its name is taken.
 const COUNTER_EXAMPLES: &[Counter] = &[
     Counter::Arrived,
     Counter::Complete(0),
@@ -35,7 +36,7 @@
 /// Reads one of the control counters.
 type ReadControlCounter = fn(&ControlCounters) -> u64;
 
-/// The control counters by name.
+/// The control counters with their metric names.
 const CONTROL_COUNTERS: &[(&str, ReadControlCounter)] = &[
     ("configuration_accepted", |counters| counters.accepted),
     ("configuration_rejected", |counters| counters.rejected),
@@ -58,10 +59,10 @@
 }
 
 impl Metrics {
-    /// Registers every counter; their values are read when somebody looks.
+    /// Registers all counters. Their values are read when the metrics are collected.
     ///
     /// # Errors
-    /// When the exporter cannot be set up.
+    /// If the exporter cannot be set up.
     pub fn new(shared: &Arc<Shared>) -> Result<Self, opentelemetry_sdk::error::OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -90,15 +91,15 @@
         })
     }
 
-    /// All metrics in the usual text format.
+    /// All metrics in the Prometheus text format.
     pub fn encode_text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory does not fail; a metric that cannot be written is left out.
+        // Writing to memory does not fail. A metric that cannot be encoded is omitted.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// All counters whose name begins with `prefix`.
+    /// All counters whose names start with `prefix`.
     pub fn counters(&self, prefix: &str) -> Vec<rpc::Counter> {
         let mut counters = Vec::new();
         for family in self.registry.gather() {
@@ -144,7 +145,7 @@
         .build();
 }
 
-/// The counters of a name that are shown even while they are zero: one per reason.
+/// The counters with the name `name` that are exported even if they are zero: one per reason.
 fn zero_counters(name: &str) -> impl Iterator<Item = Counter> {
     let refusals = Reason::ALL
         .iter()
--- a/crates/barleyspool_entry/src/operations_service.rs
+++ b/crates/barleyspool_entry/src/operations_service.rs
@@ -1,4 +1,4 @@
-//! The operators' RPC.
+//! The RPC service for operators.
 
 use crate::control_thread::{ControlMessage, ControlSender};
 use crate::lane::LaneMessage;
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tonic::{Request, Response, Status};
 
-/// The operators' service of one entry node.
+/// The RPC service for operators of one entry node.
 #[derive(Clone, Debug)]
 pub struct OperationsService {
     shared: Arc<Shared>,
@@ -19,7 +19,7 @@
 }
 
 impl OperationsService {
-    /// The service over what the threads share.
+    /// Creates the service.
     pub fn new(shared: Arc<Shared>, control: ControlSender, metrics: Arc<Metrics>) -> Self {
         Self {
             shared,
@@ -28,16 +28,16 @@
         }
     }
 
-    /// Asks the control thread.
+    /// Sends a request to the control thread and waits for its reply.
     async fn ask_control<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> ControlMessage,
     ) -> Result<T, Status> {
         let (reply, receiver) = oneshot::channel();
-        let stopping = |_| Status::unavailable("the node is ending");
+        let stopping = |_| Status::unavailable("the node is shutting down");
         self.control
             .send(message(reply))
-            .map_err(|_| Status::unavailable("the node is ending"))?;
+            .map_err(|_| Status::unavailable("the node is shutting down"))?;
         receiver.await.map_err(stopping)
     }
 
@@ -114,7 +114,7 @@
         request: Request<rpc::ExplainRequest>,
     ) -> Result<Response<rpc::ExplainReply>, Status> {
         let request = request.into_inner().request;
-        let request = request.ok_or_else(|| Status::invalid_argument("request: is missing"))?;
+        let request = request.ok_or_else(|| Status::invalid_argument("request is missing"))?;
         let call = rpc_convert::call_from_request(request);
         let lane = self
             .shared
@@ -122,11 +122,11 @@
         let (reply, receiver) = oneshot::channel();
         let is_full = lane.try_send(LaneMessage::Explain { call, reply }).is_err();
         if is_full {
-            return Err(Status::unavailable("the traffic thread takes nothing more now"));
+            return Err(Status::unavailable("the inbox of the traffic thread is full"));
         }
         let forecast = receiver
             .await
-            .map_err(|_| Status::unavailable("the node is ending"))?;
+            .map_err(|_| Status::unavailable("the node is shutting down"))?;
         Ok(Response::new(self.explain_reply(&forecast)))
     }
 
@@ -140,7 +140,7 @@
         let stop = ControlMessage::Event(ControlEvent::Stop);
         self.control
             .send(stop)
-            .map_err(|_| Status::unavailable("the node is ending"))?;
+            .map_err(|_| Status::unavailable("the node is shutting down"))?;
         Ok(Response::new(rpc::StopReply {
             running: running as u64,
         }))
@@ -148,7 +148,7 @@
 
     async fn orders(&self, _: Request<rpc::OrdersRequest>) -> Result<Response<rpc::OrdersReply>, Status> {
         Err(Status::unimplemented(
-            "orders are the keeper's: ask a keeper's operator address",
+            "entry nodes have no orders; use the operator address of a keeper",
         ))
     }
 }
--- a/crates/barleyspool_entry/src/peer_server.rs
+++ b/crates/barleyspool_entry/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answering other entry nodes.
+//! The RPC server for other entry nodes.
 
 use crate::control_thread::{ControlMessage, ControlSender};
 use barleyspool_core::{Gossip, PeerReply};
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Answers peers out of the control state.
+/// Answers gossip from peers with the control state.
 #[derive(Clone, Debug)]
 struct PeerServer {
     control: ControlSender,
@@ -20,7 +20,7 @@
     async fn ask(self, _: Context, gossip: Gossip) -> PeerReply {
         let (reply, receiver) = oneshot::channel();
         let sent = self.control.send(ControlMessage::GossipRequest { gossip, reply });
-        // Without a control state there is no word; the default counts for nothing.
+        // Without the control thread the reply is the default, whose lease vote is ignored.
         if sent.is_err() {
             PeerReply::default()
         } else {
--- a/crates/barleyspool_entry/src/platform_client.rs
+++ b/crates/barleyspool_entry/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Reading the platform: the configuration service and the fleet list.
+//! The client of the platform: reads the configuration and the fleet list.
 
 use barleyspool_core::{ConfigDocument, Fleet, PartRef, Revision, VersionedPart};
 use barleyspool_wire::http::{self, HttpError};
@@ -6,15 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a watch waits for a change. Well below the least `read_age_ms`: what a watching node says of its
-/// last read has to stay young, or all others read for themselves.
+/// The time that a watch waits for a change. It is well below the minimum of the setting `read_age_ms`: if
+/// the last read of the watching nodes gets older than that, all other nodes read from the platform
+/// themselves.
 pub const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// How long a read that does not wait may take.
+/// The timeout of a read, in addition to the time that it waits for a change.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest fleet list, in bytes.
+/// The maximum size of the fleet list.
 const MAX_FLEET_BYTES: usize = 8 << 20;
 
-/// Where the platform is, and what was last read there.
+/// The addresses of the platform, and the configuration that was last read.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     configuration_address: String,
@@ -23,7 +24,7 @@
 }
 
 impl PlatformClient {
-    /// A client that has read nothing.
+    /// Creates a client that has not read anything yet.
     pub fn new(configuration_address: String, fleet_address: String) -> Self {
         Self {
             configuration_address,
@@ -32,11 +33,11 @@
         }
     }
 
-    /// The whole configuration, once it is newer than what this client read last; `None` when it did not
-    /// become newer within `wait`. Only parts that changed are read.
+    /// Reads the configuration if it is newer than the one last read, waiting up to `wait` for a change;
+    /// `None` if it did not change. Only the parts that changed are read.
     ///
     /// # Errors
-    /// When the service does not answer, or not with a configuration.
+    /// If the configuration service does not respond, or its response is not a configuration.
     pub async fn read_configuration(&mut self, wait: Duration) -> Result<Option<ConfigDocument>, HttpError> {
         let after = self
             .last_document
@@ -85,7 +86,7 @@
                 part: Arc::new(value.value),
             }),
             _ => {
-                let cause = format!("part {} is older than its head", wanted.key);
+                let cause = format!("part {} is older than the revision named in the head", wanted.key);
                 Err(HttpError::Malformed {
                     peer: self.configuration_address.clone(),
                     cause,
@@ -94,10 +95,11 @@
         }
     }
 
-    /// The fleet list, once it is newer than `after`; `None` when it did not become so within `wait`.
+    /// Reads the fleet list if its revision is later than `after`, waiting up to `wait` for a change; `None`
+    /// if it did not change.
     ///
     /// # Errors
-    /// When the platform does not answer, or not with a list.
+    /// If the platform does not respond, or its response is not a fleet list.
     pub async fn read_fleet(&self, after: Revision, wait: Duration) -> Result<Option<Fleet>, HttpError> {
         let path = format!("{FLEET_PATH}?after={after}&wait_ms={}", wait.as_millis());
         http::get_json(&self.fleet_address, &path, MAX_FLEET_BYTES, wait + READ_TIMEOUT).await
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -8,58 +8,59 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Everything that an entry node is told by its settings file. docs/OPERATING.md describes the fields.
+/// The settings of an entry node, from its settings file. docs/OPERATING.md describes the fields.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// The node's number.
+    /// The id of the node.
     pub node: NodeId,
-    /// Its availability zone.
+    /// The availability zone of the node.
     pub zone: String,
-    /// Its region.
+    /// The region of the node.
     pub region: String,
-    /// Its cell.
+    /// The cell of the node.
     pub cell: CellId,
-    /// Where callers connect.
+    /// The listen address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers connect for control calls.
+    /// The listen address for gossip with peers.
     pub control_address: SocketAddr,
-    /// Where peers fetch configurations and lists, and where metrics are read.
+    /// The listen address for snapshots to peers and for metrics.
     pub bulk_address: SocketAddr,
-    /// Where operators connect.
+    /// The listen address for operators.
     pub operator_address: SocketAddr,
-    /// Control addresses of peers, for the start.
+    /// The control addresses of the peers that the node contacts first when it starts.
     pub seeds: Vec<String>,
-    /// The configuration service.
+    /// The address of the configuration service.
     pub configuration_address: String,
-    /// The fleet list.
+    /// The address from which the fleet list is read.
     pub fleet_address: String,
-    /// Traffic threads.
+    /// The number of traffic threads.
     pub lanes: u32,
     /// The least severe level that is logged.
     pub log_level: String,
-    /// The spans on which the lease rests.
+    /// The time spans of the lease protocol.
     pub lease_rules: LeaseRules,
-    /// The time between two questions to a peer.
+    /// The interval between two gossip messages to a peer.
     pub heartbeat_interval: Span,
-    /// How long a starting node waits for its peers.
+    /// The maximum time that a starting node waits to catch up with its peers before it serves.
     pub startup_timeout: Span,
-    /// How long nobody may have read the configuration service before this node does.
+    /// The age of the last known read of the configuration service after which a node without watches reads it
+    /// itself.
     pub max_read_age: Span,
-    /// How long callers keep an answer to `Ask`.
+    /// How long callers may cache the answer to `Ask`.
     pub address_ttl: Span,
-    /// Peers outside the cell asked per beat.
+    /// The number of peers outside the cell that the node gossips with per heartbeat interval.
     pub fanout: usize,
-    /// How many targets of each service the node uses.
+    /// The maximum number of targets per service that the node uses.
     pub subset: SubsetSize,
-    /// The largest payload in bytes.
+    /// The maximum size of a payload in bytes.
     pub max_payload: usize,
-    /// The largest answer in bytes.
+    /// The maximum size of an answer in bytes.
     pub max_answer: usize,
-    /// The most unrepeatable keys that are remembered.
+    /// The maximum number of unrepeatable keys that are remembered.
     pub max_keys: usize,
-    /// The oldest plan that is acted on.
+    /// The maximum age of a plan; the node does not act on an older one.
     pub max_plan_age: Span,
-    /// Whether requests and reports are written to the log, for replay.
+    /// Whether each request is logged, so that the traffic can be replayed.
     pub log_arrivals: bool,
 }
 
@@ -67,7 +68,7 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// If the file cannot be read or is invalid: all errors in it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::read(SettingsReader::load(path))
     }
@@ -75,7 +76,7 @@
     /// Reads and checks settings from a reader.
     ///
     /// # Errors
-    /// Everything that is wrong with them.
+    /// If the settings are invalid: all errors in them.
     pub fn read(mut reader: SettingsReader) -> Result<Self, SettingsError> {
         let millis = |reader: &mut SettingsReader, name: &str, min: u64, max: u64, default: u64| {
             Span::from_millis(reader.number(name, min..=max, "ms", Some(default)))
@@ -120,13 +121,13 @@
             r.add_error(
                 "beat_ms",
                 &value,
-                "at most half of lease.freshness_ms, or no word stays fresh",
+                "at most half of lease.freshness_ms, otherwise lease votes do not stay valid",
             );
         }
         reader.finish().map(|()| settings)
     }
 
-    /// What the control state is set up with.
+    /// The settings of the control state.
     pub fn control_settings(&self, incarnation: Incarnation) -> ControlSettings {
         ControlSettings {
             node: self.node,
@@ -149,11 +150,11 @@
         }
     }
 
-    /// What the router of traffic thread `lane` is set up with.
+    /// The settings of the router in traffic thread `lane`.
     pub fn router_settings(&self, incarnation: Incarnation, lane: u32) -> RouterSettings {
         RouterSettings {
             node: self.node,
-            // Each lane numbers its requests by itself, so each is a run of its own to targets.
+            // Each lane has its own request numbers, so it has its own incarnation towards targets.
             incarnation: Incarnation(incarnation.0 + u64::from(lane)),
             lanes: self.lanes,
             seed: incarnation.0 ^ (u64::from(self.node.0) << 32) ^ u64::from(lane),
--- a/crates/barleyspool_entry/src/shared.rs
+++ b/crates/barleyspool_entry/src/shared.rs
@@ -1,4 +1,5 @@
-//! What the threads of a daemon share: the plan from control to traffic, and what operators look at.
+//! The state shared by the threads of a daemon: the plan, which the control thread publishes to the lanes,
+//! and the state that operators read.
 
 use crate::lane::LaneSender;
 use crate::settings::EntrySettings;
@@ -9,74 +10,74 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 use tokio::sync::watch;
 
-/// A target as one traffic thread sees it.
+/// The state of a target as one lane sees it.
 #[derive(Clone, Debug)]
 pub struct TargetView {
-    /// Its number.
+    /// The id of the target.
     pub id: TargetId,
-    /// IP number and port.
+    /// The IP address and port of the target.
     pub address: String,
-    /// Its zone.
+    /// The availability zone of the target.
     pub zone: String,
-    /// Its service.
+    /// The name of the target's service.
     pub service: String,
-    /// Its phase.
+    /// The name of the target's phase.
     pub phase: &'static str,
-    /// Calls of this node.
+    /// The number of calls from this lane to the target.
     pub in_flight: u32,
-    /// The present limit.
+    /// The current limit of `in_flight`.
     pub limit: u32,
-    /// Average latency in milliseconds.
+    /// The average latency in milliseconds.
     pub latency_ms: u64,
-    /// Age of the last load report in milliseconds; `None` when there was none.
+    /// The age of the last load report in milliseconds; `None` if there was none.
     pub report_age_ms: Option<u64>,
 }
 
-/// What a traffic thread shows of itself now and then.
+/// The counters and state of a lane, which it publishes periodically.
 #[derive(Clone, Debug, Default)]
 pub struct LaneStats {
-    /// Its counters.
+    /// The counters of the lane.
     pub counters: Counters,
-    /// Requests it is working on.
+    /// The number of unfinished requests.
     pub live_requests: usize,
-    /// Steps that wait.
+    /// The number of waiting steps.
     pub waiting_steps: u32,
-    /// Its targets.
+    /// The targets that the lane uses.
     pub targets: Vec<TargetView>,
 }
 
-/// Shared by all threads of a daemon.
+/// The state shared by all threads of a daemon.
 #[derive(Debug)]
 pub struct Shared {
-    /// The settings.
+    /// The settings of the node.
     pub settings: EntrySettings,
-    /// The clock.
+    /// The clock that all threads use.
     pub clock: Clock,
     /// The plan in force.
     pub plan: ArcSwap<Plan>,
-    /// Tells the lanes that the plan was replaced.
+    /// Notifies the lanes that the plan was replaced.
     pub plan_changed: watch::Sender<u64>,
     /// The inboxes of the lanes.
     pub lanes: Vec<LaneSender>,
-    /// What each lane last showed.
+    /// The last published stats of each lane.
     pub lane_stats: Vec<ArcSwap<LaneStats>>,
-    /// What the control state last counted.
+    /// The last published counters of the control state.
     pub control_counters: ArcSwap<ControlCounters>,
-    /// Calls refused because their lane took nothing more.
+    /// The number of calls refused because the inbox of their lane was full.
     pub lane_rejects: AtomicU64,
-    /// Streams to callers that are open.
+    /// The number of open streams to callers.
     pub open_streams: AtomicUsize,
-    /// Set when the daemon is to end.
+    /// Set to `true` to shut the daemon down.
     pub shutdown: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// The lane that works on `key`: the same for every repeat of it.
+    /// The lane for requests with `key`. Retries of a request have the same key and get the same lane.
     pub fn lane_for(&self, key: RequestKey) -> &LaneSender {
         &self.lanes[(key.0 % self.lanes.len() as u128) as usize]
     }
 
-    /// All lanes' counters together.
+    /// The sum of the counters of all lanes.
     pub fn total_counters(&self) -> Counters {
         let mut total = Counters::default();
         for stats in &self.lane_stats {
@@ -87,7 +88,7 @@
         total
     }
 
-    /// The name of a service in the configuration in force.
+    /// The name of a service in the configuration in force; empty if it is unknown.
     pub fn service_name(&self, service: barleyspool_core::ServiceIx) -> String {
         let plan: Arc<Plan> = self.plan.load_full();
         let spec = plan
--- a/crates/barleyspool_entry/src/target_client.rs
+++ b/crates/barleyspool_entry/src/target_client.rs
@@ -1,4 +1,4 @@
-//! Sending steps to targets over HTTP/1.1, and telling exactly what became of each.
+//! The client of the targets: sends steps over HTTP/1.1 and reports the exact outcome of each attempt.
 
 use crate::lane::unsent_attempt_ended;
 use crate::shared::Shared;
@@ -20,13 +20,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Idle connections kept per target.
+/// The maximum number of idle connections per target.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How long a probe or a cancellation may take.
+/// The timeout of a probe or a cancellation.
 const SIDE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest report of a target, in bytes.
+/// The maximum size of a response to a probe or a cancellation.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
-/// How long a finished answer may take to close before its connection is given up.
+/// After an answer was read, the time within which its connection must be ready for reuse; otherwise it is
+/// closed.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
 type RequestSender = SendRequest<http::FullBody>;
@@ -38,13 +39,13 @@
     idle: Mutex<HashMap<String, Vec<RequestSender>>>,
 }
 
-/// How the answer to an attempt ended.
+/// The result of an attempt of which at least a part was sent.
 struct AttemptResult {
     echo: Option<Echo>,
     end: AttemptEnd,
     report: Option<LoadReport>,
     leaving: bool,
-    /// Whether everything was read, so that the connection may be used again.
+    /// Whether the answer was read completely, so that the connection can be reused.
     reusable: bool,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl TargetClient {
-    /// A pool with no connections.
+    /// Creates a client without connections.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Sends a step and reports its parts and its end. Dropping the future closes the connection.
+    /// Sends a step, and reports the parts and the end of the answer as events. Dropping the future closes
+    /// the connection.
     pub async fn run_step(
         &self,
         attempt: AttemptId,
@@ -92,11 +94,11 @@
                 leaving,
             },
         };
-        // The lane only goes when the daemon ends.
+        // The receiver is closed only at shutdown.
         let _ = events.send(event);
     }
 
-    /// `None` when nothing of the step was sent.
+    /// Sends a step and reads the answer; `None` if nothing of the step was sent.
     async fn exchange(
         &self,
         attempt: AttemptId,
@@ -120,8 +122,9 @@
         Some(result)
     }
 
-    /// Sends on an idle connection, or on a new one when the idle ones turn out to be closed before
-    /// anything was written. `Some((_, None))` means that something was written and no answer began.
+    /// Sends a step on an idle connection, or on a new one if each idle one turns out to be closed before
+    /// anything was written to it. `None`: nothing was sent. `Some((_, None))`: a part may have been sent,
+    /// but no response was received.
     async fn send_step(
         &self,
         order: &StepOrder,
@@ -139,7 +142,7 @@
                 .header(hyper::header::CONTENT_TYPE, "application/json")
                 .body(http::FullBody::new(body.clone()))
                 .ok()?;
-            // The process may have slept since the decision: look at the clock once more.
+            // Check the clock again: the process may have been suspended since the router chose the target.
             if !self.may_still_send(order) {
                 return None;
             }
@@ -183,7 +186,8 @@
         }
     }
 
-    /// Tells a target that nobody waits for a step any more. It is only a hint: nothing depends on it.
+    /// Notifies a target that the answer to a step is no longer needed. This is a hint: correctness does not
+    /// depend on its delivery.
     pub async fn cancel(address: &str, echo: Echo) {
         if let Ok(body) = serde_json::to_vec(&echo) {
             let _ = http::send_request(
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Asks a target for its load, to see whether it answers.
+    /// Probes a target: requests its load report and reports whether it answered.
     pub async fn probe(target: TargetId, address: &str, events: &UnboundedSender<TrafficEvent>) {
         let answer =
             http::get_json::<TargetReport>(address, LOAD_PATH, MAX_REPORT_BYTES, SIDE_CALL_TIMEOUT).await;
@@ -215,7 +219,7 @@
     }
 }
 
-/// Makes a connection; its task ends when the sender is dropped.
+/// Opens a connection. Its task ends when the sender is dropped.
 async fn connect(address: &str) -> Option<RequestSender> {
     let stream = net::connect(address).await.ok()?;
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -231,7 +235,7 @@
     events: &UnboundedSender<TrafficEvent>,
 ) -> AttemptResult {
     if response.status() != StatusCode::OK {
-        // A bare error status says nothing of whether the step ran.
+        // An error status does not say whether the step ran.
         return AttemptResult::interrupted();
     }
     let content_type = response.headers().get(hyper::header::CONTENT_TYPE);
@@ -264,7 +268,7 @@
     }
 }
 
-/// Reads server-sent events until the one that ends the answer.
+/// Reads a stream of server-sent events up to its end; the last event has the length of the answer.
 async fn read_event_stream(
     attempt: AttemptId,
     mut body: Incoming,
@@ -282,7 +286,7 @@
                 return AttemptResult::interrupted();
             };
             if event.leaving && !leaving {
-                // At once: the stream may go on for seconds, or break off.
+                // Report this immediately: the stream may last several seconds more, or be interrupted.
                 leaving = true;
                 let _ = events.send(TrafficEvent::TargetLeaves { attempt });
             }
@@ -325,7 +329,7 @@
     }
 }
 
-/// Takes the next whole event out of what has been read; `None` when there is none yet.
+/// Removes the next complete event from the buffer; `None` if there is none yet.
 fn next_event(buffer: &mut BytesMut) -> Option<Result<StreamEvent, serde_json::Error>> {
     const EVENT_END: &[u8] = b"\n\n";
     const DATA_FIELD: &[u8] = b"data:";
