--- a/crates/barleyspool_client/src/client.rs
+++ b/crates/barleyspool_client/src/client.rs
@@ -1,4 +1,4 @@
-//! Running jobs: where to send, and when to send again.
+//! Runs jobs: chooses the node for each send, and decides about retries.
 
 use crate::connections::Connections;
 use crate::job::{Answer, Job, JobOutcome};
@@ -10,23 +10,24 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tonic::Status;
 
-/// What the reason of an [`JobOutcome::Unknown`] begins with when no node gave an outcome.
+/// Prefix of the reason of a [`JobOutcome::Unknown`] when no node reported an outcome.
 const NO_OUTCOME: &str = "no_outcome";
-/// The shortest wait before a node is asked again after a failure.
+/// The delay before a retry after a failed connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a call of `Ask` may take.
+/// Timeout of an `Ask` call.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a node may take to accept a request. It does so before it decides anything.
+/// How long a node may take to accept a request. A node accepts before it decides about the request.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How much later than its deadline an outcome may come.
+/// How long after the deadline of a job its outcome is still accepted.
 const OUTCOME_GRACE: Duration = Duration::from_millis(500);
 
-/// How a client behaves.
+/// The settings of a client.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// The most sends of one job.
+    /// The maximum number of sends of one job.
     pub max_sends: u32,
-    /// Whether refusals are waited out as the node says; otherwise the first refusal is the answer.
+    /// Whether a refused job is retried after the delay that the node states; otherwise the first refusal is the
+    /// answer.
     pub retry_refused: bool,
 }
 
@@ -39,14 +40,14 @@
     }
 }
 
-/// The nodes that were last named, and until when.
+/// The addresses in the latest `Ask` reply, and when they expire.
 #[derive(Debug, Default)]
 struct CachedNodes {
     addresses: Vec<String>,
     expires_at: Option<Instant>,
 }
 
-/// A caller's client. It may be shared by many tasks.
+/// A client of the entry nodes. It may be shared by many tasks.
 #[derive(Debug)]
 pub struct Client {
     seeds: Vec<String>,
@@ -57,18 +58,18 @@
     revision: AtomicU64,
 }
 
-/// What one send of a job led to.
+/// The result of one send of a job.
 enum SendResult {
-    /// An outcome, and what came before it.
+    /// The outcome, the data received before it, and when the first byte arrived.
     Outcome(rpc::Outcome, Vec<u8>, Option<Time>),
-    /// The connection could not be made: nothing was sent.
+    /// The connection could not be opened, or the node certainly did not process the request.
     Unreachable,
-    /// The connection broke or the node did not answer.
+    /// The connection was lost or the node did not answer.
     ConnectionLost(Status),
 }
 
 impl Client {
-    /// A client in `zone` that knows a few entry nodes by IP number and port.
+    /// Creates a client in `zone`; `seeds` are the IP addresses and ports of a few entry nodes.
     pub fn new(seeds: Vec<String>, zone: &str) -> Self {
         Self {
             seeds,
@@ -80,13 +81,13 @@
         }
     }
 
-    /// With other settings than the default ones.
+    /// Replaces the default settings.
     pub fn with_settings(mut self, settings: ClientSettings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// Runs a job: sends it, and sends it again where that cannot do harm, until its deadline.
+    /// Runs a job until its deadline. Retries it only when that is safe.
     pub async fn run(&self, job: &Job) -> Answer {
         let mut progress = JobProgress {
             earlier_sends: rpc::EarlierSends::None,
@@ -106,7 +107,7 @@
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
                 SendResult::ConnectionLost(status) => {
-                    // It may have run: say so, and let the home of the key tell.
+                    // The job may have run. The next send states that, and the home node of the key decides.
                     progress.earlier_sends = rpc::EarlierSends::Uncertain;
                     progress.last_outcome = Some(JobOutcome::Unknown {
                         reason: format!("{NO_OUTCOME}: {}", status.message()),
@@ -135,7 +136,8 @@
         progress.final_answer()
     }
 
-    /// Decides after a refusal: `None` to give up, `Some(None)` to try any node, `Some(Some(_))` that one.
+    /// Decides whether to retry after a refusal, and waits as long as the refusal demands. Returns `None` to give
+    /// up, `Some(None)` to retry at any node, and `Some(Some(address))` to retry at that node.
     async fn handle_refusal(
         &self,
         job: &Job,
@@ -146,7 +148,8 @@
         let reason = outcome.reason.clone();
         let retry_after_ms = outcome.come_back_ms;
         progress.last_outcome = Some(if not_run {
-            // Of an uncertain key only the settled home says this; then it is certain again.
+            // After an uncertain send only the home node of the key, once its ownership of the key is settled, reports
+            // `NotRun`; the earlier sends then certainly have not run.
             progress.earlier_sends = rpc::EarlierSends::AllNotRun;
             JobOutcome::NotRun {
                 reason,
@@ -155,7 +158,7 @@
         } else {
             JobOutcome::Unknown { reason }
         });
-        // An unknown outcome is final unless the refusing node itself did nothing for the job.
+        // An unknown outcome is final unless the refusing node has not started the job.
         let refused_on_arrival = outcome.step.is_empty();
         if retry_after_ms == 0 || !(refused_on_arrival || not_run) {
             return None;
@@ -194,7 +197,8 @@
         let remaining = Duration::from_micros(job.deadline.since(wall_clock()).0) + OUTCOME_GRACE;
         let exchange = async {
             let accepted = tokio::time::timeout(ACCEPT_TIMEOUT, client.run(request)).await;
-            let accepted = accepted.map_err(|_| Status::deadline_exceeded("the node does not accept"))?;
+            let accepted = accepted
+                .map_err(|_| Status::deadline_exceeded("the node did not accept the request in time"))?;
             let mut stream = accepted?.into_inner();
             let (mut data, mut first_byte_at) = (Vec::new(), None);
             while let Some(reply) = stream.message().await? {
@@ -204,12 +208,12 @@
                         data.extend_from_slice(&part.data);
                     }
                     Some(rpc::run_reply::Reply::Part(_)) => {
-                        return Err(Status::data_loss("a part is missing"));
+                        return Err(Status::data_loss("a part of the answer is missing"));
                     }
                     Some(rpc::run_reply::Reply::Outcome(outcome)) => {
                         let complete = outcome.verdict() == rpc::Verdict::Complete;
                         if complete && outcome.length != data.len() as u64 {
-                            return Err(Status::data_loss("the answer is not whole"));
+                            return Err(Status::data_loss("the answer is incomplete"));
                         }
                         return Ok(SendResult::Outcome(outcome, data, first_byte_at));
                     }
@@ -227,9 +231,10 @@
     }
 
     // ------------------------------------------------------------------------
-    // Which node
+    // Choice of the node
 
-    /// The node to send to: the home for an unrepeatable job, else one of the kept ones.
+    /// Chooses the node to send to: the home node of the key for an unrepeatable job, otherwise one of the cached
+    /// nodes. The first send goes to the first node, a retry to a random one.
     async fn choose_node(&self, job: &Job, sends: u32) -> String {
         if job.unrepeatable
             && let Some(addresses) = self.request_nodes(&job.organisation, &job.key, sends).await
@@ -250,6 +255,7 @@
         }
     }
 
+    /// The cached nodes, or a fresh list when the cache has expired; the seeds when no node answers.
     async fn available_nodes(&self, organisation: &str, sends: u32) -> Vec<String> {
         if let Ok(cached) = self.cached_nodes.lock()
             && cached
@@ -269,7 +275,8 @@
         }
     }
 
-    /// Asks the nodes that are known, one after the other, until one answers.
+    /// Asks the known nodes one after the other which nodes to use, until one answers. A reply for an empty key is
+    /// cached.
     async fn request_nodes(&self, organisation: &str, key: &str, sends: u32) -> Option<Vec<String>> {
         let mut nodes = self
             .cached_nodes
@@ -318,7 +325,7 @@
     }
 }
 
-/// A job on its way.
+/// The state of a job between its sends.
 struct JobProgress {
     earlier_sends: rpc::EarlierSends,
     sends: u32,
@@ -340,8 +347,8 @@
     }
 }
 
-/// Whether a failed send certainly did not reach the node's work: the connection closed before the request was
-/// written, or the node, on its way out, said that it would not process it.
+/// Whether the node certainly did not process a failed send: the connection closed before the request was written,
+/// or the node is stopping and rejected the stream with `REFUSED_STREAM`.
 fn never_processed(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
@@ -360,7 +367,7 @@
     false
 }
 
-/// The wall clock.
+/// The current wall-clock time.
 fn wall_clock() -> Time {
     Time(
         SystemTime::now()
--- a/crates/barleyspool_client/src/connections.rs
+++ b/crates/barleyspool_client/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to entry nodes.
+//! A pool of open connections to entry nodes.
 
 use barleyspool_wire::net;
 use barleyspool_wire::rpc::gateway_client::GatewayClient;
@@ -8,24 +8,24 @@
 use std::time::Duration;
 use tonic::transport::{Channel, Endpoint, Uri};
 
-/// How often a connection with a request on it is asked whether its node is still there, and how long the
-/// node may take to say so. Deadlines are about a second, and a job whose node hangs has to be sent elsewhere
-/// well before that.
+/// The interval of the HTTP/2 keep-alive pings on a connection with a running request, and the timeout of each
+/// ping. Deadlines are about a second, and a job whose node hangs has to be retried at another node well before
+/// that.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(250);
-/// The largest message of an entry node, in bytes.
+/// The largest message accepted from an entry node.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// One connection per entry node, made when it is first needed.
+/// One connection per entry node, opened on first use.
 #[derive(Debug, Default)]
 pub struct Connections {
     clients: Mutex<HashMap<String, GatewayClient<Channel>>>,
 }
 
 impl Connections {
-    /// The connection to `address`; made now if there is none.
+    /// Returns the connection to `address`; opens it if there is none.
     ///
     /// # Errors
-    /// When it cannot be made. Nothing has been sent then.
+    /// When the connection cannot be opened. No request has been sent in that case.
     pub async fn get(&self, address: &str) -> Result<GatewayClient<Channel>, tonic::transport::Error> {
         if let Some(client) = self
             .clients
@@ -50,7 +50,7 @@
         Ok(client)
     }
 
-    /// Forgets a connection that failed.
+    /// Removes a connection that failed.
     pub fn remove(&self, address: &str) {
         if let Ok(mut clients) = self.clients.lock() {
             clients.remove(address);
--- a/crates/barleyspool_client/src/job.rs
+++ b/crates/barleyspool_client/src/job.rs
@@ -1,55 +1,55 @@
-//! What a caller wants run, and what it gets.
+//! Jobs of a caller and their answers.
 
 use barleyspool_core::Time;
 use std::sync::Arc;
 
-/// One request. Its key and deadline stay the same however often it is sent.
+/// One request. Its key and deadline stay the same for all sends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Job {
-    /// The caller's key, at most 128 bytes.
+    /// The idempotency key that the caller chose, at most 128 bytes.
     pub key: String,
-    /// The organisation.
+    /// The name of the caller's organisation.
     pub organisation: String,
-    /// The pipeline.
+    /// The name of the pipeline to run.
     pub pipeline: String,
-    /// The absolute deadline.
+    /// The absolute deadline, by the wall clock.
     pub deadline: Time,
-    /// Whether it may run at most once.
+    /// Whether the job may run at most once.
     pub unrepeatable: bool,
-    /// The payload.
+    /// The input of the pipeline.
     pub payload: Arc<[u8]>,
-    /// A shared beginning of prompts; empty for none.
+    /// The prompt prefix that the job shares with other jobs; empty for none.
     pub prefix: String,
 }
 
-/// How a job ended for its caller.
+/// The outcome of a job as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// The answer is complete.
     Complete,
     /// No part of the job ran.
     NotRun {
-        /// The last refusal's reason.
+        /// The reason of the last refusal.
         reason: String,
-        /// When to come back, in milliseconds; zero when that does not help.
+        /// The delay after which a retry may succeed, in milliseconds; zero when a retry does not help.
         retry_after_ms: u64,
     },
-    /// Some of the job ran or may have run, and there is no complete answer.
+    /// Some part of the job ran or may have run, and there is no complete answer.
     Unknown {
-        /// The reason, or what broke.
+        /// The reason that a node gave, or the error of the connection.
         reason: String,
     },
 }
 
-/// What a caller gets.
+/// The answer to a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The bytes; whole when the end is [`JobOutcome::Complete`].
+    /// The bytes of the answer; complete only when the outcome is [`JobOutcome::Complete`].
     pub data: Vec<u8>,
-    /// How it ended.
+    /// The outcome of the job.
     pub outcome: JobOutcome,
     /// How often the job was sent.
     pub sends: u32,
-    /// When the first byte of the answer came.
+    /// When the first byte of the answer arrived.
     pub first_byte_at: Option<Time>,
 }
--- a/crates/barleyspool_client/src/lib.rs
+++ b/crates/barleyspool_client/src/lib.rs
@@ -1,5 +1,5 @@
-//! The callers' side as a library: ask which nodes to use, keep the answer, connect directly, and send
-//! again only what may be sent again.
+//! The client library for callers: asks an entry node which nodes to use, caches the list, connects to those
+//! nodes directly, and retries a request only when that is safe.
 //!
 //! ```no_run
 //! # async fn example() {
