--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -212,7 +212,7 @@
         requester: call.traffic.plan().me,
         max_wait,
         engine_memory: query.engine_memory?,
-        failed_targets: avoid.map(|record| record.entry.id.clone()).collect(),
+        excluded_targets: avoid.map(|record| record.entry.id.clone()).collect(),
         service: query.service,
         route: query.route,
         prefix: query.prefix,
@@ -236,7 +236,7 @@
     };
     let mut forwarder = traffic.forwarder.borrow_mut();
     let avoid = request
-        .failed_targets
+        .excluded_targets
         .iter()
         .filter_map(|id| forwarder.key(id))
         .collect();
--- a/crates/barleyspool_wire/src/pieces.rs
+++ b/crates/barleyspool_wire/src/pieces.rs
@@ -80,7 +80,7 @@
     pub input_bytes: u64,
     /// Ids of targets that failed it already.
     #[serde(rename = "avoid")]
-    pub failed_targets: Vec<String>,
+    pub excluded_targets: Vec<String>,
     /// Whether an engine can take the shared beginning of its prompt from another one.
     #[serde(rename = "copies")]
     pub can_copy_prefixes: bool,
