--- a/crates/barleyspool_wire/tests/process.rs
+++ b/crates/barleyspool_wire/tests/process.rs
@@ -1,6 +1,6 @@
-//! A thread that panics ends the process with it, also while the others run.
+//! A panic of a thread is reported while the other threads are still running.
 //!
-//! Threads were waited for one after the other, so a daemon whose second thread panicked went on without it.
+//! Joining the threads one after the other let a daemon continue without its second thread after that one panicked.
 
 #![allow(clippy::unwrap_used, clippy::panic, reason = "a test stops where it fails")]
 
@@ -10,19 +10,19 @@
 use tokio::task::LocalSet;
 
 #[test]
-fn a_panic_is_told_while_other_threads_run() {
-    let (running, until) = mpsc::channel::<()>();
+fn a_panic_is_reported_while_other_threads_run() {
+    let (keep_running, stopped) = mpsc::channel::<()>();
     let mut threads = Threads::default();
     threads
-        .spawn("first", move || assert!(until.recv().is_err()))
+        .spawn("first", move || assert!(stopped.recv().is_err()))
         .unwrap();
     threads.spawn("second", || panic!("on purpose")).unwrap();
     assert_eq!(threads.wait(), Err(ThreadError::Panicked("second".to_owned())));
-    drop(running);
+    drop(keep_running);
 }
 
 #[test]
-fn threads_that_end_in_order_are_waited_for() {
+fn wait_returns_after_all_threads_have_exited() {
     let mut threads = Threads::default();
     for name in ["first", "second"] {
         threads.spawn(name, || {}).unwrap();
@@ -30,7 +30,7 @@
     assert_eq!(threads.wait(), Ok(()));
 }
 
-/// The runtime keeps a panic of a task to itself: the thread went on without it.
+/// The runtime isolates a panic of a task, so the thread continued without that task.
 #[test]
 fn a_panic_of_an_essential_task_ends_its_thread() {
     let mut threads = Threads::default();
--- a/crates/barleyspool_wire/tests/suspension.rs
+++ b/crates/barleyspool_wire/tests/suspension.rs
@@ -1,8 +1,8 @@
-//! A suspended machine: the steady clock stands still, the one that counts from the start of the machine goes on.
+//! Timeouts and the clock during a suspension of the machine: `CLOCK_MONOTONIC` stops, `CLOCK_BOOTTIME` advances.
 //!
-//! Seen on no deployment yet; it is what the platform says may happen. A node that was suspended for 10 s went on with the
-//! clock that stood still: calls whose time had passed were held on for as long as they had left, and everything it
-//! knew passed for 10 s younger than it was. No test can suspend the machine it runs on, so these hand the two clocks in.
+//! This has not been observed in a deployment yet; the platform documents it as possible. With the clock that stops,
+//! a node that was suspended for 10 s held calls past their deadlines for the rest of their timeouts, and treated all
+//! its information as 10 s younger than it was. A test cannot suspend its machine, so these pass in the clocks.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,48 +17,54 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Mutex;
 
-/// How long after a suspension a call whose time is over has to be answered.
-const SOON: Duration = Duration::from_millis(500);
-const SLEPT: Duration = Duration::from_secs(10);
+/// How long after a suspension a call whose deadline has passed must be answered.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+/// The duration of the simulated suspension.
+const SUSPENSION_DURATION: Duration = Duration::from_secs(10);
 
-/// Runs `work` on a thread of a daemon whose machine is suspended for [`SLEPT`] after 300 ms. Tells how long it took.
-async fn beside_a_suspension<T>(work: impl Future<Output = T>) -> (T, Duration) {
-    // A suspension ends the waits of all threads of a process, those of other tests too.
-    static ONE_MACHINE: Mutex<()> = Mutex::const_new(());
-    let _suspended = ONE_MACHINE.lock().await;
-    let slept = Cell::new(Duration::ZERO);
+/// Runs `work` while a suspension of the machine for [`SUSPENSION_DURATION`] is simulated after 300 ms. Returns the result and
+/// the elapsed time.
+async fn run_during_suspension<T>(work: impl Future<Output = T>) -> (T, Duration) {
+    // A suspension wakes the waits of all threads of the process, including those of other tests.
+    static SUSPENSION_LOCK: Mutex<()> = Mutex::const_new(());
+    let _guard = SUSPENSION_LOCK.lock().await;
+    let suspended_time = Cell::new(Duration::ZERO);
     let suspend = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        slept.set(SLEPT);
+        suspended_time.set(SUSPENSION_DURATION);
         std::future::pending::<()>().await;
     };
-    let watch = timer::watch_suspensions(|| slept.get(), |noted| assert_eq!(noted, SLEPT));
-    let began = Instant::now();
+    let watch = timer::watch_suspensions(
+        || suspended_time.get(),
+        |duration| assert_eq!(duration, SUSPENSION_DURATION),
+    );
+    let started = Instant::now();
     tokio::select! {
-        done = work => (done, began.elapsed()),
-        () = watch => unreachable!("it looks for ever"),
+        output = work => (output, started.elapsed()),
+        () = watch => unreachable!("it runs for ever"),
         () = suspend => unreachable!("it waits for ever"),
     }
 }
 
 #[tokio::test]
-async fn a_wait_that_is_over_after_a_suspension_ends_soon() {
-    let ((), took) = beside_a_suspension(timer::sleep(Duration::from_secs(5))).await;
-    assert!(took < Duration::from_millis(300) + SOON, "{took:?}");
-    let never = std::future::pending::<()>();
-    let (done, took) = beside_a_suspension(timer::timeout(Duration::from_secs(5), never)).await;
-    assert_eq!(done, Err(timer::TimedOut));
-    assert!(took < Duration::from_millis(300) + SOON, "{took:?}");
+async fn waits_that_expired_during_a_suspension_end_soon_after_it() {
+    let ((), elapsed) = run_during_suspension(timer::sleep(Duration::from_secs(5))).await;
+    assert!(elapsed < Duration::from_millis(300) + MAX_DELAY, "{elapsed:?}");
+    let pending = std::future::pending::<()>();
+    let (output, elapsed) = run_during_suspension(timer::timeout(Duration::from_secs(5), pending)).await;
+    assert_eq!(output, Err(timer::TimedOut));
+    assert!(elapsed < Duration::from_millis(300) + MAX_DELAY, "{elapsed:?}");
 }
 
 #[tokio::test]
-async fn a_wait_that_is_not_over_goes_on_for_what_is_left() {
-    let ((), took) = beside_a_suspension(timer::sleep(SLEPT + Duration::from_millis(1500))).await;
-    assert!(took >= Duration::from_millis(1500), "{took:?}");
-    assert!(took < Duration::from_millis(1500) + SOON, "{took:?}");
+async fn a_wait_that_has_not_expired_lasts_for_its_remaining_time() {
+    let ((), elapsed) =
+        run_during_suspension(timer::sleep(SUSPENSION_DURATION + Duration::from_millis(1500))).await;
+    assert!(elapsed >= Duration::from_millis(1500), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(1500) + MAX_DELAY, "{elapsed:?}");
 }
 
-/// What a machine's clock shows that was suspended for a while; set by the test below.
+/// The suspended time that [`suspended_clock`] includes; set by the test below.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 fn suspended_clock() -> Duration {
@@ -66,19 +72,19 @@
 }
 
 #[test]
-fn the_clock_counts_a_suspension() {
+fn the_clock_includes_suspensions() {
     let clock = Clock::with_time_source(suspended_clock);
     let before = clock.now();
     SUSPENDED_MS.store(10_000, Ordering::Relaxed);
     assert!(clock.now().since(before) >= Span::from_secs(10));
 }
 
-/// Both clocks of this machine count on, and the one that the daemons use is never behind the other.
+/// Both clocks of this machine advance, and the one that the daemons use is never behind the other.
 #[test]
-fn the_clock_of_the_machine_counts_on() {
-    let (boot, awake) = (time_since_boot(), monotonic_time());
+fn both_machine_clocks_advance() {
+    let (boot_before, monotonic_before) = (time_since_boot(), monotonic_time());
     std::thread::sleep(Duration::from_millis(20));
-    assert!(time_since_boot() >= boot + Duration::from_millis(20));
-    assert!(monotonic_time() >= awake + Duration::from_millis(20));
+    assert!(time_since_boot() >= boot_before + Duration::from_millis(20));
+    assert!(monotonic_time() >= monotonic_before + Duration::from_millis(20));
     assert!(time_since_boot() + Duration::from_millis(1) >= monotonic_time());
 }
