--- a/crates/barleyspool_wire/src/http.rs
+++ b/crates/barleyspool_wire/src/http.rs
@@ -1,5 +1,5 @@
-//! Small HTTP/1.1 helpers on `hyper`: a request with a timeout, and a server that never lets one bad
-//! connection touch another.
+//! Small HTTP/1.1 helpers on `hyper`: a request with a timeout, and a server that isolates the connections from
+//! each other's failures.
 
 use crate::net;
 use crate::timer;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A body that is whole in memory.
+/// A body that is completely in memory.
 pub type FullBody = Full<Bytes>;
 
 /// Why a request failed.
@@ -21,47 +21,47 @@
 pub enum HttpError {
     /// {peer}: cannot connect: {cause}
     Connect {
-        /// The address.
+        /// The address of the server.
         peer: String,
-        /// What went wrong.
+        /// The error.
         cause: String,
     },
-    /// {peer}: broken off: {cause}
+    /// {peer}: the connection was lost: {cause}
     ConnectionLost {
-        /// The address.
+        /// The address of the server.
         peer: String,
-        /// What went wrong.
+        /// The error.
         cause: String,
     },
     /// {peer}: no answer within {ms} ms
     Timeout {
-        /// The address.
+        /// The address of the server.
         peer: String,
-        /// The time that was waited.
+        /// The timeout in milliseconds.
         ms: u64,
     },
-    /// {peer}: answered {status}
+    /// {peer}: unexpected status {status}
     Status {
-        /// The address.
+        /// The address of the server.
         peer: String,
         /// The HTTP status.
         status: u16,
     },
-    /// {peer}: answer not understood: {cause}
+    /// {peer}: malformed answer: {cause}
     Malformed {
-        /// The address.
+        /// The address of the server.
         peer: String,
-        /// What went wrong.
+        /// The error.
         cause: String,
     },
 }
 
 impl std::error::Error for HttpError {}
 
-/// Sends one request on a connection of its own and reads the answer whole, at most `limit` bytes.
+/// Sends one request on a new connection and reads the whole answer, at most `max_bytes` bytes.
 ///
 /// # Errors
-/// When there is no whole answer in time. A status other than 200 is an answer.
+/// When the complete answer does not arrive in time. A status other than 200 is not an error.
 pub async fn send_request(
     peer: &str,
     method: Method,
@@ -120,7 +120,7 @@
     Ok((status, body.to_bytes()))
 }
 
-/// Ends a task when its owner goes, so that a connection does not outlive the exchange it was made for.
+/// Aborts a task when dropped, so that a connection does not outlive the exchange that it was opened for.
 #[derive(Debug)]
 pub struct AbortOnDrop<T>(pub tokio::task::JoinHandle<T>);
 
@@ -130,10 +130,10 @@
     }
 }
 
-/// Like [`send_request`], for JSON: 200 gives a value, 204 gives `None`.
+/// Sends a GET request for JSON: status 200 yields the parsed value, 204 yields `None`.
 ///
 /// # Errors
-/// As [`send_request`]; and when the status is another one or the JSON is not understood.
+/// The errors of [`send_request`], any other status, and JSON that does not match the type.
 pub async fn get_json<T: serde::de::DeserializeOwned>(
     peer: &str,
     path: &str,
@@ -151,10 +151,10 @@
     }
 }
 
-/// Reads JSON, and says where it does not fit.
+/// Parses JSON; the error names the path of the value that does not match the type.
 ///
 /// # Errors
-/// When it does not fit.
+/// When the JSON is invalid or does not match the type.
 pub fn parse_json<T: serde::de::DeserializeOwned>(peer: &str, body: &[u8]) -> Result<T, HttpError> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut reader).map_err(|cause| HttpError::Malformed {
@@ -163,14 +163,14 @@
     })
 }
 
-/// A whole answer.
+/// Builds an answer with a complete body.
 pub fn reply(status: StatusCode, body: impl Into<Bytes>) -> Response<FullBody> {
     let mut response = Response::new(FullBody::new(body.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Serves requests on a listener until the task is dropped. Each connection has a task of its own.
+/// Serves requests on a listener until the future is dropped. Each connection is served by a separate task.
 pub async fn serve<F, R, B>(listener: TcpListener, handle: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + 'static,
@@ -194,7 +194,7 @@
             server
                 .timer(hyper_util::rt::TokioTimer::new())
                 .header_read_timeout(Duration::from_secs(10));
-            // A caller that breaks off is its own affair; what it asked for has its own counters.
+            // A connection error affects this client only, and the handlers count the requests that they serve.
             let _ = server.serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/barleyspool_wire/src/lib.rs
+++ b/crates/barleyspool_wire/src/lib.rs
@@ -1,13 +1,15 @@
-//! What goes over the wire, and how connections are made.
+//! Wire formats and connections, and the process helpers shared by all daemons.
 //!
 //! - [`rpc`]: the code generated from `schema/barleyspool.proto`, for callers and operators.
-//! - [`peer`]: control calls between entry nodes, by `tarpc`.
-//! - [`pieces`]: orders for pieces of stages between entry nodes, by `tarpc`.
+//! - [`peer`]: gossip between entry nodes, by `tarpc`.
+//! - [`pieces`]: orders for pieces of stages, placements and grants between nodes, by `tarpc`.
 //! - [`target`] and [`platform`]: the JSON of targets and of the platform's services.
-//! - [`net`]: the one place where connections are made and accepted.
-//! - [`process`]: signals and threads of a daemon.
-//! - [`timer`]: time-outs that let go first what has arrived.
-//! - [`settings`]: reading and checking settings files.
+//! - [`http`]: HTTP/1.1 requests and a small server.
+//! - [`net`]: opens and accepts all connections.
+//! - [`process`]: signals, threads and essential tasks of a daemon.
+//! - [`logging`]: structured logs.
+//! - [`timer`]: timeouts that process received data first, and that count suspensions of the machine.
+//! - [`settings`]: reads and validates settings files.
 
 mod clock;
 pub mod http;
--- a/crates/barleyspool_wire/src/logging.rs
+++ b/crates/barleyspool_wire/src/logging.rs
@@ -1,15 +1,15 @@
-//! Structured logs: one JSON object a line on standard error, written only when a state changes.
+//! Structured logs: one JSON object per line on standard error, written only when a state changes.
 
 use spdlog::formatter::JsonFormatter;
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 use std::sync::Arc;
 
-/// The levels that settings may name.
+/// The log levels that the settings accept.
 pub const LEVELS: &[&str] = &["error", "warn", "info", "debug"];
 
-/// Sends the logs of this process to standard error, from `level` up. An unknown level means `info`; the
-/// settings have been checked before.
+/// Writes the logs of this process to standard error, from `level` up. An unknown level means `info`; the settings
+/// are validated before.
 pub fn init(process: &str, level: &str) {
     let level = match level {
         "error" => Level::Error,
--- a/crates/barleyspool_wire/src/peer.rs
+++ b/crates/barleyspool_wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Control calls between entry nodes: `tarpc` over our own connections, in MessagePack.
+//! Gossip between entry nodes: `tarpc` with MessagePack over the connections of [`net`].
 
 use crate::net;
 use barleyspool_core::{Gossip, PeerReply};
@@ -12,23 +12,24 @@
 use tokio::net::TcpStream;
 use tokio_serde::formats::MessagePack;
 
-/// The largest message between peers, in bytes.
+/// The largest message between peers.
 const MAX_FRAME_BYTES: usize = 512 * 1024;
 
-/// What a node answers to its peers.
+/// The service that a node offers to its peers. The method name is part of the wire format.
 #[tarpc::service]
 pub trait Peer {
-    /// Says what the asking node is at, and hears what this one is at and its word for the lease.
+    /// Exchanges gossip: the request carries the state of the requesting node, the reply the state of the answering
+    /// node and its vote for the lease.
     async fn ask(gossip: Gossip) -> PeerReply;
 }
 
-/// A transport of `Item`s in and `SinkItem`s out over a connection.
+/// A transport that receives `Item`s and sends `SinkItem`s over a connection.
 pub type PeerTransport<Item, SinkItem> = Transport<TcpStream, Item, SinkItem, MessagePack<Item, SinkItem>>;
 
-/// The serving side of a connection.
+/// The transport of the server side of a connection.
 pub type ServerTransport = PeerTransport<ClientMessage<PeerRequest>, Response<PeerResponse>>;
 
-/// Puts `tarpc`'s framing on a connection.
+/// Wraps a connection in the length-delimited framing that `tarpc` uses.
 pub fn transport<Item, SinkItem>(stream: TcpStream) -> PeerTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
@@ -40,16 +41,16 @@
     tarpc::serde_transport::new(Framed::new(stream, codec), MessagePack::default())
 }
 
-/// Connects to a peer's control address. The connection's task runs until the client is dropped.
+/// Connects to the control address of a peer. The task that drives the connection runs until the client is dropped.
 ///
 /// # Errors
-/// When the connection cannot be made.
+/// When the connection cannot be opened.
 pub async fn connect(address: &str) -> io::Result<PeerClient> {
     let stream = net::connect(address).await?;
     Ok(PeerClient::new(tarpc::client::Config::default(), transport(stream)).spawn())
 }
 
-/// Asks a peer; gives up after `timeout`.
+/// Exchanges gossip with a peer, with a timeout.
 ///
 /// # Errors
 /// When the connection fails or the peer does not answer in time.
--- a/crates/barleyspool_wire/src/pieces.rs
+++ b/crates/barleyspool_wire/src/pieces.rs
@@ -1,6 +1,9 @@
-//! Orders for pieces of stages, from the node that has the request to the node that owns the pool.
+//! Calls between nodes: orders for pieces of stages, from the node that has the request to the node that owns the
+//! pool; placements of calls at engines; and grants for rate-limited targets.
 //!
-//! Times in a message are counted from its arrival, in microseconds: clocks of two nodes need not agree.
+//! Times in a message are relative to its arrival, in microseconds, because the clocks of two nodes may differ.
+//! Messages are encoded by position, so the order of the fields is part of the wire format, and so are the names of
+//! the enum variants and of the service methods.
 
 use crate::net;
 use crate::peer::{self, PeerTransport};
@@ -10,78 +13,79 @@
 use tarpc::{ClientMessage, Response};
 use tokio::net::TcpStream;
 
-/// An order for a shard of a pool.
+/// An order sent to the owner of a shard of a pool.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct RemoteOrder {
-    /// The pool's service.
+    /// The service of the pool.
     pub service: String,
-    /// Which shard of it.
+    /// The number of the shard.
     pub shard: u32,
-    /// The key of the node that asks.
+    /// The key of the requesting node.
     #[serde(rename = "from")]
     pub requester: u64,
-    /// The order; its times are counted from the message's arrival.
+    /// The order; its times are relative to the arrival of the message.
     pub order: PieceOrder,
 }
 
-/// How a remote order ended.
+/// The outcome of a remote order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct RemoteOrderOutcome {
-    /// What became of it.
+    /// The outcome of the order.
     #[serde(rename = "end")]
     pub outcome: OrderOutcome,
-    /// How long a full call that came now would take, waiting included.
+    /// How long a full batch submitted now would take, including the wait in the queue.
     #[serde(rename = "wait")]
     pub expected_wait: Span,
 }
 
-/// Results that a request does not need any more.
+/// Results that a request no longer needs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct RemoteRelease {
-    /// The pool's service.
+    /// The service of the pool.
     pub service: String,
-    /// Which shard of it.
+    /// The number of the shard.
     pub shard: u32,
-    /// The results.
+    /// The handles of the results.
     pub handles: Vec<String>,
 }
 
-/// Asks the owner of a service of engines which of them a call should go to.
+/// Asks the owner of a shard of an engine service to choose an engine for a call.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct PlaceRequest {
-    /// The call's id.
+    /// The id of the placement: the id of the call and the number of this placement.
     pub call: String,
     /// The service.
     pub service: String,
-    /// Which shard of it.
+    /// The number of the shard.
     pub shard: u32,
-    /// The key of the node that asks.
+    /// The key of the requesting node.
     #[serde(rename = "from")]
     pub requester: u64,
-    /// How long the call may wait for an engine that takes so many calls a second and no more.
+    /// How long the call may wait for a rate-limited engine.
     pub max_wait: Span,
-    /// The call's route.
+    /// The route of the call.
     pub route: String,
-    /// Tokens that fit into one engine.
+    /// How many tokens fit into the memory of one engine.
     pub engine_memory: u64,
-    /// The shared beginning of its prompt; zero for none.
+    /// The hash of the shared prefix of the prompt; zero for none.
     pub prefix: u64,
-    /// Tokens of that beginning.
+    /// The number of tokens of the shared prefix.
     pub prefix_tokens: u32,
-    /// Tokens of the whole prompt.
+    /// The number of tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Where its inputs lie.
+    /// The zone that stores the inputs of the call.
     pub zone: String,
-    /// The size of its inputs, in bytes.
+    /// The size of the inputs, in bytes.
     pub input_bytes: u64,
-    /// Ids of targets that failed it already.
+    /// The ids of targets that must not be chosen: those that failed the call, and those in cooldown at the
+    /// requesting node.
     #[serde(rename = "avoid")]
     pub excluded_targets: Vec<String>,
-    /// Whether an engine can take the shared beginning of its prompt from another one.
+    /// Whether an engine can copy the shared prefix from another engine.
     #[serde(rename = "copies")]
     pub can_copy_prefixes: bool,
 }
@@ -90,26 +94,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct ChosenEngine {
-    /// Its id.
+    /// The id of the engine.
     pub target: String,
-    /// The address of an engine that most likely holds the shared beginning of the prompt, when this one does not.
+    /// The address of another engine that most likely holds the shared prefix, when the chosen one does not.
     #[serde(rename = "source")]
     pub prefix_source: Option<String>,
-    /// Whether it takes so many calls a second and no more.
+    /// Whether the engine is rate-limited.
     #[serde(rename = "bounded")]
     pub rate_limited: bool,
-    /// How long the call has to wait before it is sent.
+    /// How long the call must wait before it is sent.
     pub wait: Span,
 }
 
-/// The answer of an owner that was asked for an engine.
+/// The answer to a [`PlaceRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub enum PlaceAnswer {
-    /// The call goes there.
+    /// The engine that was chosen.
     #[serde(rename = "At")]
     Chosen(ChosenEngine),
-    /// Every engine that is usable has been given all that it takes; when there is room again.
+    /// All usable engines have used up their rate limits; the time until one has capacity again.
     #[serde(rename = "NoRoom")]
     NoCapacity(Span),
     /// No engine is usable.
@@ -117,61 +121,61 @@
     NoneUsable,
 }
 
-/// Asks the owner of a target's rate whether a call may go there.
+/// Asks the owner of the rate limit of a target whether a call may be sent to it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct GrantRequest {
-    /// The target's id.
+    /// The id of the target.
     pub target: String,
-    /// The key of the node that asks.
+    /// The key of the requesting node.
     #[serde(rename = "from")]
     pub requester: u64,
     /// How long the call may wait.
     pub max_wait: Span,
 }
 
-/// How a placed call goes on.
+/// An event of a call that was placed by another node.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub enum PlacedCallEvent {
-    /// Its first output came.
+    /// The first output arrived.
     FirstOutput,
-    /// It ended well, or its caller left.
+    /// The call completed, or its caller disconnected.
     #[serde(rename = "Ended")]
     Finished,
-    /// Its target failed it.
+    /// The target failed the call.
     Failed,
 }
 
-/// What the owner of a pool does for other nodes.
+/// The service that the owner of a pool offers to other nodes.
 #[tarpc::service]
 pub trait Pieces {
-    /// Makes pieces; the answer comes when all are made or the order has failed.
+    /// Computes pieces; answers when all are computed or the order has failed.
     async fn make(order: RemoteOrder) -> RemoteOrderOutcome;
-    /// Frees results.
+    /// Releases results.
     async fn release(release: RemoteRelease);
-    /// Chooses an engine for a call; none when the node is about to end.
+    /// Chooses an engine for a call; `None` when the node is stopping.
     async fn place(request: PlaceRequest) -> Option<PlaceAnswer>;
-    /// Says whether a call may go to a target that takes so many calls a second; none when the node is about to end.
+    /// Decides whether a call may be sent to a rate-limited target; `None` when the node is stopping.
     async fn grant(request: GrantRequest) -> Option<Grant>;
-    /// Tells how a placed call goes on.
+    /// Reports an event of a placed call.
     async fn placed(call: String, step: PlacedCallEvent);
-    /// Answers, so that the asking node sees that this one is there.
+    /// Answers at once, so that the requesting node can check that this node responds.
     async fn ping();
 }
 
-/// The serving side of a connection.
+/// The transport of the server side of a connection.
 pub type ServerTransport = PeerTransport<ClientMessage<PiecesRequest>, Response<PiecesResponse>>;
 
-/// Puts `tarpc`'s framing on an accepted connection.
+/// Wraps an accepted connection in the framing that `tarpc` uses.
 pub fn server_transport(stream: TcpStream) -> ServerTransport {
     peer::transport(stream)
 }
 
-/// Connects to another node. The connection's task runs until the client is dropped.
+/// Connects to another node. The task that drives the connection runs until the client is dropped.
 ///
 /// # Errors
-/// When the connection cannot be made.
+/// When the connection cannot be opened.
 pub async fn connect(address: &str) -> io::Result<PiecesClient> {
     let stream = net::connect(address).await?;
     let mut config = tarpc::client::Config::default();
@@ -180,5 +184,5 @@
     Ok(PiecesClient::new(config, peer::transport(stream)).spawn())
 }
 
-/// Orders that may be under way on one connection.
+/// The maximum number of calls in flight on one connection.
 const MAX_IN_FLIGHT: usize = 4096;
--- a/crates/barleyspool_wire/src/process.rs
+++ b/crates/barleyspool_wire/src/process.rs
@@ -1,4 +1,4 @@
-//! What a daemon needs as a process: the operators' signals, and threads and tasks that end together.
+//! Process helpers of the daemons: signal handlers, and threads and tasks that stop together.
 
 use std::io;
 use std::sync::mpsc;
@@ -8,20 +8,20 @@
 
 /// Handlers of the signals that operators send.
 ///
-/// They are set before the process listens anywhere: what stands for them by default ends a process at once, with all that it
-/// has accepted.
+/// They are installed before the process listens on any address: the default action of these signals terminates the
+/// process at once and drops all accepted connections.
 #[derive(Debug)]
 pub struct Signals {
-    /// SIGTERM: a planned stop.
+    /// SIGTERM: starts a planned stop.
     pub terminate: Signal,
-    /// SIGINT: the same.
+    /// SIGINT: starts a planned stop.
     pub interrupt: Signal,
-    /// SIGHUP: the settings are read again.
+    /// SIGHUP: reloads the settings.
     pub hangup: Signal,
 }
 
 impl Signals {
-    /// Sets the handlers; `runtime` is the one that waits for them.
+    /// Installs the handlers; `runtime` is the runtime that waits for the signals.
     ///
     /// # Errors
     /// When the operating system refuses a handler.
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Waits until a planned stop is asked for.
+    /// Waits for a signal that starts a planned stop.
     pub async fn wait_for_stop(terminate: &mut Signal, interrupt: &mut Signal) {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -54,8 +54,9 @@
 
 /// The threads of a daemon.
 ///
-/// None of them can do without the others: a process without its traffic threads accepts connections that nobody serves, one
-/// without its control thread acts for ever on what it knew. So the first that panics is the end of the process.
+/// Each thread depends on the others: without its traffic threads a process accepts connections that no thread
+/// serves, and without its control thread it works on outdated state for ever. So the first panic of a thread ends the
+/// process.
 #[derive(Debug)]
 pub struct Threads {
     exit_sender: mpsc::Sender<ThreadExit>,
@@ -69,7 +70,7 @@
     panicked: bool,
 }
 
-/// Tells that a thread ended, also when it panicked.
+/// Reports the exit of a thread when dropped, also when the thread panicked.
 struct ExitNotifier {
     name: String,
     exit_sender: mpsc::Sender<ThreadExit>,
@@ -81,7 +82,7 @@
             name: std::mem::take(&mut self.name),
             panicked: std::thread::panicking(),
         };
-        // Nobody listens any more when the process is ending already.
+        // The receiver is gone when the process is already exiting.
         let _ = self.exit_sender.send(exit);
     }
 }
@@ -101,7 +102,7 @@
     /// Starts a thread.
     ///
     /// # Errors
-    /// When the operating system refuses it.
+    /// When the operating system refuses the thread.
     pub fn spawn(&mut self, name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
         let notifier = ExitNotifier {
             name: name.to_owned(),
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// Waits until all threads have ended, or one has panicked.
+    /// Waits until all threads have exited or one has panicked.
     ///
     /// # Errors
     /// The first thread that panicked.
@@ -130,10 +131,10 @@
     }
 }
 
-/// Tasks without which their thread is of no use, such as one that accepts connections or reads the configuration.
+/// Tasks that their thread cannot work without, such as those that accept connections or read the configuration.
 ///
-/// The runtime keeps a panic of a task from the others. For a task that serves one caller that is right; one of these would be
-/// missing for ever, and nobody would know.
+/// The runtime isolates a panic of a task from the other tasks. That is right for a task that serves one caller, but
+/// an essential task would be missing for ever without any sign.
 #[derive(Debug, Default)]
 pub struct EssentialTasks(JoinSet<()>);
 
@@ -143,7 +144,7 @@
         self.0.spawn_local(task);
     }
 
-    /// Waits for ever, or panics as the first of the tasks did.
+    /// Runs for ever; resumes the panic of the first task that panics.
     pub async fn watch(&mut self) {
         while let Some(result) = self.0.join_next().await {
             if let Err(error) = result
--- a/crates/barleyspool_wire/src/rpc_convert.rs
+++ b/crates/barleyspool_wire/src/rpc_convert.rs
@@ -1,17 +1,17 @@
-//! Between the generated types and the core's.
+//! Conversions between the generated RPC types and the types of the core.
 
 use crate::rpc;
 use barleyspool_core::{Call, Earlier, Outcome, RefusalOrigin, Revision, Time, Verdict};
 use std::sync::Arc;
 
-/// A call as the core takes it.
+/// Converts a request to the core's type.
 pub fn call_from_request(request: rpc::RunRequest) -> Call {
     let earlier = match request.earlier() {
         rpc::EarlierSends::None => Earlier::None,
         rpc::EarlierSends::AllNotRun => Earlier::AllNotRun,
         rpc::EarlierSends::Uncertain => Earlier::Uncertain,
     };
-    // A number that this version does not know is taken as the worst: the caller is not sure.
+    // A value that this version does not know is treated as the worst case: the caller is uncertain.
     let known = rpc::EarlierSends::try_from(request.earlier).is_ok();
     Call {
         earlier: if known { earlier } else { Earlier::Uncertain },
@@ -26,7 +26,7 @@
     }
 }
 
-/// An outcome as callers get it. `step` is the name of the service at which it arose.
+/// Converts an outcome to the message for the caller. `step` is the name of the service at which it arose.
 pub fn outcome_message(
     outcome: &Outcome,
     step: &str,
@@ -57,7 +57,7 @@
     message
 }
 
-/// How callers and operators see where something arose.
+/// The name of the origin of a refusal, for callers and operators.
 pub fn origin_name(origin: RefusalOrigin) -> String {
     match origin {
         RefusalOrigin::Target(id) => format!("target {id}"),
--- a/crates/barleyspool_wire/src/settings.rs
+++ b/crates/barleyspool_wire/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reading settings: JSON, every value checked, every fault reported at once with file, path, value and
-//! what is allowed.
+//! Reads settings from JSON. Validates every value, and reports all errors at once with the file, the path, the value
+//! and the allowed values.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -7,21 +7,21 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// One thing that is wrong with a settings file.
+/// One invalid value of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Where, such as `lease.horizon_ms`.
+    /// The path of the field, such as `lease.horizon_ms`.
     pub path: String,
-    /// What stands there.
+    /// The invalid value.
     pub value: String,
-    /// What may stand there.
+    /// The allowed values.
     pub allowed: String,
 }
 
-/// Everything that is wrong with a settings file.
+/// All errors of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// The path of the file.
     pub file: String,
     /// The errors, in the order of the file's fields.
     pub errors: Vec<InvalidSetting>,
@@ -44,7 +44,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads the fields of one JSON object, collects errors, and at the end refuses fields it was not asked for.
+/// Reads the fields of one JSON object, collects the errors, and finally rejects fields that were not requested.
 ///
 /// ```
 /// use barleyspool_wire::SettingsReader;
@@ -64,7 +64,7 @@
 }
 
 impl SettingsReader {
-    /// Reads a file. One that cannot be read or is not a JSON object is a fault like any other.
+    /// Reads a file. A file that cannot be read or that is not a JSON object is reported like an invalid value.
     pub fn load(path: &Path) -> Self {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Reads a text as if it stood in `file`.
+    /// Reads `text` as the content of `file`.
     pub fn parse(file: &str, text: &str) -> Self {
         match serde_json::from_str(text) {
             Ok(Value::Object(fields)) => Self::from_fields(file.to_owned(), String::new(), fields),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reports a fault of the field `name`.
+    /// Adds an error of the field `name`.
     pub fn add_error(&mut self, name: &str, value: &str, allowed: &str) {
         let (path, value, allowed) = (self.path(name), value.to_owned(), allowed.to_owned());
         self.errors.push(InvalidSetting { path, value, allowed });
@@ -118,23 +118,23 @@
         self.fields.get(name).cloned()
     }
 
-    /// A text that is not empty. Without a default it must be there.
+    /// Reads a non-empty string. Without a default the field is required.
     pub fn text(&mut self, name: &str, default: Option<&str>) -> String {
         match (self.field(name), default) {
             (Some(Value::String(text)), _) if !text.is_empty() => text,
             (Some(other), _) => {
-                self.add_error(name, &truncated_json(&other), "a text that is not empty");
+                self.add_error(name, &truncated_json(&other), "a non-empty string");
                 String::new()
             }
             (None, Some(default)) => default.to_owned(),
             (None, None) => {
-                self.add_error(name, "nothing", "a text; it has no default");
+                self.add_error(name, "nothing", "a string; the field is required");
                 String::new()
             }
         }
     }
 
-    /// One of a few texts.
+    /// Reads a string that must be one of `choices`.
     pub fn choice(&mut self, name: &str, choices: &[&str], default: &str) -> String {
         let text = self.text(name, Some(default));
         if !choices.contains(&text.as_str()) && !text.is_empty() {
@@ -147,7 +147,7 @@
         text
     }
 
-    /// A whole number in a range, in a unit.
+    /// Reads an integer in a range; `unit` appears in the error text.
     pub fn number(
         &mut self,
         name: &str,
@@ -155,7 +155,7 @@
         unit: &str,
         default: Option<u64>,
     ) -> u64 {
-        let allowed = format!("a whole number from {} to {} {unit}", range.start(), range.end());
+        let allowed = format!("an integer from {} to {} {unit}", range.start(), range.end());
         match (self.field(name), default) {
             (Some(value), _) => match value.as_u64() {
                 Some(number) if range.contains(&number) => number,
@@ -169,14 +169,14 @@
                 self.add_error(
                     name,
                     "nothing",
-                    &format!("{}; it has no default", allowed.trim_end()),
+                    &format!("{}; the field is required", allowed.trim_end()),
                 );
                 *range.start()
             }
         }
     }
 
-    /// A number that need not be whole.
+    /// Reads a floating-point number in a range.
     pub fn decimal(&mut self, name: &str, range: RangeInclusive<f64>, unit: &str, default: f64) -> f64 {
         let Some(value) = self.field(name) else {
             return default;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Yes or no.
+    /// Reads a boolean.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.field(name) {
             None => default,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// An IP number with a port; names are not allowed.
+    /// Reads an IP address with a port; host names are not allowed.
     pub fn address(&mut self, name: &str) -> SocketAddr {
         let text = self.text(name, None);
         match text.parse() {
@@ -213,7 +213,7 @@
                     self.add_error(
                         name,
                         &format!("\"{text}\""),
-                        "an IP number and port, such as 10.0.0.1:7100",
+                        "an IP address and port, such as 10.0.0.1:7100",
                     );
                 }
                 SocketAddr::from(([127, 0, 0, 1], 0))
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A list of texts.
+    /// Reads a list of strings.
     pub fn texts(&mut self, name: &str) -> Vec<String> {
         let Some(value) = self.field(name) else {
             return Vec::new();
@@ -233,12 +233,12 @@
                 .collect()
         });
         texts.unwrap_or_else(|| {
-            self.add_error(name, &truncated_json(&value), "a list of texts");
+            self.add_error(name, &truncated_json(&value), "a list of strings");
             Vec::new()
         })
     }
 
-    /// A list of IP numbers with ports.
+    /// Reads a list of IP addresses with ports.
     pub fn addresses(&mut self, name: &str) -> Vec<String> {
         let texts = self.texts(name);
         for (index, text) in texts.iter().enumerate() {
@@ -246,14 +246,14 @@
                 self.add_error(
                     &format!("{name}[{index}]"),
                     &format!("\"{text}\""),
-                    "an IP number and port",
+                    "an IP address and port",
                 );
             }
         }
         texts
     }
 
-    /// An object of its own, read by `read`. A missing one is read as empty, so that defaults apply.
+    /// Reads a nested object by `read`. A missing object is read as an empty one, so that the defaults apply.
     pub fn object<T>(&mut self, name: &str, read: impl FnOnce(&mut Self) -> T) -> T {
         let fields = match self.field(name) {
             None => Map::new(),
@@ -270,7 +270,7 @@
         value
     }
 
-    /// Any JSON, for values that have a check of their own.
+    /// Returns any JSON value, for fields that the caller validates.
     pub fn raw(&mut self, name: &str) -> Option<Value> {
         self.field(name)
     }
@@ -288,10 +288,10 @@
         }
     }
 
-    /// Ends the reading.
+    /// Finishes reading, and returns the errors if there are any.
     ///
     /// # Errors
-    /// Everything that was wrong, unknown fields included.
+    /// All invalid values and unknown fields.
     pub fn finish(mut self) -> Result<(), SettingsError> {
         if self.errors.first().is_none_or(|error| error.path != "(file)") {
             self.reject_unknown_fields();
@@ -308,7 +308,7 @@
     }
 }
 
-/// A value as it is shown in a fault.
+/// A value as it is shown in an error text, truncated to a few characters.
 fn truncated_json(value: &Value) -> String {
     const MAX_CHARS: usize = 60;
     let text = value.to_string();
--- a/crates/barleyspool_wire/src/target.rs
+++ b/crates/barleyspool_wire/src/target.rs
@@ -1,4 +1,4 @@
-//! The JSON of targets: steps, streams, load reports and orders. docs/OPERATING.md describes it.
+//! The JSON of targets: steps, streams, load reports and orders. docs/OPERATING.md specifies it.
 
 use barleyspool_core::{Echo, EngineReport, Fence, LoadReport, Payload, StepOrder};
 use base64::Engine as _;
@@ -7,16 +7,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Where a target takes steps.
+/// Path at which a target accepts steps.
 pub const STEPS_PATH: &str = "/v1/steps";
-/// Where a target takes cancellations.
+/// Path at which a target accepts cancellations.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Where a target reports its load.
+/// Path at which a target reports its load.
 pub const LOAD_PATH: &str = "/v1/load";
-/// Where an engine takes orders.
+/// Path at which an engine accepts orders.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// Bytes, as base64 in JSON.
+/// Bytes, encoded as base64 in JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Blob(pub Payload);
 
@@ -40,24 +40,24 @@
     }
 }
 
-/// A step, as it is sent to a target.
+/// A step that is sent to a target.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepRequest {
-    /// What every answer must repeat.
+    /// The identification that every answer must repeat.
     pub echo: Echo,
     /// The model; empty for none.
     #[serde(default)]
     pub model: String,
-    /// The input.
+    /// The input of the step.
     pub input: Blob,
-    /// What has come of the answer already; a resumed stream goes on after it.
+    /// The part of the answer that was already received; a resumed stream continues after it.
     #[serde(default)]
     pub so_far: Blob,
-    /// Unix milliseconds; a target refuses what comes later.
+    /// The deadline as a Unix time in milliseconds; a target refuses the step after it.
     pub deadline_ms: u64,
-    /// The rank of the class; 0 goes first.
+    /// The rank of the class; 0 is the highest priority.
     pub priority: u8,
-    /// Whether the answer should come as server-sent events.
+    /// Whether the answer is requested as server-sent events.
     pub stream: bool,
     /// Whether the step may run more than once.
     pub repeatable: bool,
@@ -78,10 +78,10 @@
     }
 }
 
-/// How a target answers a step that does not stream, and how it refuses any.
+/// The answer to a step that does not stream, and the refusal of any step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepReply {
-    /// What it belongs to.
+    /// The identification of the step, repeated from the request.
     pub echo: Echo,
     /// The output; `None` with a refusal.
     #[serde(default)]
@@ -92,10 +92,10 @@
     /// Whether the target is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// With a refusal: how long the target wants nothing from this node, in milliseconds.
+    /// With a refusal: the cooldown during which the target accepts no requests from this node, in milliseconds.
     #[serde(default, rename = "rest_ms")]
     pub cooldown_ms: u64,
-    /// Its load.
+    /// The load of the target.
     #[serde(default)]
     pub load: Option<LoadReport>,
 }
@@ -103,55 +103,55 @@
 /// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamEvent {
-    /// What it belongs to.
+    /// The identification of the step, repeated from the request.
     pub echo: Echo,
-    /// Where `data` begins, in bytes of the whole answer.
+    /// The offset of `data` in the whole answer, in bytes.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes of this event.
     #[serde(default)]
     pub data: Blob,
     /// Set on the last event: the length of the whole answer.
     #[serde(default)]
     pub length: Option<u64>,
-    /// Whether the target is leaving; on any event.
+    /// Whether the target is leaving; may be set on any event.
     #[serde(default)]
     pub leaving: bool,
-    /// Its load; on the last event.
+    /// The load of the target; set on the last event.
     #[serde(default)]
     pub load: Option<LoadReport>,
 }
 
-/// A target's load, as it reports it when asked.
+/// The answer of a target to a request for its load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// Calls and places; `None` from services that do not report.
+    /// Running and queued calls, and the capacity; `None` from services that do not report their load.
     #[serde(default)]
     pub load: Option<LoadReport>,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// What it holds, if it is an engine.
+    /// The models and the fence of the target, if it is an engine.
     #[serde(default)]
     pub engine: Option<EngineReport>,
 }
 
-/// An order, as it is sent to an engine.
+/// An order that is sent to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The fence; an engine that checks it refuses what is not higher than the last.
+    /// The fence of the order; an engine that checks fences refuses an order whose fence is not higher than the last.
     pub fence: Fence,
     /// Models to load.
     pub load: BTreeSet<String>,
-    /// Models to drop.
+    /// Models to unload.
     pub unload: BTreeSet<String>,
 }
 
-/// How an engine answers an order.
+/// The answer of an engine to an order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Whether it took the order.
+    /// Whether the engine accepted the order.
     #[serde(rename = "taken")]
     pub accepted: bool,
-    /// Its last fence.
+    /// The fence of the last order that the engine accepted.
     pub fence: Fence,
 }
--- a/crates/barleyspool_wire/src/timer.rs
+++ b/crates/barleyspool_wire/src/timer.rs
@@ -1,11 +1,12 @@
-//! Waiting that lets go first what has already arrived, and that counts the time in which the machine was suspended.
+//! Timeouts that process received data before they expire, and that count suspensions of the machine.
 //!
-//! A process that is paused and goes on finds its timers run out before it has looked at its sockets: the operating system
-//! interrupts the wait for events without telling any. Whatever acts on a time-out at once takes calls and answers for missing that lie in the kernel.
+//! When a process is stopped and continued, its timers have expired before it has read its sockets: the operating
+//! system interrupts the wait for events without reporting any. Code that acts on a timeout at once treats calls and
+//! answers as missing that are waiting in the kernel.
 //!
-//! The runtime's timers stand still while the machine is suspended. So one task looks now and then whether it was
-//! ([`watch_suspensions`]), and then the waits of this module take off what they have suspended through: a call whose time is over is
-//! answered at the next look, not seconds later.
+//! The timers of the runtime do not advance while the machine is suspended. So one task checks for suspensions
+//! regularly ([`watch_suspensions`]), and the waits of this module then subtract the suspended time: a call whose
+//! deadline has passed is answered at the next check, not seconds later.
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,13 +14,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The time between two looks whether the machine was suspended. A call whose time is over has to be answered within half a
-/// second.
+/// The interval of the checks for suspensions. A call whose deadline has passed must be answered within half a second.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Less than this is no suspension: two clocks are read one after the other, and the process may be stopped in between.
+/// The shortest clock difference that counts as a suspension. The two clocks are read one after the other, and the
+/// process may be stopped in between.
 const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// The suspensions that this process has seen.
+/// The suspensions that this process has detected.
 static SUSPENSIONS: Suspensions = Suspensions {
     suspended_us: AtomicU64::new(0),
     ended: Notify::const_new(),
@@ -27,9 +28,9 @@
 
 #[derive(Debug)]
 struct Suspensions {
-    /// How long they were all in all, in microseconds.
+    /// The total duration of all suspensions, in microseconds.
     suspended_us: AtomicU64,
-    /// Wakes all waits after each.
+    /// Wakes all waits after a suspension.
     ended: Notify,
 }
 
@@ -39,8 +40,10 @@
     }
 }
 
-/// Looks for suspensions of the machine for as long as it is polled, and wakes the waits of all threads after each. `clock_difference` tells how far
-/// the clock that counts them is clock_difference of the one that does not; `on_suspension` is told how long each was.
+/// Checks for suspensions of the machine as long as it is polled, and wakes the waits of all threads after each.
+///
+/// `clock_difference` returns how far the clock that counts suspensions is ahead of the one that does not;
+/// `on_suspension` is called with the duration of each suspension.
 pub async fn watch_suspensions(clock_difference: impl Fn() -> Duration, on_suspension: impl Fn(Duration)) {
     let mut before = clock_difference();
     loop {
@@ -59,13 +62,14 @@
     }
 }
 
-/// Sleeps, and then lets the sockets be read once.
+/// Sleeps, then lets the runtime read the sockets once. Suspended time counts as slept.
 ///
-/// In a `select!` the branch with the work goes first (`biased`), so that what was read decides.
+/// In a `select!` the branch with the work must come first (`biased`), so that received data takes precedence over
+/// the timeout.
 pub async fn sleep(duration: Duration) {
     let (start, before) = (Instant::now(), SUSPENSIONS.total());
     loop {
-        // Made before the time is read, so that no suspension is missed in between.
+        // Created before the total is read, so that no suspension in between is missed.
         let ended = SUSPENSIONS.ended.notified();
         let suspended = SUSPENSIONS.total().saturating_sub(before);
         tokio::select! {
@@ -75,14 +79,15 @@
     }
 }
 
-/// The same until a point in time of the runtime's clock, which stands still while the machine is suspended.
+/// Like [`sleep`], until an instant of the runtime's clock. That clock does not advance while the machine is
+/// suspended.
 pub async fn sleep_until(due: Instant) {
     tokio::time::sleep_until(due).await;
-    // The runtime looks at its sockets before it goes on with a task that has yielded.
+    // The runtime polls its sockets before it resumes a task that has yielded.
     tokio::task::yield_now().await;
 }
 
-/// not done in time
+/// the operation timed out
 #[derive(Copy, Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub struct TimedOut;
 
@@ -94,10 +99,10 @@
     }
 }
 
-/// Does some work for a limited time.
+/// Runs `work` with a timeout.
 ///
 /// # Errors
-/// When it was not done in time, and nothing that had arrived by then completed it.
+/// When `work` has not completed in time, and the data received by then does not complete it either.
 pub async fn timeout<T>(duration: Duration, work: impl Future<Output = T>) -> Result<T, TimedOut> {
     tokio::select! {
         biased;
