--- a/crates/barleyspool_entry/src/operations_service.rs
+++ b/crates/barleyspool_entry/src/operations_service.rs
@@ -29,7 +29,7 @@
     }
 
     /// Sends a request to the control thread and waits for its reply.
-    async fn ask_control<T>(
+    async fn query_control<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> ControlMessage,
     ) -> Result<T, Status> {
@@ -64,7 +64,7 @@
 #[tonic::async_trait]
 impl rpc::operations_server::Operations for OperationsService {
     async fn status(&self, _: Request<rpc::StatusRequest>) -> Result<Response<rpc::StatusReply>, Status> {
-        self.ask_control(ControlMessage::StatusRequest)
+        self.query_control(ControlMessage::StatusRequest)
             .await
             .map(Response::new)
     }
@@ -104,7 +104,7 @@
     }
 
     async fn peers(&self, _: Request<rpc::PeersRequest>) -> Result<Response<rpc::PeersReply>, Status> {
-        self.ask_control(ControlMessage::PeersRequest)
+        self.query_control(ControlMessage::PeersRequest)
             .await
             .map(Response::new)
     }
--- a/crates/barleyspool_entry/src/target_client.rs
+++ b/crates/barleyspool_entry/src/target_client.rs
@@ -23,7 +23,7 @@
 /// The maximum number of idle connections per target.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 /// The timeout of a probe or a cancellation.
-const SIDE_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The maximum size of a response to a probe or a cancellation.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 /// After an answer was read, the time within which its connection must be ready for reuse; otherwise it is
@@ -196,7 +196,7 @@
                 CANCEL_PATH,
                 body,
                 MAX_REPORT_BYTES,
-                SIDE_CALL_TIMEOUT,
+                SHORT_CALL_TIMEOUT,
             )
             .await;
         }
@@ -205,7 +205,7 @@
     /// Probes a target: requests its load report and reports whether it answered.
     pub async fn probe(target: TargetId, address: &str, events: &UnboundedSender<TrafficEvent>) {
         let answer =
-            http::get_json::<TargetReport>(address, LOAD_PATH, MAX_REPORT_BYTES, SIDE_CALL_TIMEOUT).await;
+            http::get_json::<TargetReport>(address, LOAD_PATH, MAX_REPORT_BYTES, SHORT_CALL_TIMEOUT).await;
         let report = answer.ok().flatten();
         let ok = report.is_some();
         let report = report.unwrap_or_default();
