--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -36,7 +36,7 @@
     GossipRequest {
         /// The state of the peer.
         gossip: Gossip,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: oneshot::Sender<PeerReply>,
     },
     /// A peer fetches a newer configuration or fleet list.
@@ -45,7 +45,7 @@
         config: Revision,
         /// The revision of the peer's fleet list.
         fleet: Revision,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Snapshot>,
     },
     /// An operator requests the state of the node.
@@ -56,10 +56,10 @@
     SnapshotFetchEnded,
 }
 
-/// Sends messages to the control thread.
+/// The sender of the control thread's inbox.
 pub type ControlSender = mpsc::UnboundedSender<ControlMessage>;
 
-/// Executes the actions of the control state and feeds it events.
+/// Passes events to the control state and executes its actions.
 pub struct ControlThread {
     shared: Arc<Shared>,
     control: Control,
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -42,9 +42,9 @@
     },
 }
 
-/// Sends messages to a lane.
+/// The sender of a lane's inbox.
 pub type LaneSender = mpsc::Sender<LaneMessage>;
-/// Receives the messages of a lane.
+/// The receiver of a lane's inbox.
 pub type LaneReceiver = mpsc::Receiver<LaneMessage>;
 
 /// Creates the inbox of a lane.
@@ -126,6 +126,7 @@
         }
     }
 
+    /// The time until the next timer event of the router, at most one second.
     fn time_until_wake(&self) -> Duration {
         let now = self.shared.clock.now();
         let wake_at = self.router.next_wake().unwrap_or(Time(now.0 + 1_000_000));
--- a/crates/barleyspool_entry/src/target_client.rs
+++ b/crates/barleyspool_entry/src/target_client.rs
@@ -32,7 +32,7 @@
 
 type RequestSender = SendRequest<http::FullBody>;
 
-/// The connections of one lane to its targets.
+/// The client for the targets of one lane, with its idle connections.
 #[derive(Debug)]
 pub struct TargetClient {
     shared: Arc<Shared>,
