--- a/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
@@ -8,7 +8,7 @@
 use barleyspool_stands::caller::percentiles;
 use barleyspool_stands::deployment::Deployment;
 use barleyspool_stands::platform::Platform;
-use barleyspool_stands::process::{processor_time, resident};
+use barleyspool_stands::process::{cpu_time, resident_bytes};
 use barleyspool_stands::run_log::RunLog;
 use barleyspool_stands::target::{Target, TargetSettings};
 use barleyspool_wire::net;
@@ -49,23 +49,23 @@
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
 async fn main() -> Result<(), AnyError> {
     let mut deployment = Deployment::load(std::path::Path::new("settings/kirjakoda/deployment.json"))?;
-    deployment.platform = format!("127.0.0.1:{BASE}");
-    deployment.target_port = BASE + 20;
+    deployment.platform_address = format!("127.0.0.1:{BASE}");
+    deployment.first_target_port = BASE + 20;
     deployment.entries.truncate(1);
-    deployment.entries[0].callers = format!("127.0.0.1:{}", BASE + 1);
-    deployment.entries[0].control = format!("127.0.0.1:{}", BASE + 2);
-    deployment.entries[0].bulk = format!("127.0.0.1:{}", BASE + 3);
+    deployment.entries[0].caller_address = format!("127.0.0.1:{}", BASE + 1);
+    deployment.entries[0].control_address = format!("127.0.0.1:{}", BASE + 2);
+    deployment.entries[0].bulk_address = format!("127.0.0.1:{}", BASE + 3);
     deployment.targets.retain(|spec| spec.service == "reader");
     deployment.targets[0].count = 1;
     deployment.targets[0].slots = 1_000;
     deployment.pipelines.retain(|pipeline| pipeline.name == "page");
     deployment.services.retain(|service| service.name == "reader");
     deployment.placement.clear();
-    tokio::spawn(Platform::new(&deployment).serve(net::listen(deployment.platform.parse()?)?));
+    tokio::spawn(Platform::new(&deployment).serve(net::listen(deployment.platform_address.parse()?)?));
     let target = target(&deployment)?;
     let started = Instant::now();
     let entry = entry(&deployment)?;
-    let callers = deployment.entries[0].callers.clone();
+    let callers = deployment.entries[0].caller_address.clone();
     let client = Arc::new(Client::new(vec![callers.clone()], "tallinn-a"));
     while client.run(&job(0)).await.outcome != JobOutcome::Complete {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -74,7 +74,10 @@
         "first answer {:.2} s after the entry's start",
         started.elapsed().as_secs_f64()
     );
-    println!("resident, idle: {:.1} MB", resident(entry.0.id()) as f64 / 1e6);
+    println!(
+        "resident, idle: {:.1} MB",
+        resident_bytes(entry.0.id()) as f64 / 1e6
+    );
 
     let direct = direct(&target).await?;
     let through = through(&client).await;
@@ -90,14 +93,14 @@
         t50 / d50
     );
 
-    let before = processor_time(entry.0.id());
+    let before = cpu_time(entry.0.id());
     let (requests, took) = carry(&client).await;
-    let used = processor_time(entry.0.id()) - before;
+    let used = cpu_time(entry.0.id()) - before;
     println!(
         "{CALLERS} callers at once: {:.0} requests/s on one traffic thread, {:.0} us of processor each; resident {:.1} MB",
         requests as f64 / took.as_secs_f64(),
         used.as_secs_f64() * 1e6 / requests as f64,
-        resident(entry.0.id()) as f64 / 1e6
+        resident_bytes(entry.0.id()) as f64 / 1e6
     );
     let asks = asks(&callers).await?;
     println!("{CALLERS} callers at once: {asks:.0} answers to Ask a second");
@@ -113,10 +116,10 @@
         service: spec.service.clone(),
         slots: spec.slots,
         service_time: Duration::ZERO,
-        reports: true,
+        reports_load: true,
         engine: false,
-        fences: false,
-        load_time: Duration::ZERO,
+        checks_fences: false,
+        model_load_time: Duration::ZERO,
     };
     let target = Target::new(settings, RunLog::open(None, node.id.0)?, []);
     tokio::spawn(target.serve(net::listen(node.address.parse()?)?));
@@ -126,9 +129,9 @@
 fn entry(deployment: &Deployment) -> Result<Entry, AnyError> {
     let spec = &deployment.entries[0];
     let settings = serde_json::json!({
-        "node": 1, "zone": spec.zone, "region": deployment.region, "callers": spec.callers,
-        "control": spec.control, "bulk": spec.bulk, "operators": format!("127.0.0.1:{}", BASE + 4),
-        "configuration": deployment.platform, "fleet": deployment.platform, "log_level": "error",
+        "node": 1, "zone": spec.zone, "region": deployment.region, "callers": spec.caller_address,
+        "control": spec.control_address, "bulk": spec.bulk_address, "operators": format!("127.0.0.1:{}", BASE + 4),
+        "configuration": deployment.platform_address, "fleet": deployment.platform_address, "log_level": "error",
     });
     let file = std::env::temp_dir().join(format!("barleyspool-bench-{}.json", std::process::id()));
     std::fs::write(&file, settings.to_string())?;
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
@@ -1,7 +1,7 @@
 //! `barleyspool-stand-caller`: callers of a deployment, who check every answer.
 
 use barleyspool_client::ClientSettings;
-use barleyspool_stands::caller::{self, CallerSettings};
+use barleyspool_stands::caller::{self, LoadSettings};
 use barleyspool_stands::deployment::Deployment;
 use barleyspool_stands::replay::Trace;
 use barleyspool_stands::run_log;
@@ -43,26 +43,26 @@
     let flags = flags::BarleyspoolStandCaller::from_env_or_exit();
     let deployment = Deployment::load(&flags.deployment)?;
     let trace = flags.trace.as_deref().map(Trace::load).transpose()?;
-    let settings = CallerSettings {
-        seeds: deployment
+    let settings = LoadSettings {
+        seed_nodes: deployment
             .entries
             .iter()
-            .map(|entry| entry.callers.clone())
+            .map(|entry| entry.caller_address.clone())
             .collect(),
-        requests: trace
+        request_count: trace
             .as_ref()
             .map_or(flags.requests.unwrap_or(400), |trace| trace.arrivals.len() as u32),
         trace,
-        rate: flags.rate.unwrap_or(40.0),
+        requests_per_s: flags.rate.unwrap_or(40.0),
         seed: flags.seed.unwrap_or(1),
-        prefix: format!("r{}", std::process::id()),
+        key_prefix: format!("r{}", std::process::id()),
         client: ClientSettings::default(),
     };
-    let total = settings.requests as usize;
+    let total = settings.request_count as usize;
     let step = (total / 10).max(1);
-    let records = caller::drive(&deployment, &settings, move |ended| {
-        if ended % step == 0 {
-            println!("  {ended} of {total} ended");
+    let records = caller::run_load(&deployment, &settings, move |finished| {
+        if finished % step == 0 {
+            println!("  {finished} of {total} finished");
         }
     })
     .await;
@@ -70,25 +70,25 @@
         Some(dir) => run_log::read_all(dir)?,
         None => Vec::new(),
     };
-    let verdicts = caller::judge(&records, &lines);
-    println!("\n{}", caller::table(&records));
-    if verdicts.unknown > 0 || verdicts.false_not_run > 0 {
+    let summary = caller::check_records(&records, &lines);
+    println!("\n{}", caller::summary_table(&records));
+    if summary.unknown > 0 || summary.false_not_run > 0 {
         println!(
             "told unknown (counted as refused below): {}; false not run: {}",
-            verdicts.unknown, verdicts.false_not_run
+            summary.unknown, summary.false_not_run
         );
     }
     println!(
         "{}: requests={} complete={} refused={} lost={} doubled={} misdelivered={}",
         flags.label.as_deref().unwrap_or("caller"),
-        verdicts.requests,
-        verdicts.complete,
-        verdicts.refused + verdicts.unknown,
-        verdicts.lost,
-        verdicts.doubled,
-        verdicts.misdelivered
+        summary.requests,
+        summary.complete,
+        summary.refused + summary.unknown,
+        summary.lost,
+        summary.duplicated,
+        summary.misdelivered
     );
-    Ok(if verdicts.hold() {
+    Ok(if summary.has_no_violation() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
@@ -1,7 +1,7 @@
 //! `barleyspool-stand-platform`: the platform of a deployment, or a word to a running one.
 
 use barleyspool_stands::deployment::Deployment;
-use barleyspool_stands::platform::{Platform, TELL_PATH};
+use barleyspool_stands::platform::{COMMAND_PATH, Platform};
 use barleyspool_wire::{http, net};
 use std::error::Error;
 use std::time::Duration;
@@ -33,14 +33,15 @@
     match flags::BarleyspoolStandPlatform::from_env_or_exit().subcommand {
         flags::BarleyspoolStandPlatformCmd::Serve(serve) => {
             let deployment = Deployment::load(&serve.deployment)?;
-            let listener = net::listen(deployment.platform.parse()?)?;
+            let listener = net::listen(deployment.platform_address.parse()?)?;
             Platform::new(&deployment).serve(listener).await;
         }
         flags::BarleyspoolStandPlatformCmd::Tell(tell) => {
             let body = tell.what.into_bytes();
             let wait = Duration::from_secs(2);
             let (status, answer) =
-                http::send_request(&tell.address, hyper::Method::POST, TELL_PATH, body, 4096, wait).await?;
+                http::send_request(&tell.address, hyper::Method::POST, COMMAND_PATH, body, 4096, wait)
+                    .await?;
             if !status.is_success() {
                 return Err(format!("{status}: {}", String::from_utf8_lossy(&answer)).into());
             }
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
@@ -49,20 +49,20 @@
         id,
         service: spec.service.clone(),
         slots: spec.slots,
-        service_time: Duration::from_millis(spec.service_ms) * flags.slower.unwrap_or(1),
-        reports: spec.reports,
+        service_time: Duration::from_millis(spec.service_time_ms) * flags.slower.unwrap_or(1),
+        reports_load: spec.reports_load,
         engine: spec.engine,
-        fences: spec.fences,
-        load_time: Duration::from_millis(500),
+        checks_fences: spec.checks_fences,
+        model_load_time: Duration::from_millis(500),
     };
     let log = RunLog::open(flags.run_log.as_deref(), id)?;
     let target = Target::new(settings, log, spec.models.iter().cloned());
     let listener = net::listen(node.address.parse()?)?;
     let serving = tokio::spawn(target.clone().serve(listener));
     signal(SignalKind::terminate())?.recv().await;
-    target.leave();
+    target.start_leaving();
     tokio::time::sleep(STAY).await;
-    while !target.idle() {
+    while !target.is_idle() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     serving.abort();
--- a/crates/barleyspool_stands/src/deployment.rs
+++ b/crates/barleyspool_stands/src/deployment.rs
@@ -21,11 +21,14 @@
     /// Its zone.
     pub zone: String,
     /// Where callers connect.
-    pub callers: String,
+    #[serde(rename = "callers")]
+    pub caller_address: String,
     /// Where peers connect.
-    pub control: String,
+    #[serde(rename = "control")]
+    pub control_address: String,
     /// Where peers fetch.
-    pub bulk: String,
+    #[serde(rename = "bulk")]
+    pub bulk_address: String,
 }
 
 /// A group of like targets.
@@ -41,15 +44,18 @@
     /// Calls each works on at once.
     pub slots: u32,
     /// What a call takes, in milliseconds.
-    pub service_ms: u64,
+    #[serde(rename = "service_ms")]
+    pub service_time_ms: u64,
     /// Whether they report their load.
-    pub reports: bool,
+    #[serde(rename = "reports")]
+    pub reports_load: bool,
     /// Whether they are engines.
     #[serde(default)]
     pub engine: bool,
     /// Whether they check fences.
     #[serde(default)]
-    pub fences: bool,
+    #[serde(rename = "fences")]
+    pub checks_fences: bool,
     /// The models they hold at start.
     #[serde(default)]
     pub models: Vec<String>,
@@ -81,9 +87,11 @@
     /// Its zones.
     pub zones: Vec<String>,
     /// Where the platform stand-in listens.
-    pub platform: String,
+    #[serde(rename = "platform")]
+    pub platform_address: String,
     /// The first port of the targets; each has the port of its number after it.
-    pub target_port: u16,
+    #[serde(rename = "target_port")]
+    pub first_target_port: u16,
     /// Classes.
     pub classes: Vec<Class>,
     /// Services.
@@ -114,7 +122,7 @@
     }
 
     /// The head of its configuration, with the part at `revision`.
-    pub fn head(&self, revision: Revision) -> ConfigHead {
+    pub fn config_head(&self, revision: Revision) -> ConfigHead {
         ConfigHead {
             classes: self.classes.clone(),
             services: self.services.clone(),
@@ -128,7 +136,7 @@
     }
 
     /// Its organisations.
-    pub fn part(&self) -> ConfigPart {
+    pub fn config_part(&self) -> ConfigPart {
         ConfigPart {
             organisations: self.organisations.clone(),
         }
@@ -150,7 +158,7 @@
         };
         Fleet {
             revision: Revision(1),
-            entries: self.entries.iter().map(|entry| self.entry(entry)).collect(),
+            entries: self.entries.iter().map(|entry| self.entry_node(entry)).collect(),
             cells: vec![cell],
             targets: self
                 .targets
@@ -160,12 +168,12 @@
         }
     }
 
-    fn entry(&self, entry: &EntrySpec) -> EntryNode {
+    fn entry_node(&self, entry: &EntrySpec) -> EntryNode {
         EntryNode {
             id: NodeId(entry.id),
-            address: entry.callers.clone(),
-            control: entry.control.clone(),
-            bulk: entry.bulk.clone(),
+            address: entry.caller_address.clone(),
+            control: entry.control_address.clone(),
+            bulk: entry.bulk_address.clone(),
             zone: entry.zone.clone(),
             region: self.region.clone(),
             cell: CellId(0),
@@ -175,15 +183,18 @@
 
     /// The targets of one group.
     pub fn targets_of(&self, spec: &TargetSpec) -> Vec<TargetNode> {
-        let target = |nth: u32| TargetNode {
-            id: TargetId(spec.first_id + nth),
+        let target = |index: u32| TargetNode {
+            id: TargetId(spec.first_id + index),
             incarnation: Incarnation(1),
-            address: format!("127.0.0.1:{}", u32::from(self.target_port) + spec.first_id + nth),
-            zone: self.zones[nth as usize % self.zones.len()].clone(),
+            address: format!(
+                "127.0.0.1:{}",
+                u32::from(self.first_target_port) + spec.first_id + index
+            ),
+            zone: self.zones[index as usize % self.zones.len()].clone(),
             region: self.region.clone(),
             service: spec.service.clone(),
             slots: spec.slots,
-            fences: spec.fences,
+            fences: spec.checks_fences,
             state: ListState::Live,
         };
         (0..spec.count).map(target).collect()
@@ -192,13 +203,13 @@
     /// One of the things that callers ask for, as often as its weight says.
     pub fn pick_mix(&self, random: &mut impl Rng) -> usize {
         let total: u32 = self.mix.iter().map(|mix| mix.weight).sum();
-        let mut at = random.random_range(0..total);
-        let here = |mix: &MixSpec| {
-            let found = at < mix.weight;
-            at = at.wrapping_sub(mix.weight);
-            found
+        let mut offset = random.random_range(0..total);
+        let covers = |mix: &MixSpec| {
+            let is_covered = offset < mix.weight;
+            offset = offset.wrapping_sub(mix.weight);
+            is_covered
         };
-        self.mix.iter().position(here).unwrap_or_default()
+        self.mix.iter().position(covers).unwrap_or_default()
     }
 
     /// The group and the target of a number.
--- a/crates/barleyspool_stands/src/cut.rs
+++ b/crates/barleyspool_stands/src/fault_relay.rs
@@ -9,20 +9,20 @@
 use tokio::sync::watch;
 
 /// Bytes passed on at once.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// How late a relay passes bytes on that delays them.
 const DELAY: Duration = Duration::from_millis(150);
 
 /// What a relay does with bytes.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub enum CutMode {
+pub enum RelayMode {
     /// Passes all on.
     #[default]
-    Open,
+    PassThrough,
     /// Holds all back, and lets new connections hang: what a network that drops packets looks like.
-    Silent,
+    Blackhole,
     /// Holds back what the far side sends; what is sent to it still arrives.
-    OneWay,
+    BlackholeReplies,
     /// Passes all on, late.
     Delayed,
     /// Closes every connection.
@@ -31,64 +31,66 @@
 
 /// A relay to one address.
 #[derive(Clone, Debug)]
-pub struct Cut {
-    mode: Arc<watch::Sender<CutMode>>,
+pub struct FaultRelay {
+    mode: Arc<watch::Sender<RelayMode>>,
 }
 
-impl Default for Cut {
+impl Default for FaultRelay {
     fn default() -> Self {
         Self {
-            mode: Arc::new(watch::Sender::new(CutMode::Open)),
+            mode: Arc::new(watch::Sender::new(RelayMode::PassThrough)),
         }
     }
 }
 
-impl Cut {
+impl FaultRelay {
     /// Changes what the relay does, for open connections too.
-    pub fn set(&self, mode: CutMode) {
+    pub fn set_mode(&self, mode: RelayMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Relays connections to `to` until the task is dropped.
-    pub async fn serve(self, listener: TcpListener, to: String) {
+    /// Relays connections to `destination` until the task is dropped.
+    pub async fn serve(self, listener: TcpListener, destination: String) {
         loop {
-            let Ok(near) = net::accept(&listener).await else {
+            let Ok(client) = net::accept(&listener).await else {
                 continue;
             };
-            let (mode, to) = (self.mode.subscribe(), to.clone());
+            let (mode, destination) = (self.mode.subscribe(), destination.clone());
             tokio::spawn(async move {
-                let Ok(far) = net::connect(&to).await else { return };
-                let (near_read, near_write) = near.into_split();
-                let (far_read, far_write) = far.into_split();
-                let out = pass(near_read, far_write, mode.clone(), false);
-                let back = pass(far_read, near_write, mode, true);
+                let Ok(server) = net::connect(&destination).await else {
+                    return;
+                };
+                let (client_read, client_write) = client.into_split();
+                let (server_read, server_write) = server.into_split();
+                let requests = forward(client_read, server_write, mode.clone(), false);
+                let replies = forward(server_read, client_write, mode, true);
                 // When one direction ends both connections are closed.
-                tokio::select! { () = out => {}, () = back => {} }
+                tokio::select! { () = requests => {}, () = replies => {} }
             });
         }
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut mode: watch::Receiver<CutMode>,
-    back: bool,
+    mut mode: watch::Receiver<RelayMode>,
+    is_reply: bool,
 ) {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let blocked = match *mode.borrow_and_update() {
-            CutMode::Open | CutMode::Delayed => false,
-            CutMode::Silent => true,
-            CutMode::OneWay => back,
-            CutMode::Reset => return,
+            RelayMode::PassThrough | RelayMode::Delayed => false,
+            RelayMode::Blackhole => true,
+            RelayMode::BlackholeReplies => is_reply,
+            RelayMode::Reset => return,
         };
         tokio::select! {
             changed = mode.changed() => if changed.is_err() { return },
             read = from.read(&mut chunk), if !blocked => match read {
                 Ok(0) | Err(_) => return,
                 Ok(len) => {
-                    if *mode.borrow() == CutMode::Delayed {
+                    if *mode.borrow() == RelayMode::Delayed {
                         tokio::time::sleep(DELAY).await;
                     }
                     if to.write_all(&chunk[..len]).await.is_err() {
--- a/crates/barleyspool_stands/src/lib.rs
+++ b/crates/barleyspool_stands/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for what surrounds the system. Nothing here is part of it.
 
 pub mod caller;
-pub mod cut;
 pub mod deployment;
+pub mod fault_relay;
 pub mod platform;
 pub mod process;
 pub mod replay;
--- a/crates/barleyspool_stands/src/platform.rs
+++ b/crates/barleyspool_stands/src/platform.rs
@@ -14,14 +14,14 @@
 use tokio::sync::watch;
 
 /// Where the stand-in is told what to do.
-pub const TELL_PATH: &str = "/stand/tell";
+pub const COMMAND_PATH: &str = "/stand/tell";
 /// The longest wait of a watch.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 /// How the configuration service behaves.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+pub enum ServiceMode {
     /// It works.
     #[default]
     Up,
@@ -36,41 +36,46 @@
 /// What the stand-in can be told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Tell {
+pub enum PlatformCommand {
     /// Behave so.
-    Mode(Mode),
+    #[serde(rename = "mode")]
+    SetMode(ServiceMode),
     /// Publish this head; its part keeps its revision.
-    Publish(Box<ConfigHead>),
+    #[serde(rename = "publish")]
+    PublishHead(Box<ConfigHead>),
     /// Publish this part, and a head that asks for it.
     PublishPart(ConfigPart),
     /// Publish the present configuration once more, under a new revision.
-    Touch,
+    #[serde(rename = "touch")]
+    Republish,
     /// List a target as leaving.
-    LeaveTarget(TargetId),
+    #[serde(rename = "leave_target")]
+    MarkTargetLeaving(TargetId),
     /// Take an entry node off the list; its cell enters a new era.
     RemoveEntry(NodeId),
     /// Put an entry node that was taken off back onto the list.
     AddEntry(NodeId),
     /// Show changes of the list this many milliseconds late.
-    ListLag(u64),
+    #[serde(rename = "list_lag")]
+    SetListDelay(u64),
 }
 
 #[derive(Clone, Debug)]
 struct State {
-    mode: Mode,
+    mode: ServiceMode,
     head: ConfigValue<ConfigHead>,
     part: ConfigValue<ConfigPart>,
     fleet: Fleet,
-    all_entries: Fleet,
-    lag: Duration,
-    reads: u64,
+    initial_fleet: Fleet,
+    list_delay: Duration,
+    read_count: u64,
 }
 
 /// The platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
-    stale: Arc<Mutex<Option<State>>>,
+    stale_state: Arc<Mutex<Option<State>>>,
     changed: Arc<watch::Sender<u64>>,
 }
 
@@ -80,23 +85,23 @@
         let revision = Revision(1);
         let fleet = deployment.fleet();
         let state = State {
-            mode: Mode::Up,
+            mode: ServiceMode::Up,
             head: ConfigValue {
                 revision,
-                value: deployment.head(revision),
+                value: deployment.config_head(revision),
             },
             part: ConfigValue {
                 revision,
-                value: deployment.part(),
+                value: deployment.config_part(),
             },
-            all_entries: fleet.clone(),
+            initial_fleet: fleet.clone(),
             fleet,
-            lag: Duration::ZERO,
-            reads: 0,
+            list_delay: Duration::ZERO,
+            read_count: 0,
         };
         Self {
             state: Arc::new(Mutex::new(state)),
-            stale: Arc::default(),
+            stale_state: Arc::default(),
             changed: Arc::new(watch::Sender::new(0)),
         }
     }
@@ -105,58 +110,58 @@
     pub async fn serve(self, listener: TcpListener) {
         http::serve(listener, move |request| {
             let platform = self.clone();
-            async move { platform.answer(request).await }
+            async move { platform.handle(request).await }
         })
         .await;
     }
 
     /// How often it was read, watches included.
-    pub fn reads(&self) -> u64 {
-        self.with(|state| state.reads)
+    pub fn read_count(&self) -> u64 {
+        self.with_state(|state| state.read_count)
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
+    fn with_state<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
         // A poisoned lock means that another request panicked; the state itself is whole.
         let mut state = self
             .state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        act(&mut state)
+        update(&mut state)
     }
 
     /// The state as readers of the configuration see it.
-    fn seen(&self) -> State {
-        let now = self.with(|state| state.clone());
+    fn visible_state(&self) -> State {
+        let current = self.with_state(|state| state.clone());
         let stale = self
-            .stale
+            .stale_state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        match (&now.mode, &*stale) {
-            (Mode::Stale, Some(old)) => old.clone(),
-            _ => now,
+        match (&current.mode, &*stale) {
+            (ServiceMode::Stale, Some(old)) => old.clone(),
+            _ => current,
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<FullBody> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<FullBody> {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
-        if request.method() == Method::POST && path == TELL_PATH {
-            return self.told(request).await;
+        if request.method() == Method::POST && path == COMMAND_PATH {
+            return self.run_command(request).await;
         }
-        self.with(|state| state.reads += 1);
-        let after = Revision(number(&query, "after"));
-        let wait = Duration::from_millis(number(&query, "wait_ms")).min(LONGEST_WAIT);
+        self.with_state(|state| state.read_count += 1);
+        let after = Revision(query_number(&query, "after"));
+        let wait = Duration::from_millis(query_number(&query, "wait_ms")).min(MAX_WATCH_WAIT);
         if path == FLEET_PATH {
             return self.wait_for(wait, |platform| platform.fleet_after(after)).await;
         }
-        match self.with(|state| state.mode) {
-            Mode::Down => return http::reply(StatusCode::SERVICE_UNAVAILABLE, "down\n"),
-            Mode::Slow => tokio::time::sleep(Duration::from_secs(2)).await,
-            Mode::Up | Mode::Stale => {}
+        match self.with_state(|state| state.mode) {
+            ServiceMode::Down => return http::reply(StatusCode::SERVICE_UNAVAILABLE, "down\n"),
+            ServiceMode::Slow => tokio::time::sleep(Duration::from_secs(2)).await,
+            ServiceMode::Up | ServiceMode::Stale => {}
         }
         match path.strip_prefix(CONFIG_PATH) {
             Some(HEAD_KEY) => self.wait_for(wait, |platform| platform.head_after(after)).await,
-            Some(PART_KEY) => json(&self.seen().part),
+            Some(PART_KEY) => json_response(&self.visible_state().part),
             _ => http::reply(StatusCode::NOT_FOUND, "no such value\n"),
         }
     }
@@ -188,24 +193,24 @@
     }
 
     fn head_after(&self, after: Revision) -> Option<Response<FullBody>> {
-        let state = self.seen();
-        if self.with(|state| state.mode) == Mode::Down {
+        let state = self.visible_state();
+        if self.with_state(|state| state.mode) == ServiceMode::Down {
             return Some(http::reply(StatusCode::SERVICE_UNAVAILABLE, "down\n"));
         }
-        (state.head.revision > after).then(|| json(&state.head))
+        (state.head.revision > after).then(|| json_response(&state.head))
     }
 
     fn fleet_after(&self, after: Revision) -> Option<Response<FullBody>> {
-        self.with(|state| (state.fleet.revision > after).then(|| json(&state.fleet)))
+        self.with_state(|state| (state.fleet.revision > after).then(|| json_response(&state.fleet)))
     }
 
-    async fn told(&self, request: Request<Incoming>) -> Response<FullBody> {
+    async fn run_command(&self, request: Request<Incoming>) -> Response<FullBody> {
         let Ok(body) = request.into_body().collect().await else {
             return http::reply(StatusCode::BAD_REQUEST, "broken off\n");
         };
-        match serde_json::from_slice::<Tell>(&body.to_bytes()) {
-            Ok(tell) => {
-                self.tell(tell);
+        match serde_json::from_slice::<PlatformCommand>(&body.to_bytes()) {
+            Ok(command) => {
+                self.execute(command);
                 http::reply(StatusCode::OK, "done\n")
             }
             Err(error) => http::reply(StatusCode::BAD_REQUEST, format!("{error}\n")),
@@ -213,17 +218,17 @@
     }
 
     /// Does what it is told.
-    pub fn tell(&self, tell: Tell) {
-        match tell {
-            Tell::Mode(mode) => {
-                let before = self.with(|state| state.clone());
+    pub fn execute(&self, command: PlatformCommand) {
+        match command {
+            PlatformCommand::SetMode(mode) => {
+                let current = self.with_state(|state| state.clone());
                 *self
-                    .stale
+                    .stale_state
                     .lock()
-                    .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(before);
-                self.with(|state| state.mode = mode);
+                    .unwrap_or_else(std::sync::PoisonError::into_inner) = Some(current);
+                self.with_state(|state| state.mode = mode);
             }
-            Tell::Publish(head) => self.with(|state| {
+            PlatformCommand::PublishHead(head) => self.with_state(|state| {
                 state.head.value = *head;
                 state
                     .head
@@ -232,8 +237,10 @@
                     .clone_from(&vec![part_ref(state.part.revision)]);
                 state.head.revision = Revision(state.head.revision.0 + 1);
             }),
-            Tell::Touch => self.with(|state| state.head.revision = Revision(state.head.revision.0 + 1)),
-            Tell::PublishPart(part) => self.with(|state| {
+            PlatformCommand::Republish => {
+                self.with_state(|state| state.head.revision = Revision(state.head.revision.0 + 1));
+            }
+            PlatformCommand::PublishPart(part) => self.with_state(|state| {
                 let revision = Revision(state.head.revision.0 + 1);
                 state.part = ConfigValue {
                     revision,
@@ -242,43 +249,45 @@
                 state.head.revision = revision;
                 state.head.value.parts = vec![part_ref(revision)];
             }),
-            Tell::ListLag(ms) => self.with(|state| state.lag = Duration::from_millis(ms)),
-            Tell::LeaveTarget(id) => self.change_list(move |fleet, _| {
+            PlatformCommand::SetListDelay(ms) => {
+                self.with_state(|state| state.list_delay = Duration::from_millis(ms));
+            }
+            PlatformCommand::MarkTargetLeaving(id) => self.change_fleet(move |fleet, _| {
                 let target = fleet.targets.iter_mut().find(|target| target.id == id);
                 if let Some(target) = target {
                     target.state = ListState::Leaving;
                 }
             }),
-            Tell::RemoveEntry(id) => self.change_list(move |fleet, _| {
+            PlatformCommand::RemoveEntry(id) => self.change_fleet(move |fleet, _| {
                 fleet.entries.retain(|entry| entry.id != id);
-                new_era(fleet);
+                append_era(fleet);
             }),
-            Tell::AddEntry(id) => self.change_list(move |fleet, all| {
+            PlatformCommand::AddEntry(id) => self.change_fleet(move |fleet, initial| {
                 fleet
                     .entries
-                    .extend(all.entries.iter().find(|entry| entry.id == id).cloned());
-                new_era(fleet);
+                    .extend(initial.entries.iter().find(|entry| entry.id == id).cloned());
+                append_era(fleet);
             }),
         }
         self.changed.send_modify(|count| *count += 1);
     }
 
     /// Changes the list, as late as it lags.
-    fn change_list(&self, change: impl FnOnce(&mut Fleet, &Fleet) + Send + 'static) {
-        let lag = self.with(|state| state.lag);
+    fn change_fleet(&self, change: impl FnOnce(&mut Fleet, &Fleet) + Send + 'static) {
+        let list_delay = self.with_state(|state| state.list_delay);
         let platform = self.clone();
         let apply = move || {
-            platform.with(|state| {
+            platform.with_state(|state| {
                 state.fleet.revision = Revision(state.fleet.revision.0 + 1);
-                change(&mut state.fleet, &state.all_entries);
+                change(&mut state.fleet, &state.initial_fleet);
             });
             platform.changed.send_modify(|count| *count += 1);
         };
-        if lag.is_zero() {
+        if list_delay.is_zero() {
             return apply();
         }
         tokio::spawn(async move {
-            tokio::time::sleep(lag).await;
+            tokio::time::sleep(list_delay).await;
             apply();
         });
     }
@@ -292,7 +301,7 @@
 }
 
 /// The set of entry nodes changed: the cell enters a new era at the list's revision.
-fn new_era(fleet: &mut Fleet) {
+fn append_era(fleet: &mut Fleet) {
     let mut members: Vec<NodeId> = fleet.entries.iter().map(|entry| entry.id).collect();
     members.sort_unstable();
     let epoch = Epoch(fleet.revision.0);
@@ -301,7 +310,7 @@
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Response<FullBody> {
+fn json_response<T: Serialize>(value: &T) -> Response<FullBody> {
     match serde_json::to_vec(value) {
         Ok(body) => http::reply(StatusCode::OK, body),
         Err(error) => http::reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
@@ -309,7 +318,7 @@
 }
 
 /// A whole number out of a query; zero when it is not there.
-fn number(query: &str, name: &str) -> u64 {
+fn query_number(query: &str, name: &str) -> u64 {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
         .find(|(key, _)| *key == name)
--- a/crates/barleyspool_stands/src/replay/generator.rs
+++ b/crates/barleyspool_stands/src/replay/generator.rs
@@ -152,7 +152,7 @@
                 uses * f64::from(mix.weight) / f64::from(total)
             })
             .sum();
-        let served = f64::from(spec.count * spec.slots) * 1000.0 / spec.service_ms as f64;
+        let served = f64::from(spec.count * spec.slots) * 1000.0 / spec.service_time_ms as f64;
         if calls > 0.0 {
             served / calls
         } else {
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -78,10 +78,11 @@
     let revision = barleyspool_core::Revision(1);
     let part = platform::PartValue {
         revision,
-        value: deployment.part(),
+        value: deployment.config_part(),
     };
     let parts = [(crate::deployment::PART_KEY.to_owned(), part)];
-    let document: ConfigDocument = platform::assemble_document(revision, &deployment.head(revision), &parts);
+    let document: ConfigDocument =
+        platform::assemble_document(revision, &deployment.config_head(revision), &parts);
     let config = Config::from_document(&document, None).map_err(|faults| {
         faults
             .iter()
--- a/crates/barleyspool_stands/src/run_log.rs
+++ b/crates/barleyspool_stands/src/run_log.rs
@@ -12,20 +12,24 @@
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
     /// It began to run.
-    Begin,
+    #[serde(rename = "begin")]
+    Started,
     /// It ran to its end.
-    End,
+    #[serde(rename = "end")]
+    Completed,
     /// It was cancelled while it ran.
-    Cut,
+    #[serde(rename = "cut")]
+    Cancelled,
     /// It was refused and did not run.
     Refused,
     /// An order was put into effect.
-    Order,
+    #[serde(rename = "order")]
+    OrderApplied,
 }
 
 /// One line of a run log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RunLine {
+pub struct RunRecord {
     /// Unix milliseconds.
     pub at_ms: u64,
     /// The target's number.
@@ -66,8 +70,8 @@
     }
 
     /// Writes a line.
-    pub fn write(&self, line: &RunLine) {
-        if let (Some(file), Ok(mut text)) = (&self.file, serde_json::to_string(line)) {
+    pub fn write(&self, record: &RunRecord) {
+        if let (Some(file), Ok(mut text)) = (&self.file, serde_json::to_string(record)) {
             text.push('\n');
             if let Ok(mut file) = file.lock() {
                 // A log that cannot be written shows as a lost run, and the proof fails.
@@ -81,8 +85,8 @@
 ///
 /// # Errors
 /// When a file cannot be read or a line is not understood; a last line cut short by a kill is passed over.
-pub fn read_all(dir: &Path) -> io::Result<Vec<RunLine>> {
-    let mut lines = Vec::new();
+pub fn read_all(dir: &Path) -> io::Result<Vec<RunRecord>> {
+    let mut records = Vec::new();
     for entry in std::fs::read_dir(dir)? {
         let path = entry?.path();
         if path.extension().is_none_or(|extension| extension != "jsonl") {
@@ -90,21 +94,23 @@
         }
         let text = std::fs::read_to_string(&path)?;
         for line in text.split_inclusive('\n').filter(|line| line.ends_with('\n')) {
-            lines.push(serde_json::from_str(line).map_err(io::Error::other)?);
+            records.push(serde_json::from_str(line).map_err(io::Error::other)?);
         }
     }
-    lines.sort_by_key(|line: &RunLine| line.at_ms);
-    Ok(lines)
+    records.sort_by_key(|record: &RunRecord| record.at_ms);
+    Ok(records)
 }
 
 /// How often each step that may run at most once was begun, by service and key.
-pub fn unrepeatable_runs(lines: &[RunLine]) -> BTreeMap<(String, String), u32> {
+pub fn count_unrepeatable_runs(records: &[RunRecord]) -> BTreeMap<(String, String), u32> {
     let mut runs = BTreeMap::new();
-    for line in lines
+    for record in records
         .iter()
-        .filter(|line| line.event == RunEvent::Begin && !line.repeatable)
+        .filter(|record| record.event == RunEvent::Started && !record.repeatable)
     {
-        *runs.entry((line.service.clone(), line.key.clone())).or_default() += 1;
+        *runs
+            .entry((record.service.clone(), record.key.clone()))
+            .or_default() += 1;
     }
     runs
 }
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -1,7 +1,7 @@
 //! What the core's decisions cost, in this process.
 
 use super::Slope;
-use crate::process::resident;
+use crate::process::resident_bytes;
 use barleyspool_core::{
     AttemptEnd, Call, CallerId, Cell, CellId, Class, Config, ConfigDocument, ConfigHead, ConfigPart, Control,
     ControlEvent, ControlSettings, EntryNode, Epoch, Era, Fleet, Gossip, Incarnation, LeavingTarget,
@@ -198,11 +198,11 @@
             size as f64,
             best_us(3, || drop(black_box(Config::from_document(&document, None)))) / 1000.0,
         ));
-        let before = resident(std::process::id());
+        let before = resident_bytes(std::process::id());
         let kept: Vec<_> = (0..4)
             .map(|_| (Config::from_document(&document, None), document_copy(&document)))
             .collect();
-        let used = resident(std::process::id()).saturating_sub(before) as f64 / kept.len() as f64;
+        let used = resident_bytes(std::process::id()).saturating_sub(before) as f64 / kept.len() as f64;
         memory.push((size as f64, used / 1e6));
         drop(black_box(kept));
         whole.push((
@@ -459,11 +459,11 @@
         ask.push((entries as f64, one));
     }
     let mut bench = Bench::new(47_000, 9, 40)?;
-    let before = resident(std::process::id());
+    let before = resident_bytes(std::process::id());
     for active in [5, 500, 5_000, 23_500, 47_000] {
         (bench.router.live_requests()..active).for_each(|organisation| bench.arrive(organisation));
         if active >= 5_000 {
-            let used = resident(std::process::id()).saturating_sub(before);
+            let used = resident_bytes(std::process::id()).saturating_sub(before);
             memory.push((bench.router.live_requests() as f64, used as f64 / 1e6));
         }
         // Deciding about one more, with all of those waiting.
--- a/crates/barleyspool_stands/src/slopes/node_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/node_slopes.rs
@@ -3,7 +3,7 @@
 use super::Slope;
 use crate::deployment::{Deployment, EntrySpec};
 use crate::platform::Platform;
-use crate::process::{processor_time, resident};
+use crate::process::{cpu_time, resident_bytes};
 use barleyspool_wire::net;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -83,18 +83,18 @@
     base: u16,
 ) -> Result<NodeUse, Box<dyn Error>> {
     let mut deployment = deployment.clone();
-    deployment.platform = format!("127.0.0.1:{base}");
+    deployment.platform_address = format!("127.0.0.1:{base}");
     let address = |id: u32, nth: u32| format!("127.0.0.1:{}", u32::from(base) + id * 8 + nth);
     let spec = |id: u32| EntrySpec {
         id,
         zone: deployment.zones[id as usize % deployment.zones.len()].clone(),
-        callers: address(id, 0),
-        control: address(id, 1),
-        bulk: address(id, 2),
+        caller_address: address(id, 0),
+        control_address: address(id, 1),
+        bulk_address: address(id, 2),
     };
     deployment.entries = (1..=size).map(spec).collect();
     let platform = Platform::new(&deployment);
-    let serving = tokio::spawn(platform.serve(net::listen(deployment.platform.parse()?)?));
+    let serving = tokio::spawn(platform.serve(net::listen(deployment.platform_address.parse()?)?));
     let dir = std::env::temp_dir().join(format!("barleyspool-slopes-{}-{base}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let mut nodes = Nodes {
@@ -104,9 +104,9 @@
     for spec in &deployment.entries {
         let settings = serde_json::json!({
             "node": spec.id, "zone": spec.zone, "region": deployment.region,
-            "callers": spec.callers, "control": spec.control, "bulk": spec.bulk, "operators": address(spec.id, 3),
+            "callers": spec.caller_address, "control": spec.control_address, "bulk": spec.bulk_address, "operators": address(spec.id, 3),
             "seeds": [address(1, 1), address(2, 1)],
-            "configuration": deployment.platform, "fleet": deployment.platform, "log_level": "error",
+            "configuration": deployment.platform_address, "fleet": deployment.platform_address, "log_level": "error",
         });
         let file = nodes.dir.join(format!("{}.json", spec.id));
         std::fs::write(&file, settings.to_string())?;
@@ -120,20 +120,16 @@
     }
     tokio::time::sleep(SETTLE).await;
     let sent = loopback_bytes();
-    let before: Duration = nodes
-        .children
-        .iter()
-        .map(|child| processor_time(child.id()))
-        .sum();
+    let before: Duration = nodes.children.iter().map(|child| cpu_time(child.id())).sum();
     tokio::time::sleep(WATCH).await;
     let sent = loopback_bytes() - sent;
-    let after: Duration = nodes
+    let after: Duration = nodes.children.iter().map(|child| cpu_time(child.id())).sum();
+    let used = (after - before).as_secs_f64() / WATCH.as_secs_f64() * 100.0 / f64::from(size);
+    let resident: u64 = nodes
         .children
         .iter()
-        .map(|child| processor_time(child.id()))
+        .map(|child| resident_bytes(child.id()))
         .sum();
-    let used = (after - before).as_secs_f64() / WATCH.as_secs_f64() * 100.0 / f64::from(size);
-    let resident: u64 = nodes.children.iter().map(|child| resident(child.id())).sum();
     serving.abort();
     Ok(NodeUse {
         processor: used,
--- a/crates/barleyspool_stands/src/target.rs
+++ b/crates/barleyspool_stands/src/target.rs
@@ -3,7 +3,7 @@
 //! What it answers says what it was asked: `service(input)`, so that a caller can tell whether every stage
 //! ran on its own request.
 
-use crate::run_log::{RunEvent, RunLine, RunLog};
+use crate::run_log::{RunEvent, RunLog, RunRecord};
 use barleyspool_core::{EngineReport, LoadReport};
 use barleyspool_wire::http::{self};
 use barleyspool_wire::target::{
@@ -24,9 +24,9 @@
 use tokio::sync::oneshot;
 
 /// Pieces into which an engine cuts its answer.
-const PIECES: usize = 8;
+const EVENTS_PER_STREAM: usize = 8;
 /// How old the load is that a target reports.
-const REPORT_LAG: Duration = Duration::from_millis(100);
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
 type Body = BoxBody<Bytes, Infallible>;
 
@@ -42,13 +42,13 @@
     /// What a call takes.
     pub service_time: Duration,
     /// Whether it reports its load.
-    pub reports: bool,
+    pub reports_load: bool,
     /// Whether it is an engine, which streams and takes orders.
     pub engine: bool,
     /// Whether it checks fences.
-    pub fences: bool,
+    pub checks_fences: bool,
     /// How long a load of a model takes.
-    pub load_time: Duration,
+    pub model_load_time: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -58,8 +58,8 @@
     queue: BTreeMap<(u8, u64), oneshot::Sender<()>>,
     arrivals: u64,
     leaving: bool,
-    shown: LoadReport,
-    shown_at: Option<tokio::time::Instant>,
+    reported: LoadReport,
+    reported_at: Option<tokio::time::Instant>,
     engine: EngineReport,
 }
 
@@ -75,16 +75,20 @@
 #[derive(Debug)]
 struct Slot {
     target: Target,
-    line: RunLine,
-    ended: bool,
+    record: RunRecord,
+    completed: bool,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.line.event = if self.ended { RunEvent::End } else { RunEvent::Cut };
-        self.line.at_ms = now_ms();
-        self.target.log.write(&self.line);
-        self.target.release();
+        self.record.event = if self.completed {
+            RunEvent::Completed
+        } else {
+            RunEvent::Cancelled
+        };
+        self.record.at_ms = now_ms();
+        self.target.log.write(&self.record);
+        self.target.release_slot();
     }
 }
 
@@ -110,18 +114,18 @@
     pub async fn serve(self, listener: TcpListener) {
         http::serve(listener, move |request| {
             let target = self.clone();
-            async move { target.answer(request).await }
+            async move { target.handle(request).await }
         })
         .await;
     }
 
     /// Says from now on that it is leaving, and refuses new work.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.state().leaving = true;
     }
 
     /// Whether nothing runs or waits.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let state = self.state();
         state.running == 0 && state.queue.is_empty()
     }
@@ -130,54 +134,54 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         if path == LOAD_PATH {
-            return json(&self.report());
+            return json_response(&self.report());
         }
         let Ok(body) = request.into_body().collect().await else {
-            return plain(StatusCode::BAD_REQUEST, "broken off\n");
+            return text_response(StatusCode::BAD_REQUEST, "broken off\n");
         };
         let body = body.to_bytes();
         match path.as_str() {
             STEPS_PATH => match serde_json::from_slice(&body) {
-                Ok(step) => self.step(step).await,
-                Err(error) => plain(StatusCode::BAD_REQUEST, &format!("{error}\n")),
+                Ok(step) => self.run_step(step).await,
+                Err(error) => text_response(StatusCode::BAD_REQUEST, &format!("{error}\n")),
             },
             ORDERS_PATH => match serde_json::from_slice(&body) {
-                Ok(order) => json(&self.order(&order)),
-                Err(error) => plain(StatusCode::BAD_REQUEST, &format!("{error}\n")),
+                Ok(order) => json_response(&self.apply_order(&order)),
+                Err(error) => text_response(StatusCode::BAD_REQUEST, &format!("{error}\n")),
             },
             // The connection's end already stopped the work; there is nothing left to do.
-            CANCEL_PATH => plain(StatusCode::OK, ""),
-            _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
+            CANCEL_PATH => text_response(StatusCode::OK, ""),
+            _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 
     // ------------------------------------------------------------------------
     // Steps
 
-    async fn step(&self, step: StepRequest) -> Response<Body> {
-        let line = RunLine {
+    async fn run_step(&self, step: StepRequest) -> Response<Body> {
+        let record = RunRecord {
             at_ms: now_ms(),
             target: self.settings.id,
             service: self.settings.service.clone(),
             event: RunEvent::Refused,
-            key: key_in(&step.input.0),
+            key: key_from_input(&step.input.0),
             repeatable: step.repeatable,
             revision: 0,
         };
         let leaving = self.state().leaving;
         if leaving || now_ms() >= step.deadline_ms {
-            self.log.write(&line);
-            return json(&self.reply(&step, None));
+            self.log.write(&record);
+            return json_response(&self.reply(&step, None));
         }
-        let slot = self.slot(step.priority, line).await;
-        let output = self.output(&step.input.0);
+        let slot = self.acquire_slot(step.priority, record).await;
+        let output = self.output_for(&step.input.0);
         if step.stream && self.settings.engine {
-            self.stream(step, output, slot)
+            self.answer_stream(step, output, slot)
         } else {
-            self.whole(step, output, slot).await
+            self.answer_complete(step, output, slot).await
         }
     }
 
@@ -193,48 +197,50 @@
         }
     }
 
-    async fn whole(&self, step: StepRequest, output: Vec<u8>, mut slot: Slot) -> Response<Body> {
+    async fn answer_complete(&self, step: StepRequest, output: Vec<u8>, mut slot: Slot) -> Response<Body> {
         tokio::time::sleep(self.settings.service_time).await;
-        slot.ended = true;
+        slot.completed = true;
         drop(slot);
-        json(&self.reply(&step, Some(output)))
+        json_response(&self.reply(&step, Some(output)))
     }
 
     /// Streams the answer from where the caller already has it.
-    fn stream(&self, step: StepRequest, output: Vec<u8>, slot: Slot) -> Response<Body> {
-        let from = step.so_far.0.len().min(output.len());
-        let piece = output.len().div_ceil(PIECES).max(1);
-        let pause = self.settings.service_time / PIECES as u32;
+    fn answer_stream(&self, step: StepRequest, output: Vec<u8>, slot: Slot) -> Response<Body> {
+        let start_offset = step.so_far.0.len().min(output.len());
+        let event_bytes = output.len().div_ceil(EVENTS_PER_STREAM).max(1);
+        let event_interval = self.settings.service_time / EVENTS_PER_STREAM as u32;
         let target = self.clone();
-        let start = (from, Some(slot));
-        let events = futures::stream::unfold(start, move |(at, slot)| {
+        let initial = (start_offset, Some(slot));
+        let events = futures::stream::unfold(initial, move |(offset, slot)| {
             let (target, step, output) = (target.clone(), step.clone(), output.clone());
             async move {
                 let mut slot = slot?;
-                tokio::time::sleep(pause).await;
-                let end = (at + piece).min(output.len());
-                let last = end == output.len();
+                tokio::time::sleep(event_interval).await;
+                let end = (offset + event_bytes).min(output.len());
+                let is_last = end == output.len();
                 let report = target.report();
                 let event = StreamEvent {
                     echo: step.echo,
-                    offset: at as u64,
-                    data: Blob(Arc::from(&output[at..end])),
-                    length: last.then_some(output.len() as u64),
+                    offset: offset as u64,
+                    data: Blob(Arc::from(&output[offset..end])),
+                    length: is_last.then_some(output.len() as u64),
                     leaving: report.leaving,
-                    load: if last { report.load } else { None },
+                    load: if is_last { report.load } else { None },
                 };
-                slot.ended = last;
-                let slot = if last { None } else { Some(slot) };
+                slot.completed = is_last;
+                let slot = if is_last { None } else { Some(slot) };
                 Some((event, (end, slot)))
             }
         });
         let mut response = Response::new(event_body(events));
-        let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-        response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+        let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+        response
+            .headers_mut()
+            .insert(hyper::header::CONTENT_TYPE, content_type);
         response
     }
 
-    fn output(&self, input: &[u8]) -> Vec<u8> {
+    fn output_for(&self, input: &[u8]) -> Vec<u8> {
         let mut output = self.settings.service.clone().into_bytes();
         output.push(b'(');
         output.extend_from_slice(input);
@@ -246,8 +252,8 @@
     // Slots: who works, who waits, and in which order
 
     /// Waits for a slot. A caller that goes away while it waits is passed over.
-    async fn slot(&self, priority: u8, line: RunLine) -> Slot {
-        let turn = {
+    async fn acquire_slot(&self, priority: u8, record: RunRecord) -> Slot {
+        let grant = {
             let mut state = self.state();
             if state.running < self.settings.slots {
                 state.running += 1;
@@ -255,32 +261,32 @@
             } else {
                 let (sender, receiver) = oneshot::channel();
                 state.arrivals += 1;
-                let place = (priority, state.arrivals);
-                state.queue.insert(place, sender);
+                let rank = (priority, state.arrivals);
+                state.queue.insert(rank, sender);
                 Some(receiver)
             }
         };
-        if let Some(turn) = turn {
+        if let Some(grant) = grant {
             // The sender only goes when its turn has come.
-            let _ = turn.await;
+            let _ = grant.await;
         }
-        let line = RunLine {
-            event: RunEvent::Begin,
+        let record = RunRecord {
+            event: RunEvent::Started,
             at_ms: now_ms(),
-            ..line
+            ..record
         };
-        self.log.write(&line);
+        self.log.write(&record);
         Slot {
             target: self.clone(),
-            line,
-            ended: false,
+            record,
+            completed: false,
         }
     }
 
-    fn release(&self) {
+    fn release_slot(&self) {
         let mut state = self.state();
-        while let Some((_, waiting)) = state.queue.pop_first() {
-            if waiting.send(()).is_ok() {
+        while let Some((_, waiter)) = state.queue.pop_first() {
+            if waiter.send(()).is_ok() {
                 return;
             }
         }
@@ -293,30 +299,26 @@
     /// The load as it was a moment ago: reports lag.
     fn report(&self) -> TargetReport {
         let mut state = self.state();
-        let queued = state
-            .queue
-            .values()
-            .filter(|waiting| !waiting.is_closed())
-            .count() as u32;
-        if state.shown_at.is_none_or(|at| at.elapsed() >= REPORT_LAG) {
-            state.shown = LoadReport {
+        let queued = state.queue.values().filter(|waiter| !waiter.is_closed()).count() as u32;
+        if state.reported_at.is_none_or(|at| at.elapsed() >= REPORT_DELAY) {
+            state.reported = LoadReport {
                 running: state.running,
                 queued,
                 slots: self.settings.slots,
             };
-            state.shown_at = Some(tokio::time::Instant::now());
+            state.reported_at = Some(tokio::time::Instant::now());
         }
         TargetReport {
-            load: self.settings.reports.then_some(state.shown),
+            load: self.settings.reports_load.then_some(state.reported),
             leaving: state.leaving,
             engine: self.settings.engine.then(|| state.engine.clone()),
         }
     }
 
     /// Takes an order whose fence is higher than the last; an engine that checks no fences takes any.
-    fn order(&self, order: &OrderRequest) -> OrderReply {
+    fn apply_order(&self, order: &OrderRequest) -> OrderReply {
         let mut state = self.state();
-        if self.settings.fences && order.fence <= state.engine.fence {
+        if self.settings.checks_fences && order.fence <= state.engine.fence {
             return OrderReply {
                 accepted: false,
                 fence: state.engine.fence,
@@ -328,18 +330,18 @@
             state.engine.loading.remove(model);
         }
         state.engine.loading = order.load.clone();
-        self.log.write(&RunLine {
+        self.log.write(&RunRecord {
             at_ms: now_ms(),
             target: self.settings.id,
             service: self.settings.service.clone(),
-            event: RunEvent::Order,
+            event: RunEvent::OrderApplied,
             key: order.load.iter().cloned().collect::<Vec<_>>().join(","),
             repeatable: true,
             revision: order.fence.revision.0,
         });
         let (target, fence, load) = (self.clone(), order.fence, order.load.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(target.settings.load_time).await;
+            tokio::time::sleep(target.settings.model_load_time).await;
             let mut state = target.state();
             // A later order replaces what this one was loading.
             if state.engine.fence == fence {
@@ -355,7 +357,7 @@
 }
 
 /// The caller's key: what stands innermost in the input, up to the first bar.
-pub fn key_in(input: &[u8]) -> String {
+pub fn key_from_input(input: &[u8]) -> String {
     let text = String::from_utf8_lossy(input);
     let inner = text.rsplit('(').next().unwrap_or_default();
     inner.split(['|', ')']).next().unwrap_or_default().to_owned()
@@ -368,16 +370,16 @@
         .as_millis() as u64
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Body> {
+fn text_response(status: StatusCode, text: &str) -> Response<Body> {
     let mut response = Response::new(Full::new(Bytes::from(text.to_owned())).boxed());
     *response.status_mut() = status;
     response
 }
 
-fn json<T: serde::Serialize>(value: &T) -> Response<Body> {
+fn json_response<T: serde::Serialize>(value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(body) => Response::new(Full::new(Bytes::from(body)).boxed()),
-        Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
--- a/crates/barleyspool_stands/tests/processes.rs
+++ b/crates/barleyspool_stands/tests/processes.rs
@@ -11,9 +11,9 @@
 
 use barleyspool_client::JobOutcome;
 use barleyspool_core::{NodeId, Placement, Revision, TargetId};
-use barleyspool_stands::caller::Verdicts;
-use barleyspool_stands::cut::CutMode;
-use barleyspool_stands::platform::{Mode, Tell};
+use barleyspool_stands::caller::CheckSummary;
+use barleyspool_stands::fault_relay::RelayMode;
+use barleyspool_stands::platform::{PlatformCommand, ServiceMode};
 use barleyspool_stands::run_log::RunEvent;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use support::Cluster;
@@ -33,13 +33,13 @@
 }
 
 #[track_caller]
-fn promises_hold(verdicts: &Verdicts) {
-    assert!(verdicts.hold(), "{verdicts:?}");
+fn assert_no_violation(summary: &CheckSummary) {
+    assert!(summary.has_no_violation(), "{summary:?}");
     // Only what was unrepeatable and in flight at a node that died or hung may end so.
-    assert!(verdicts.unknown <= MOST_UNKNOWN, "{verdicts:?}");
+    assert!(summary.unknown <= MOST_UNKNOWN, "{summary:?}");
     assert!(
-        verdicts.complete * 2 > verdicts.requests,
-        "hardly anything was served: {verdicts:?}"
+        summary.complete * 2 > summary.requests,
+        "hardly anything was served: {summary:?}"
     );
 }
 
@@ -47,18 +47,18 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_entry_loses_and_doubles_nothing() {
     let mut cluster = Cluster::start(3).await;
-    let (verdicts, _) = cluster
+    let (summary, _) = cluster
         .under_load(480, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.5)).await;
             cluster.kill_entry(2);
             tokio::time::sleep(seconds(0.5)).await;
-            cluster.platform.tell(Tell::RemoveEntry(NodeId(2)));
+            cluster.platform.execute(PlatformCommand::RemoveEntry(NodeId(2)));
             tokio::time::sleep(seconds(1.5)).await;
-            cluster.platform.tell(Tell::AddEntry(NodeId(2)));
+            cluster.platform.execute(PlatformCommand::AddEntry(NodeId(2)));
             cluster.start_entry(2);
         })
         .await;
-    promises_hold(&verdicts);
+    assert_no_violation(&summary);
     cluster.wait_for(2, |status| status.lease == "held").await;
 }
 
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_frozen_entry_that_wakes_late_doubles_nothing() {
     let mut cluster = Cluster::start(3).await;
-    let (verdicts, _) = cluster
+    let (summary, _) = cluster
         .under_load(540, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_entry(1, "STOP");
@@ -75,12 +75,12 @@
             cluster.signal_entry(1, "CONT");
             tokio::time::sleep(seconds(0.7)).await;
             cluster.signal_entry(1, "STOP");
-            cluster.platform.tell(Tell::RemoveEntry(NodeId(1)));
+            cluster.platform.execute(PlatformCommand::RemoveEntry(NodeId(1)));
             tokio::time::sleep(seconds(4.0)).await;
             cluster.signal_entry(1, "CONT");
         })
         .await;
-    promises_hold(&verdicts);
+    assert_no_violation(&summary);
     let status = cluster.wait_for(1, |status| status.epoch > 1).await;
     assert_ne!(status.lease, "held", "it knows that it has lost its place");
 }
@@ -89,22 +89,22 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cut_between_entries_doubles_nothing_and_heals() {
     let mut cluster = Cluster::start(4).await;
-    let (verdicts, _) = cluster
+    let (summary, _) = cluster
         .under_load(540, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             // Node 4's peers cannot reach it and get nothing back; it still reaches the platform.
-            cluster.cut(4, CutMode::Silent);
+            cluster.set_relay_mode(4, RelayMode::Blackhole);
             tokio::time::sleep(seconds(0.5)).await;
-            cluster.platform.tell(Tell::ListLag(1500));
-            cluster.platform.tell(Tell::RemoveEntry(NodeId(4)));
+            cluster.platform.execute(PlatformCommand::SetListDelay(1500));
+            cluster.platform.execute(PlatformCommand::RemoveEntry(NodeId(4)));
             tokio::time::sleep(seconds(3.0)).await;
-            cluster.cut(3, CutMode::OneWay);
+            cluster.set_relay_mode(3, RelayMode::BlackholeReplies);
             tokio::time::sleep(seconds(1.0)).await;
-            cluster.cut(3, CutMode::Open);
-            cluster.cut(4, CutMode::Open);
+            cluster.set_relay_mode(3, RelayMode::PassThrough);
+            cluster.set_relay_mode(4, RelayMode::PassThrough);
         })
         .await;
-    promises_hold(&verdicts);
+    assert_no_violation(&summary);
     for id in [1, 2, 3] {
         cluster.wait_for(id, |status| status.lease == "held").await;
     }
@@ -115,11 +115,11 @@
 async fn a_minority_refuses_unrepeatable_work_only() {
     let mut cluster = Cluster::start(3).await;
     for id in [2, 3] {
-        cluster.cut(id, CutMode::Reset);
+        cluster.set_relay_mode(id, RelayMode::Reset);
     }
     cluster.wait_for(1, |status| status.lease == "unconfirmed").await;
-    let (verdicts, records) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
-    assert!(verdicts.hold(), "{verdicts:?}");
+    let (summary, records) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
+    assert!(summary.has_no_violation(), "{summary:?}");
     for record in records.iter().filter(|record| !record.job.unrepeatable) {
         assert_eq!(
             record.answer.outcome,
@@ -144,7 +144,7 @@
 async fn a_planned_stop_cuts_off_nothing() {
     let mut cluster = Cluster::start(3).await;
     let mut ended = None;
-    let (verdicts, records) = cluster
+    let (summary, records) = cluster
         .under_load(360, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_entry(3, "TERM");
@@ -153,7 +153,7 @@
             ended = Some(cluster.wait_for_exit(3).await);
         })
         .await;
-    promises_hold(&verdicts);
+    assert_no_violation(&summary);
     assert!(ended.is_some_and(|status| status.success()));
     let unknown: Vec<_> = records
         .iter()
@@ -175,7 +175,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn killed_and_frozen_targets_lose_and_double_nothing() {
     let mut cluster = Cluster::start(3).await;
-    let (verdicts, _) = cluster
+    let (summary, _) = cluster
         .under_load(360, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(0.8)).await;
             cluster.signal_target(1, "KILL");
@@ -185,7 +185,7 @@
             cluster.signal_target(4, "CONT");
         })
         .await;
-    promises_hold(&verdicts);
+    assert_no_violation(&summary);
 }
 
 /// A target says that it is leaving on its own answers, long before the list does: no node sends it anything
@@ -193,18 +193,20 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_target_gets_nothing_new() {
     let mut cluster = Cluster::start(3).await;
-    cluster.platform.tell(Tell::ListLag(20_000));
+    cluster.platform.execute(PlatformCommand::SetListDelay(20_000));
     let mut told = 0;
-    let (verdicts, _) = cluster
+    let (summary, _) = cluster
         .under_load(360, RATE, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_target(1, "TERM");
-            cluster.platform.tell(Tell::LeaveTarget(TargetId(1)));
+            cluster
+                .platform
+                .execute(PlatformCommand::MarkTargetLeaving(TargetId(1)));
             told = now_ms();
         })
         .await;
-    promises_hold(&verdicts);
-    let lines = cluster.run_lines();
+    assert_no_violation(&summary);
+    let lines = cluster.run_records();
     let of_target = lines.iter().filter(|line| line.target == 1 && line.at_ms > told);
     let last = of_target
         .clone()
@@ -225,10 +227,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stale_service_and_a_restart_revert_nothing() {
     let mut cluster = Cluster::start(3).await;
-    cluster.platform.tell(Tell::Mode(Mode::Stale));
-    cluster.platform.tell(Tell::Mode(Mode::Up));
-    cluster.platform.tell(Tell::Touch);
-    cluster.platform.tell(Tell::Touch);
+    cluster
+        .platform
+        .execute(PlatformCommand::SetMode(ServiceMode::Stale));
+    cluster
+        .platform
+        .execute(PlatformCommand::SetMode(ServiceMode::Up));
+    cluster.platform.execute(PlatformCommand::Republish);
+    cluster.platform.execute(PlatformCommand::Republish);
     let published = now_ms();
     for id in 1..=3 {
         cluster.wait_for(id, |status| status.revision == 3).await;
@@ -237,13 +243,15 @@
         "a change was in force on 3 nodes {} ms after it was published",
         now_ms() - published
     );
-    cluster.platform.tell(Tell::Mode(Mode::Down));
+    cluster
+        .platform
+        .execute(PlatformCommand::SetMode(ServiceMode::Down));
     cluster.kill_entry(2);
     cluster.start_entry(2);
     let status = cluster.wait_for(2, |status| status.state == "serving").await;
     assert_eq!(status.revision, 3, "it learnt from its peers");
-    let (verdicts, _) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
-    promises_hold(&verdicts);
+    let (summary, _) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
+    assert_no_violation(&summary);
     for id in 1..=3 {
         assert_eq!(cluster.status(id).await.unwrap().revision, 3);
     }
@@ -265,14 +273,16 @@
         .flat_map(|spec| spec.first_id..spec.first_id + spec.count)
         .collect();
     let publish = |cluster: &Cluster, model: &str| {
-        let mut head = cluster.deployment.head(Revision(1));
+        let mut head = cluster.deployment.config_head(Revision(1));
         let place = |id: &u32| Placement {
             target: TargetId(*id),
             models: vec![model.to_owned()],
             urgency: 0,
         };
         head.placement = ids.iter().map(place).collect();
-        cluster.platform.tell(Tell::Publish(Box::new(head)));
+        cluster
+            .platform
+            .execute(PlatformCommand::PublishHead(Box::new(head)));
     };
     for keeper in 1..=3 {
         cluster.start_keeper(keeper);
@@ -286,11 +296,11 @@
     tokio::time::sleep(seconds(1.0)).await;
     cluster.signal_keeper(2, "CONT");
     cluster.wait_for_model(1, "summary@3").await;
-    let lines = cluster.run_lines();
+    let lines = cluster.run_records();
     for id in &ids {
         let orders = lines
             .iter()
-            .filter(|line| line.event == RunEvent::Order && line.target == *id);
+            .filter(|line| line.event == RunEvent::OrderApplied && line.target == *id);
         let revisions: Vec<u64> = orders.map(|line| line.revision).collect();
         assert!(
             revisions.len() >= 2 && revisions.is_sorted(),
@@ -307,7 +317,7 @@
     let mut open = Vec::new();
     for address in entries
         .iter()
-        .flat_map(|entry| [&entry.callers, &entry.control, &entry.bulk])
+        .flat_map(|entry| [&entry.caller_address, &entry.control_address, &entry.bulk_address])
     {
         for garbage in [
             &b"GET / HTTP/1.1\r\n"[..],
@@ -319,9 +329,9 @@
             open.push(stream);
         }
     }
-    let (verdicts, records) = cluster.under_load(180, RATE, async |_: &mut Cluster| {}).await;
-    promises_hold(&verdicts);
-    assert_eq!(verdicts.complete, records.len());
+    let (summary, records) = cluster.under_load(180, RATE, async |_: &mut Cluster| {}).await;
+    assert_no_violation(&summary);
+    assert_eq!(summary.complete, records.len());
     // At least the plain nonsense has been hung up on by now.
     let mut closed = 0;
     for stream in &mut open {
--- a/crates/barleyspool_stands/tests/support/mod.rs
+++ b/crates/barleyspool_stands/tests/support/mod.rs
@@ -8,9 +8,9 @@
     reason = "a test stops where it fails, and says what it saw"
 )]
 
-use barleyspool_stands::caller::{self, CallerSettings, Record, Verdicts};
-use barleyspool_stands::cut::{Cut, CutMode};
+use barleyspool_stands::caller::{self, CheckSummary, LoadSettings, Record};
 use barleyspool_stands::deployment::{Deployment, EntrySpec};
+use barleyspool_stands::fault_relay::{FaultRelay, RelayMode};
 use barleyspool_stands::platform::Platform;
 use barleyspool_stands::run_log;
 use barleyspool_wire::net;
@@ -33,7 +33,7 @@
 pub struct Cluster {
     pub deployment: Deployment,
     pub platform: Platform,
-    pub cuts: BTreeMap<u32, Cut>,
+    pub relays: BTreeMap<u32, FaultRelay>,
     dir: PathBuf,
     entries: BTreeMap<u32, Child>,
     targets: BTreeMap<u32, Child>,
@@ -50,8 +50,8 @@
         std::fs::create_dir_all(dir.join("runs")).unwrap();
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../settings/kirjakoda/deployment.json");
         let mut deployment = Deployment::load(&source).unwrap();
-        deployment.platform = format!("127.0.0.1:{base}");
-        deployment.target_port = base + 30;
+        deployment.platform_address = format!("127.0.0.1:{base}");
+        deployment.first_target_port = base + 30;
         shrink(&mut deployment);
         deployment.entries = (1..=entries).map(|id| entry(&deployment, base, id)).collect();
         std::fs::write(
@@ -61,19 +61,19 @@
         .unwrap();
 
         let platform = Platform::new(&deployment);
-        let listener = net::listen(deployment.platform.parse().unwrap()).unwrap();
+        let listener = net::listen(deployment.platform_address.parse().unwrap()).unwrap();
         tokio::spawn(platform.clone().serve(listener));
         let mut cluster = Self {
             deployment,
             platform,
-            cuts: BTreeMap::new(),
+            relays: BTreeMap::new(),
             dir,
             entries: BTreeMap::new(),
             targets: BTreeMap::new(),
             keepers: BTreeMap::new(),
         };
         for id in 1..=entries {
-            cluster.relay(id);
+            cluster.start_relay(id);
         }
         let targets: Vec<u32> = cluster.target_ids();
         for id in targets {
@@ -99,16 +99,22 @@
     }
 
     /// Peers reach a node's control address through a relay that can be cut.
-    fn relay(&mut self, id: u32) {
-        let cut = Cut::default();
-        let near = self.deployment.entries[id as usize - 1].control.parse().unwrap();
+    fn start_relay(&mut self, id: u32) {
+        let relay = FaultRelay::default();
+        let near = self.deployment.entries[id as usize - 1]
+            .control_address
+            .parse()
+            .unwrap();
         let far = self.port(id, 5);
-        tokio::spawn(cut.clone().serve(net::listen(near).unwrap(), far));
-        self.cuts.insert(id, cut);
+        tokio::spawn(relay.clone().serve(net::listen(near).unwrap(), far));
+        self.relays.insert(id, relay);
     }
 
     fn port(&self, id: u32, nth: u32) -> String {
-        let callers: std::net::SocketAddr = self.deployment.entries[id as usize - 1].callers.parse().unwrap();
+        let callers: std::net::SocketAddr = self.deployment.entries[id as usize - 1]
+            .caller_address
+            .parse()
+            .unwrap();
         format!("127.0.0.1:{}", u32::from(callers.port()) + nth)
     }
 
@@ -118,13 +124,13 @@
             .deployment
             .entries
             .iter()
-            .map(|entry| &entry.control)
+            .map(|entry| &entry.control_address)
             .collect();
         let settings = serde_json::json!({
             "node": id, "zone": spec.zone, "region": self.deployment.region,
-            "callers": spec.callers, "control": self.port(id, 5), "bulk": spec.bulk,
+            "callers": spec.caller_address, "control": self.port(id, 5), "bulk": spec.bulk_address,
             "operators": self.port(id, 3), "seeds": seeds,
-            "configuration": self.deployment.platform, "fleet": self.deployment.platform,
+            "configuration": self.deployment.platform_address, "fleet": self.deployment.platform_address,
             "lease": { "freshness_ms": 800, "horizon_ms": 2500, "skew_ms": 50 },
             "beat_ms": 100, "keep_ms": 500, "start_wait_ms": 1000, "plan_age_ms": 1000, "log_level": "warn",
         });
@@ -156,7 +162,7 @@
     pub fn start_keeper(&mut self, id: u32) {
         let settings = serde_json::json!({
             "node": id, "region": self.deployment.region, "operators": self.port(id, 6), "beat_ms": 200,
-            "configuration": self.deployment.platform, "fleet": self.deployment.platform,
+            "configuration": self.deployment.platform_address, "fleet": self.deployment.platform_address,
             "loads_per_s": 30.0, "log_level": "warn",
         });
         let file = self.dir.join(format!("keeper-{id}.json"));
@@ -204,7 +210,7 @@
     }
 
     /// The run logs of all targets.
-    pub fn run_lines(&self) -> Vec<run_log::RunLine> {
+    pub fn run_records(&self) -> Vec<run_log::RunRecord> {
         run_log::read_all(&self.dir.join("runs")).unwrap()
     }
 
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Waits until an entry node's process has ended by itself.
+    /// Waits until an entry node's process has finished by itself.
     pub async fn wait_for_exit(&mut self, id: u32) -> std::process::ExitStatus {
         let begun = Instant::now();
         loop {
@@ -239,8 +245,8 @@
     }
 
     /// Cuts a node off from its peers' questions, or lets them through again.
-    pub fn cut(&self, id: u32, mode: CutMode) {
-        self.cuts[&id].set(mode);
+    pub fn set_relay_mode(&self, id: u32, mode: RelayMode) {
+        self.relays[&id].set_mode(mode);
     }
 
     pub async fn status(&self, id: u32) -> Option<StatusReply> {
@@ -274,29 +280,29 @@
         requests: u32,
         rate: f64,
         faults: impl AsyncFnOnce(&mut Self),
-    ) -> (Verdicts, Vec<Record>) {
-        let settings = CallerSettings {
-            seeds: self
+    ) -> (CheckSummary, Vec<Record>) {
+        let settings = LoadSettings {
+            seed_nodes: self
                 .deployment
                 .entries
                 .iter()
-                .map(|entry| entry.callers.clone())
+                .map(|entry| entry.caller_address.clone())
                 .collect(),
-            requests,
-            rate,
+            request_count: requests,
+            requests_per_s: rate,
             seed: 7,
             trace: None,
-            prefix: "k".into(),
+            key_prefix: "k".into(),
             client: barleyspool_client::ClientSettings::default(),
         };
         let deployment = self.deployment.clone();
-        let load = tokio::spawn(async move { caller::drive(&deployment, &settings, |_| {}).await });
+        let load = tokio::spawn(async move { caller::run_load(&deployment, &settings, |_| {}).await });
         faults(self).await;
         let records = load.await.unwrap();
         let lines = run_log::read_all(&self.dir.join("runs")).unwrap();
-        let verdicts = caller::judge(&records, &lines);
-        println!("{}{verdicts:?}", caller::table(&records));
-        (verdicts, records)
+        let summary = caller::check_records(&records, &lines);
+        println!("{}{summary:?}", caller::summary_table(&records));
+        (summary, records)
     }
 }
 
@@ -308,7 +314,7 @@
             .chain(self.targets.values_mut())
             .chain(self.keepers.values_mut())
         {
-            // A child that has ended already cannot be killed, and need not be.
+            // A child that has finished already cannot be killed, and need not be.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -323,7 +329,7 @@
         spec.count = spec.count.min(2);
         spec.first_id = next;
         next += spec.count;
-        spec.service_ms = spec.service_ms.min(60);
+        spec.service_time_ms = spec.service_time_ms.min(60);
     }
     for mix in &mut deployment.mix {
         mix.deadline_ms = mix.deadline_ms.clamp(1000, 2400);
@@ -341,9 +347,9 @@
     EntrySpec {
         id,
         zone,
-        callers: address(0),
-        control: address(1),
-        bulk: address(2),
+        caller_address: address(0),
+        control_address: address(1),
+        bulk_address: address(2),
     }
 }
 
