--- a/crates/barleyspool_client/src/client.rs
+++ b/crates/barleyspool_client/src/client.rs
@@ -55,7 +55,7 @@
     settings: ClientSettings,
     connections: Connections,
     cached_nodes: Mutex<CachedNodes>,
-    revision: AtomicU64,
+    seen_revision: AtomicU64,
 }
 
 /// The result of one send of a job.
@@ -77,7 +77,7 @@
             settings: ClientSettings::default(),
             connections: Connections::default(),
             cached_nodes: Mutex::default(),
-            revision: AtomicU64::new(0),
+            seen_revision: AtomicU64::new(0),
         }
     }
 
@@ -117,7 +117,7 @@
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
                 SendResult::Outcome(outcome, data, first_byte_at) => {
-                    self.revision.fetch_max(outcome.revision, Ordering::Relaxed);
+                    self.seen_revision.fetch_max(outcome.revision, Ordering::Relaxed);
                     if outcome.verdict() == rpc::Verdict::Complete {
                         return Answer {
                             data,
@@ -188,7 +188,7 @@
             pipeline: job.pipeline.clone(),
             deadline_ms: job.deadline.as_millis(),
             unrepeatable: job.unrepeatable,
-            seen_revision: self.revision.load(Ordering::Relaxed),
+            seen_revision: self.seen_revision.load(Ordering::Relaxed),
             payload: job.payload.to_vec(),
             prefix: job.prefix.clone(),
             ..rpc::RunRequest::default()
@@ -223,7 +223,7 @@
             Err(Status::aborted("the stream ended without an outcome"))
         };
         match tokio::time::timeout(remaining, exchange).await {
-            Ok(Ok(sent)) => sent,
+            Ok(Ok(result)) => result,
             Ok(Err(status)) if never_processed(&status) => SendResult::Unreachable,
             Ok(Err(status)) => SendResult::ConnectionLost(status),
             Err(_) => SendResult::ConnectionLost(Status::deadline_exceeded("no outcome by the deadline")),
--- a/crates/barleyspool_wire/src/settings.rs
+++ b/crates/barleyspool_wire/src/settings.rs
@@ -69,7 +69,7 @@
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text),
-            Err(error) => Self::unreadable(file, &error.to_string(), "a readable file"),
+            Err(error) => Self::invalid_file(file, &error.to_string(), "a readable file"),
         }
     }
 
@@ -77,8 +77,8 @@
     pub fn parse(file: &str, text: &str) -> Self {
         match serde_json::from_str(text) {
             Ok(Value::Object(fields)) => Self::from_fields(file.to_owned(), String::new(), fields),
-            Ok(other) => Self::unreadable(file.to_owned(), &truncated_json(&other), "a JSON object"),
-            Err(error) => Self::unreadable(file.to_owned(), &error.to_string(), "valid JSON"),
+            Ok(other) => Self::invalid_file(file.to_owned(), &truncated_json(&other), "a JSON object"),
+            Err(error) => Self::invalid_file(file.to_owned(), &error.to_string(), "valid JSON"),
         }
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    fn unreadable(file: String, value: &str, allowed: &str) -> Self {
+    fn invalid_file(file: String, value: &str, allowed: &str) -> Self {
         let mut reader = Self::from_fields(file, String::new(), Map::new());
         let (path, value, allowed) = ("(file)".to_owned(), value.to_owned(), allowed.to_owned());
         reader.errors.push(InvalidSetting { path, value, allowed });
--- a/crates/barleyspool_wire/src/timer.rs
+++ b/crates/barleyspool_wire/src/timer.rs
@@ -45,14 +45,14 @@
 /// `clock_difference` returns how far the clock that counts suspensions is ahead of the one that does not;
 /// `on_suspension` is called with the duration of each suspension.
 pub async fn watch_suspensions(clock_difference: impl Fn() -> Duration, on_suspension: impl Fn(Duration)) {
-    let mut before = clock_difference();
+    let mut counted_difference = clock_difference();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let suspended = clock_difference().saturating_sub(before);
+        let suspended = clock_difference().saturating_sub(counted_difference);
         if suspended < MIN_SUSPENSION {
             continue;
         }
-        before += suspended;
+        counted_difference += suspended;
         let suspended_us = suspended.as_micros() as u64;
         SUSPENSIONS
             .suspended_us
@@ -67,11 +67,11 @@
 /// In a `select!` the branch with the work must come first (`biased`), so that received data takes precedence over
 /// the timeout.
 pub async fn sleep(duration: Duration) {
-    let (start, before) = (Instant::now(), SUSPENSIONS.total());
+    let (start, total_before) = (Instant::now(), SUSPENSIONS.total());
     loop {
         // Created before the total is read, so that no suspension in between is missed.
         let ended = SUSPENSIONS.ended.notified();
-        let suspended = SUSPENSIONS.total().saturating_sub(before);
+        let suspended = SUSPENSIONS.total().saturating_sub(total_before);
         tokio::select! {
             () = sleep_until(start + duration.saturating_sub(suspended)) => return,
             () = ended => {}
