--- a/crates/barleyspool_client/src/client.rs
+++ b/crates/barleyspool_client/src/client.rs
@@ -136,7 +136,7 @@
         progress.final_answer()
     }
 
-    /// Decides whether to retry after a refusal, and waits as long as the refusal demands. Returns `None` to give
+    /// Decides whether to retry after a refusal, and waits for the delay that the refusal states. Returns `None` to give
     /// up, `Some(None)` to retry at any node, and `Some(Some(address))` to retry at that node.
     async fn handle_refusal(
         &self,
@@ -148,8 +148,8 @@
         let reason = outcome.reason.clone();
         let retry_after_ms = outcome.come_back_ms;
         progress.last_outcome = Some(if not_run {
-            // After an uncertain send only the home node of the key, once its ownership of the key is settled, reports
-            // `NotRun`; the earlier sends then certainly have not run.
+            // After an uncertain send only the home node of the key reports `NotRun`, and only after its takeover
+            // wait. Then no earlier send has run either.
             progress.earlier_sends = rpc::EarlierSends::AllNotRun;
             JobOutcome::NotRun {
                 reason,
--- a/crates/barleyspool_wire/src/http.rs
+++ b/crates/barleyspool_wire/src/http.rs
@@ -58,10 +58,11 @@
 
 impl std::error::Error for HttpError {}
 
-/// Sends one request on a new connection and reads the whole answer, at most `max_bytes` bytes.
+/// Sends one request on a new connection and reads the answer, whose body may have at most `max_bytes` bytes.
 ///
 /// # Errors
-/// When the complete answer does not arrive in time. A status other than 200 is not an error.
+/// When the connection fails, or the answer is too large or does not arrive in time. A status other than 200 is not
+/// an error.
 pub async fn send_request(
     peer: &str,
     method: Method,
--- a/crates/barleyspool_wire/src/settings.rs
+++ b/crates/barleyspool_wire/src/settings.rs
@@ -308,7 +308,7 @@
     }
 }
 
-/// A value as it is shown in an error text, truncated to a few characters.
+/// Formats a value for an error text, truncated to `MAX_CHARS` characters.
 fn truncated_json(value: &Value) -> String {
     const MAX_CHARS: usize = 60;
     let text = value.to_string();
--- a/crates/barleyspool_wire/src/timer.rs
+++ b/crates/barleyspool_wire/src/timer.rs
@@ -1,8 +1,8 @@
 //! Timeouts that process received data before they expire, and that count suspensions of the machine.
 //!
-//! When a process is stopped and continued, its timers have expired before it has read its sockets: the operating
-//! system interrupts the wait for events without reporting any. Code that acts on a timeout at once treats calls and
-//! answers as missing that are waiting in the kernel.
+//! When a process is stopped and later continued, its timers expire before it has read its sockets: the operating
+//! system interrupts the wait for events without reporting any. Code that acts on a timeout at once would treat calls
+//! and answers as missing although they are waiting in the kernel.
 //!
 //! The timers of the runtime do not advance while the machine is suspended. So one task checks for suspensions
 //! regularly ([`watch_suspensions`]), and the waits of this module then subtract the suspended time: a call whose
