--- a/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
@@ -23,20 +23,20 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-type AnyError = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Ports from here on.
-const BASE: u16 = 11_800;
+const BASE_PORT: u16 = 11_800;
 /// Calls one after the other.
-const CALLS: usize = 4_000;
+const SEQUENTIAL_CALLS: usize = 4_000;
 /// Callers at once, when it is measured how much an entry carries.
-const CALLERS: usize = 64;
+const CONCURRENT_CALLERS: usize = 64;
 /// For how long.
-const CARRY: Duration = Duration::from_secs(5);
+const LOAD_DURATION: Duration = Duration::from_secs(5);
 
-struct Entry(Child, std::path::PathBuf);
+struct EntryProcess(Child, std::path::PathBuf);
 
-impl Drop for Entry {
+impl Drop for EntryProcess {
     fn drop(&mut self) {
         // One that has ended cannot be killed, and need not be.
         let _ = self.0.kill();
@@ -47,14 +47,14 @@
 
 #[allow(clippy::print_stdout, reason = "the figures are this program's output")]
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
-async fn main() -> Result<(), AnyError> {
+async fn main() -> Result<(), BoxError> {
     let mut deployment = Deployment::load(std::path::Path::new("settings/kirjakoda/deployment.json"))?;
-    deployment.platform_address = format!("127.0.0.1:{BASE}");
-    deployment.first_target_port = BASE + 20;
+    deployment.platform_address = format!("127.0.0.1:{BASE_PORT}");
+    deployment.first_target_port = BASE_PORT + 20;
     deployment.entries.truncate(1);
-    deployment.entries[0].caller_address = format!("127.0.0.1:{}", BASE + 1);
-    deployment.entries[0].control_address = format!("127.0.0.1:{}", BASE + 2);
-    deployment.entries[0].bulk_address = format!("127.0.0.1:{}", BASE + 3);
+    deployment.entries[0].caller_address = format!("127.0.0.1:{}", BASE_PORT + 1);
+    deployment.entries[0].control_address = format!("127.0.0.1:{}", BASE_PORT + 2);
+    deployment.entries[0].bulk_address = format!("127.0.0.1:{}", BASE_PORT + 3);
     deployment.targets.retain(|spec| spec.service == "reader");
     deployment.targets[0].count = 1;
     deployment.targets[0].slots = 1_000;
@@ -62,12 +62,12 @@
     deployment.services.retain(|service| service.name == "reader");
     deployment.placement.clear();
     tokio::spawn(Platform::new(&deployment).serve(net::listen(deployment.platform_address.parse()?)?));
-    let target = target(&deployment)?;
+    let target = start_target(&deployment)?;
     let started = Instant::now();
-    let entry = entry(&deployment)?;
-    let callers = deployment.entries[0].caller_address.clone();
-    let client = Arc::new(Client::new(vec![callers.clone()], "tallinn-a"));
-    while client.run(&job(0)).await.outcome != JobOutcome::Complete {
+    let entry = start_entry(&deployment)?;
+    let caller_address = deployment.entries[0].caller_address.clone();
+    let client = Arc::new(Client::new(vec![caller_address.clone()], "tallinn-a"));
+    while client.run(&test_job(0)).await.outcome != JobOutcome::Complete {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     println!(
@@ -79,35 +79,35 @@
         resident_bytes(entry.0.id()) as f64 / 1e6
     );
 
-    let direct = direct(&target).await?;
-    let through = through(&client).await;
-    let [d50, _, d99] = percentiles(direct.into_iter());
-    let [t50, _, t99] = percentiles(through.into_iter());
+    let direct = measure_direct(&target).await?;
+    let through_entry = measure_through_entry(&client).await;
+    let [direct_p50, _, direct_p99] = percentiles(direct.into_iter());
+    let [entry_p50, _, entry_p99] = percentiles(through_entry.into_iter());
     println!(
-        "{CALLS} calls one after the other: direct p50 {d50:.3} ms p99 {d99:.3} ms; through the entry p50 {t50:.3} ms p99 {t99:.3} ms"
+        "{SEQUENTIAL_CALLS} calls one after the other: direct p50 {direct_p50:.3} ms p99 {direct_p99:.3} ms; through the entry p50 {entry_p50:.3} ms p99 {entry_p99:.3} ms"
     );
     println!(
         "added: p50 {:.3} ms, p99 {:.3} ms; ratio p50 {:.2}",
-        t50 - d50,
-        t99 - d99,
-        t50 / d50
+        entry_p50 - direct_p50,
+        entry_p99 - direct_p99,
+        entry_p50 / direct_p50
     );
 
     let before = cpu_time(entry.0.id());
-    let (requests, took) = carry(&client).await;
-    let used = cpu_time(entry.0.id()) - before;
+    let (requests, elapsed) = measure_throughput(&client).await;
+    let cpu_used = cpu_time(entry.0.id()) - before;
     println!(
-        "{CALLERS} callers at once: {:.0} requests/s on one traffic thread, {:.0} us of processor each; resident {:.1} MB",
-        requests as f64 / took.as_secs_f64(),
-        used.as_secs_f64() * 1e6 / requests as f64,
+        "{CONCURRENT_CALLERS} callers at once: {:.0} requests/s on one traffic thread, {:.0} us of processor each; resident {:.1} MB",
+        requests as f64 / elapsed.as_secs_f64(),
+        cpu_used.as_secs_f64() * 1e6 / requests as f64,
         resident_bytes(entry.0.id()) as f64 / 1e6
     );
-    let asks = asks(&callers).await?;
-    println!("{CALLERS} callers at once: {asks:.0} answers to Ask a second");
+    let asks_per_s = measure_ask_rate(&caller_address).await?;
+    println!("{CONCURRENT_CALLERS} callers at once: {asks_per_s:.0} answers to Ask a second");
     Ok(())
 }
 
-fn target(deployment: &Deployment) -> Result<String, AnyError> {
+fn start_target(deployment: &Deployment) -> Result<String, BoxError> {
     let (spec, node) = deployment
         .target(deployment.targets[0].first_id)
         .ok_or("no target")?;
@@ -126,11 +126,11 @@
     Ok(node.address)
 }
 
-fn entry(deployment: &Deployment) -> Result<Entry, AnyError> {
+fn start_entry(deployment: &Deployment) -> Result<EntryProcess, BoxError> {
     let spec = &deployment.entries[0];
     let settings = serde_json::json!({
         "node": 1, "zone": spec.zone, "region": deployment.region, "callers": spec.caller_address,
-        "control": spec.control_address, "bulk": spec.bulk_address, "operators": format!("127.0.0.1:{}", BASE + 4),
+        "control": spec.control_address, "bulk": spec.bulk_address, "operators": format!("127.0.0.1:{}", BASE_PORT + 4),
         "configuration": deployment.platform_address, "fleet": deployment.platform_address, "log_level": "error",
     });
     let file = std::env::temp_dir().join(format!("barleyspool-bench-{}.json", std::process::id()));
@@ -141,10 +141,10 @@
         .arg(&file)
         .stdin(Stdio::null())
         .spawn()?;
-    Ok(Entry(child, file))
+    Ok(EntryProcess(child, file))
 }
 
-fn job(nth: u64) -> Job {
+fn test_job(nth: u64) -> Job {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -160,13 +160,13 @@
 }
 
 /// The same step, sent to the target on one connection without an entry.
-async fn direct(address: &str) -> Result<Vec<Duration>, AnyError> {
+async fn measure_direct(address: &str) -> Result<Vec<Duration>, BoxError> {
     let stream = net::connect(address).await?;
     let io = hyper_util::rt::TokioIo::new(stream);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
     tokio::spawn(connection);
-    let mut times = Vec::with_capacity(CALLS);
-    for nth in 0..CALLS as u64 {
+    let mut times = Vec::with_capacity(SEQUENTIAL_CALLS);
+    for nth in 0..SEQUENTIAL_CALLS as u64 {
         let step = StepRequest {
             echo: Echo {
                 request: nth,
@@ -177,36 +177,36 @@
             ..StepRequest::default()
         };
         let body = Full::new(bytes::Bytes::from(serde_json::to_vec(&step)?));
-        let begun = Instant::now();
+        let started = Instant::now();
         let request = Request::post(STEPS_PATH).header("host", address).body(body)?;
         sender.ready().await?;
         sender.send_request(request).await?.into_body().collect().await?;
-        times.push(begun.elapsed());
+        times.push(started.elapsed());
     }
     Ok(times)
 }
 
-async fn through(client: &Client) -> Vec<Duration> {
-    let mut times = Vec::with_capacity(CALLS);
-    for nth in 1..=CALLS as u64 {
-        let begun = Instant::now();
-        if client.run(&job(nth)).await.outcome == JobOutcome::Complete {
-            times.push(begun.elapsed());
+async fn measure_through_entry(client: &Client) -> Vec<Duration> {
+    let mut times = Vec::with_capacity(SEQUENTIAL_CALLS);
+    for nth in 1..=SEQUENTIAL_CALLS as u64 {
+        let started = Instant::now();
+        if client.run(&test_job(nth)).await.outcome == JobOutcome::Complete {
+            times.push(started.elapsed());
         }
     }
     times
 }
 
-async fn carry(client: &Arc<Client>) -> (u64, Duration) {
+async fn measure_throughput(client: &Arc<Client>) -> (u64, Duration) {
     let count = Arc::new(AtomicU64::new(0));
-    let begun = Instant::now();
-    let callers = (0..CALLERS as u64).map(|caller| {
+    let started = Instant::now();
+    let callers = (0..CONCURRENT_CALLERS as u64).map(|caller| {
         let (client, count) = (Arc::clone(client), Arc::clone(&count));
         tokio::spawn(async move {
             let mut nth = caller << 32;
-            while begun.elapsed() < CARRY {
+            while started.elapsed() < LOAD_DURATION {
                 nth += 1;
-                if client.run(&job(nth)).await.outcome == JobOutcome::Complete {
+                if client.run(&test_job(nth)).await.outcome == JobOutcome::Complete {
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -216,24 +216,24 @@
         // A caller that panicked shows as requests not carried.
         let _ = caller.await;
     }
-    (count.load(Ordering::Relaxed), begun.elapsed())
+    (count.load(Ordering::Relaxed), started.elapsed())
 }
 
-async fn asks(callers: &str) -> Result<f64, AnyError> {
+async fn measure_ask_rate(callers: &str) -> Result<f64, BoxError> {
     let channel = tonic::transport::Endpoint::from_shared(format!("http://{callers}"))?
         .connect()
         .await?;
     let count = Arc::new(AtomicU64::new(0));
-    let begun = Instant::now();
-    let tasks = (0..CALLERS).map(|_| {
+    let started = Instant::now();
+    let tasks = (0..CONCURRENT_CALLERS).map(|_| {
         let (mut client, count) = (GatewayClient::new(channel.clone()), Arc::clone(&count));
         tokio::spawn(async move {
-            while begun.elapsed() < CARRY {
-                let ask = AskRequest {
+            while started.elapsed() < LOAD_DURATION {
+                let request = AskRequest {
                     organisation: "tartu-labs".to_owned(),
                     ..AskRequest::default()
                 };
-                if client.ask(ask).await.is_ok() {
+                if client.ask(request).await.is_ok() {
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -243,5 +243,5 @@
         // As above.
         let _ = task.await;
     }
-    Ok(count.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64())
+    Ok(count.load(Ordering::Relaxed) as f64 / started.elapsed().as_secs_f64())
 }
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
@@ -59,18 +59,18 @@
         client: ClientSettings::default(),
     };
     let total = settings.request_count as usize;
-    let step = (total / 10).max(1);
+    let progress_interval = (total / 10).max(1);
     let records = caller::run_load(&deployment, &settings, move |finished| {
-        if finished % step == 0 {
+        if finished % progress_interval == 0 {
             println!("  {finished} of {total} finished");
         }
     })
     .await;
-    let lines = match &flags.run_log {
+    let run_records = match &flags.run_log {
         Some(dir) => run_log::read_all(dir)?,
         None => Vec::new(),
     };
-    let summary = caller::check_records(&records, &lines);
+    let summary = caller::check_records(&records, &run_records);
     println!("\n{}", caller::summary_table(&records));
     if summary.unknown > 0 || summary.false_not_run > 0 {
         println!(
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
@@ -31,17 +31,23 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn Error>> {
     match flags::BarleyspoolStandPlatform::from_env_or_exit().subcommand {
-        flags::BarleyspoolStandPlatformCmd::Serve(serve) => {
-            let deployment = Deployment::load(&serve.deployment)?;
+        flags::BarleyspoolStandPlatformCmd::Serve(flags) => {
+            let deployment = Deployment::load(&flags.deployment)?;
             let listener = net::listen(deployment.platform_address.parse()?)?;
             Platform::new(&deployment).serve(listener).await;
         }
-        flags::BarleyspoolStandPlatformCmd::Tell(tell) => {
-            let body = tell.what.into_bytes();
-            let wait = Duration::from_secs(2);
-            let (status, answer) =
-                http::send_request(&tell.address, hyper::Method::POST, COMMAND_PATH, body, 4096, wait)
-                    .await?;
+        flags::BarleyspoolStandPlatformCmd::Tell(flags) => {
+            let body = flags.what.into_bytes();
+            let timeout = Duration::from_secs(2);
+            let (status, answer) = http::send_request(
+                &flags.address,
+                hyper::Method::POST,
+                COMMAND_PATH,
+                body,
+                4096,
+                timeout,
+            )
+            .await?;
             if !status.is_success() {
                 return Err(format!("{status}: {}", String::from_utf8_lossy(&answer)).into());
             }
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// How long a leaving target stays, so that those who do not know yet can be told.
-const STAY: Duration = Duration::from_secs(3);
+const LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 mod flags {
     use std::path::PathBuf;
@@ -38,7 +38,7 @@
     let flags = flags::BarleyspoolStandTarget::from_env_or_exit();
     let deployment = Deployment::load(&flags.deployment)?;
     if flags.list {
-        list(&deployment);
+        print_target_ids(&deployment);
         return Ok(());
     }
     let id = flags.id.ok_or("--id: is needed")?;
@@ -58,19 +58,19 @@
     let log = RunLog::open(flags.run_log.as_deref(), id)?;
     let target = Target::new(settings, log, spec.models.iter().cloned());
     let listener = net::listen(node.address.parse()?)?;
-    let serving = tokio::spawn(target.clone().serve(listener));
+    let server_task = tokio::spawn(target.clone().serve(listener));
     signal(SignalKind::terminate())?.recv().await;
     target.start_leaving();
-    tokio::time::sleep(STAY).await;
+    tokio::time::sleep(LEAVING_DELAY).await;
     while !target.is_idle() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    serving.abort();
+    server_task.abort();
     Ok(())
 }
 
 #[allow(clippy::print_stdout, reason = "the list is this call's output")]
-fn list(deployment: &Deployment) {
+fn print_target_ids(deployment: &Deployment) {
     for target in deployment
         .targets
         .iter()
--- a/crates/barleyspool_stands/tests/processes.rs
+++ b/crates/barleyspool_stands/tests/processes.rs
@@ -19,10 +19,10 @@
 use support::Cluster;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const RATE: f64 = 60.0;
+const REQUESTS_PER_S: f64 = 60.0;
 /// Unrepeatable requests in flight at one node at one moment: 60 a second, a tenth of them unrepeatable, 0.12 s
 /// each, so hardly ever more than one or two.
-const MOST_UNKNOWN: usize = 4;
+const MAX_UNKNOWN: usize = 4;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -36,7 +36,7 @@
 fn assert_no_violation(summary: &CheckSummary) {
     assert!(summary.has_no_violation(), "{summary:?}");
     // Only what was unrepeatable and in flight at a node that died or hung may end so.
-    assert!(summary.unknown <= MOST_UNKNOWN, "{summary:?}");
+    assert!(summary.unknown <= MAX_UNKNOWN, "{summary:?}");
     assert!(
         summary.complete * 2 > summary.requests,
         "hardly anything was served: {summary:?}"
@@ -45,10 +45,10 @@
 
 /// An entry node is killed, dropped from the list, and comes back with empty memory.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_entry_loses_and_doubles_nothing() {
+async fn a_killed_entry_node_loses_and_duplicates_no_requests() {
     let mut cluster = Cluster::start(3).await;
     let (summary, _) = cluster
-        .under_load(480, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(480, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.5)).await;
             cluster.kill_entry(2);
             tokio::time::sleep(seconds(0.5)).await;
@@ -59,16 +59,16 @@
         })
         .await;
     assert_no_violation(&summary);
-    cluster.wait_for(2, |status| status.lease == "held").await;
+    cluster.wait_for_status(2, |status| status.lease == "held").await;
 }
 
 /// An entry node is stopped for longer than any deadline, loses its place meanwhile, and wakes up believing
 /// in old facts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_frozen_entry_that_wakes_late_doubles_nothing() {
+async fn an_entry_node_resumed_after_its_lease_expired_duplicates_no_requests() {
     let mut cluster = Cluster::start(3).await;
     let (summary, _) = cluster
-        .under_load(540, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(540, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_entry(1, "STOP");
             tokio::time::sleep(seconds(0.3)).await;
@@ -81,16 +81,16 @@
         })
         .await;
     assert_no_violation(&summary);
-    let status = cluster.wait_for(1, |status| status.epoch > 1).await;
+    let status = cluster.wait_for_status(1, |status| status.epoch > 1).await;
     assert_ne!(status.lease, "held", "it knows that it has lost its place");
 }
 
 /// One node is cut off from its peers while both sides keep working and callers reach both.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cut_between_entries_doubles_nothing_and_heals() {
+async fn a_partition_between_entry_nodes_duplicates_no_requests_and_recovers() {
     let mut cluster = Cluster::start(4).await;
     let (summary, _) = cluster
-        .under_load(540, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(540, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             // Node 4's peers cannot reach it and get nothing back; it still reaches the platform.
             cluster.set_relay_mode(4, RelayMode::Blackhole);
@@ -106,19 +106,23 @@
         .await;
     assert_no_violation(&summary);
     for id in [1, 2, 3] {
-        cluster.wait_for(id, |status| status.lease == "held").await;
+        cluster.wait_for_status(id, |status| status.lease == "held").await;
     }
 }
 
 /// A node that most peers do not answer takes no unrepeatable work, and serves everything else.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_minority_refuses_unrepeatable_work_only() {
+async fn a_node_without_a_quorum_refuses_only_unrepeatable_requests() {
     let mut cluster = Cluster::start(3).await;
     for id in [2, 3] {
         cluster.set_relay_mode(id, RelayMode::Reset);
     }
-    cluster.wait_for(1, |status| status.lease == "unconfirmed").await;
-    let (summary, records) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
+    cluster
+        .wait_for_status(1, |status| status.lease == "unconfirmed")
+        .await;
+    let (summary, records) = cluster
+        .run_under_load(120, REQUESTS_PER_S, async |_: &mut Cluster| {})
+        .await;
     assert!(summary.has_no_violation(), "{summary:?}");
     for record in records.iter().filter(|record| !record.job.unrepeatable) {
         assert_eq!(
@@ -141,20 +145,20 @@
 
 /// A planned stop under load, with a second signal, cuts off nothing and ends by itself.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_cuts_off_nothing() {
+async fn a_planned_stop_interrupts_no_requests() {
     let mut cluster = Cluster::start(3).await;
-    let mut ended = None;
+    let mut exit_status = None;
     let (summary, records) = cluster
-        .under_load(360, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(360, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_entry(3, "TERM");
             tokio::time::sleep(seconds(0.2)).await;
             cluster.signal_entry(3, "TERM");
-            ended = Some(cluster.wait_for_exit(3).await);
+            exit_status = Some(cluster.wait_for_exit(3).await);
         })
         .await;
     assert_no_violation(&summary);
-    assert!(ended.is_some_and(|status| status.success()));
+    assert!(exit_status.is_some_and(|status| status.success()));
     let unknown: Vec<_> = records
         .iter()
         .filter(|record| matches!(record.answer.outcome, JobOutcome::Unknown { .. }))
@@ -173,10 +177,10 @@
 
 /// A target is killed, another hangs and wakes late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_and_frozen_targets_lose_and_double_nothing() {
+async fn killed_and_frozen_targets_lose_and_duplicate_no_requests() {
     let mut cluster = Cluster::start(3).await;
     let (summary, _) = cluster
-        .under_load(360, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(360, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(0.8)).await;
             cluster.signal_target(1, "KILL");
             tokio::time::sleep(seconds(0.7)).await;
@@ -191,41 +195,43 @@
 /// A target says that it is leaving on its own answers, long before the list does: no node sends it anything
 /// new after a second, and nobody's request suffers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_target_gets_nothing_new() {
+async fn a_leaving_target_gets_no_new_steps() {
     let mut cluster = Cluster::start(3).await;
     cluster.platform.execute(PlatformCommand::SetListDelay(20_000));
-    let mut told = 0;
+    let mut left_at = 0;
     let (summary, _) = cluster
-        .under_load(360, RATE, async |cluster: &mut Cluster| {
+        .run_under_load(360, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
             cluster.signal_target(1, "TERM");
             cluster
                 .platform
                 .execute(PlatformCommand::MarkTargetLeaving(TargetId(1)));
-            told = now_ms();
+            left_at = now_ms();
         })
         .await;
     assert_no_violation(&summary);
-    let lines = cluster.run_records();
-    let of_target = lines.iter().filter(|line| line.target == 1 && line.at_ms > told);
-    let last = of_target
+    let run_records = cluster.run_records();
+    let target_records = run_records
+        .iter()
+        .filter(|record| record.target == 1 && record.at_ms > left_at);
+    let last_ms = target_records
         .clone()
-        .map(|line| line.at_ms - told)
+        .map(|record| record.at_ms - left_at)
         .max()
         .unwrap_or_default();
-    println!("the leaving target heard of a step for the last time {last} ms after it was told to leave");
-    assert!(last < 1000, "{last} ms");
+    println!("the leaving target heard of a step for the last time {last_ms} ms after it was told to leave");
+    assert!(last_ms < 1000, "{last_ms} ms");
     assert!(
-        lines
+        run_records
             .iter()
-            .any(|line| line.target == 2 && line.at_ms > told + 1000),
+            .any(|record| record.target == 2 && record.at_ms > left_at + 1000),
         "the other one went on"
     );
 }
 
 /// The configuration service goes down, comes back stale, and a node restarts meanwhile: no revision goes back.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stale_service_and_a_restart_revert_nothing() {
+async fn a_stale_configuration_service_and_a_restart_revert_no_revision() {
     let mut cluster = Cluster::start(3).await;
     cluster
         .platform
@@ -237,7 +243,7 @@
     cluster.platform.execute(PlatformCommand::Republish);
     let published = now_ms();
     for id in 1..=3 {
-        cluster.wait_for(id, |status| status.revision == 3).await;
+        cluster.wait_for_status(id, |status| status.revision == 3).await;
     }
     println!(
         "a change was in force on 3 nodes {} ms after it was published",
@@ -248,9 +254,13 @@
         .execute(PlatformCommand::SetMode(ServiceMode::Down));
     cluster.kill_entry(2);
     cluster.start_entry(2);
-    let status = cluster.wait_for(2, |status| status.state == "serving").await;
+    let status = cluster
+        .wait_for_status(2, |status| status.state == "serving")
+        .await;
     assert_eq!(status.revision, 3, "it learnt from its peers");
-    let (summary, _) = cluster.under_load(120, RATE, async |_: &mut Cluster| {}).await;
+    let (summary, _) = cluster
+        .run_under_load(120, REQUESTS_PER_S, async |_: &mut Cluster| {})
+        .await;
     assert_no_violation(&summary);
     for id in 1..=3 {
         assert_eq!(cluster.status(id).await.unwrap().revision, 3);
@@ -259,7 +269,7 @@
 
 /// Keepers put a new placement into effect; one that sleeps through a change and one that is killed do no harm.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn keepers_put_a_placement_into_effect_and_never_an_older_one_after_a_newer() {
+async fn keepers_apply_placements_and_never_an_older_one_after_a_newer_one() {
     let mut cluster = Cluster::start(3).await;
     let engines: Vec<_> = cluster
         .deployment
@@ -274,12 +284,12 @@
         .collect();
     let publish = |cluster: &Cluster, model: &str| {
         let mut head = cluster.deployment.config_head(Revision(1));
-        let place = |id: &u32| Placement {
+        let placement = |id: &u32| Placement {
             target: TargetId(*id),
             models: vec![model.to_owned()],
             urgency: 0,
         };
-        head.placement = ids.iter().map(place).collect();
+        head.placement = ids.iter().map(placement).collect();
         cluster
             .platform
             .execute(PlatformCommand::PublishHead(Box::new(head)));
@@ -296,12 +306,12 @@
     tokio::time::sleep(seconds(1.0)).await;
     cluster.signal_keeper(2, "CONT");
     cluster.wait_for_model(1, "summary@3").await;
-    let lines = cluster.run_records();
+    let run_records = cluster.run_records();
     for id in &ids {
-        let orders = lines
+        let orders = run_records
             .iter()
-            .filter(|line| line.event == RunEvent::OrderApplied && line.target == *id);
-        let revisions: Vec<u64> = orders.map(|line| line.revision).collect();
+            .filter(|record| record.event == RunEvent::OrderApplied && record.target == *id);
+        let revisions: Vec<u64> = orders.map(|record| record.revision).collect();
         assert!(
             revisions.len() >= 2 && revisions.is_sorted(),
             "target {id}: {revisions:?}"
@@ -311,10 +321,10 @@
 
 /// Garbage, half-open connections and connections that just stay open harm nobody.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn malformed_and_half_open_connections_harm_nobody() {
+async fn malformed_and_half_open_connections_do_not_affect_other_requests() {
     let mut cluster = Cluster::start(3).await;
     let entries = cluster.deployment.entries.clone();
-    let mut open = Vec::new();
+    let mut streams = Vec::new();
     for address in entries
         .iter()
         .flat_map(|entry| [&entry.caller_address, &entry.control_address, &entry.bulk_address])
@@ -326,22 +336,24 @@
         ] {
             let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
             stream.write_all(garbage).await.unwrap();
-            open.push(stream);
+            streams.push(stream);
         }
     }
-    let (summary, records) = cluster.under_load(180, RATE, async |_: &mut Cluster| {}).await;
+    let (summary, records) = cluster
+        .run_under_load(180, REQUESTS_PER_S, async |_: &mut Cluster| {})
+        .await;
     assert_no_violation(&summary);
     assert_eq!(summary.complete, records.len());
     // At least the plain nonsense has been hung up on by now.
     let mut closed = 0;
-    for stream in &mut open {
-        let mut byte = [0; 4096];
-        let read = tokio::time::timeout(seconds(0.05), stream.read(&mut byte)).await;
+    for stream in &mut streams {
+        let mut buffer = [0; 4096];
+        let read = tokio::time::timeout(seconds(0.05), stream.read(&mut buffer)).await;
         closed += usize::from(matches!(read, Ok(Ok(_) | Err(_))));
     }
     assert!(
         closed >= entries.len(),
         "{closed} of {} were answered or hung up on",
-        open.len()
+        streams.len()
     );
 }
--- a/crates/barleyspool_stands/tests/support/mod.rs
+++ b/crates/barleyspool_stands/tests/support/mod.rs
@@ -23,11 +23,11 @@
 use std::time::{Duration, Instant};
 
 /// Ports of one deployment.
-const PORTS: u16 = 100;
+const PORTS_PER_DEPLOYMENT: u16 = 100;
 /// How long anything may take to come about.
-const LIMIT: Duration = Duration::from_secs(30);
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 /// Numbers the deployments of this test process.
-static NEXT: AtomicU16 = AtomicU16::new(0);
+static NEXT_DEPLOYMENT: AtomicU16 = AtomicU16::new(0);
 
 /// A running deployment. Dropping it ends the processes it started.
 pub struct Cluster {
@@ -44,16 +44,19 @@
     /// Starts `entries` entry nodes and the targets of `settings/kirjakoda`, and waits until all serve and
     /// hold their lease.
     pub async fn start(entries: u32) -> Self {
-        let base =
-            12_000 + (std::process::id() % 18) as u16 * 1000 + NEXT.fetch_add(1, Ordering::Relaxed) * PORTS;
+        let base = 12_000
+            + (std::process::id() % 18) as u16 * 1000
+            + NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed) * PORTS_PER_DEPLOYMENT;
         let dir = std::env::temp_dir().join(format!("barleyspool-test-{}-{base}", std::process::id()));
         std::fs::create_dir_all(dir.join("runs")).unwrap();
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../settings/kirjakoda/deployment.json");
         let mut deployment = Deployment::load(&source).unwrap();
         deployment.platform_address = format!("127.0.0.1:{base}");
         deployment.first_target_port = base + 30;
-        shrink(&mut deployment);
-        deployment.entries = (1..=entries).map(|id| entry(&deployment, base, id)).collect();
+        reduce_for_tests(&mut deployment);
+        deployment.entries = (1..=entries)
+            .map(|id| entry_spec(&deployment, base, id))
+            .collect();
         std::fs::write(
             dir.join("deployment.json"),
             serde_json::to_string(&deployment).unwrap(),
@@ -84,7 +87,7 @@
         }
         for id in 1..=entries {
             cluster
-                .wait_for(id, |status| status.state == "serving" && status.lease == "held")
+                .wait_for_status(id, |status| status.state == "serving" && status.lease == "held")
                 .await;
         }
         cluster
@@ -101,21 +104,25 @@
     /// Peers reach a node's control address through a relay that can be cut.
     fn start_relay(&mut self, id: u32) {
         let relay = FaultRelay::default();
-        let near = self.deployment.entries[id as usize - 1]
+        let listen_address = self.deployment.entries[id as usize - 1]
             .control_address
             .parse()
             .unwrap();
-        let far = self.port(id, 5);
-        tokio::spawn(relay.clone().serve(net::listen(near).unwrap(), far));
+        let destination = self.address_of(id, 5);
+        tokio::spawn(
+            relay
+                .clone()
+                .serve(net::listen(listen_address).unwrap(), destination),
+        );
         self.relays.insert(id, relay);
     }
 
-    fn port(&self, id: u32, nth: u32) -> String {
-        let callers: std::net::SocketAddr = self.deployment.entries[id as usize - 1]
+    fn address_of(&self, id: u32, port_offset: u32) -> String {
+        let caller_address: std::net::SocketAddr = self.deployment.entries[id as usize - 1]
             .caller_address
             .parse()
             .unwrap();
-        format!("127.0.0.1:{}", u32::from(callers.port()) + nth)
+        format!("127.0.0.1:{}", u32::from(caller_address.port()) + port_offset)
     }
 
     pub fn start_entry(&mut self, id: u32) {
@@ -128,15 +135,15 @@
             .collect();
         let settings = serde_json::json!({
             "node": id, "zone": spec.zone, "region": self.deployment.region,
-            "callers": spec.caller_address, "control": self.port(id, 5), "bulk": spec.bulk_address,
-            "operators": self.port(id, 3), "seeds": seeds,
+            "callers": spec.caller_address, "control": self.address_of(id, 5), "bulk": spec.bulk_address,
+            "operators": self.address_of(id, 3), "seeds": seeds,
             "configuration": self.deployment.platform_address, "fleet": self.deployment.platform_address,
             "lease": { "freshness_ms": 800, "horizon_ms": 2500, "skew_ms": 50 },
             "beat_ms": 100, "keep_ms": 500, "start_wait_ms": 1000, "plan_age_ms": 1000, "log_level": "warn",
         });
         let file = self.dir.join(format!("entry-{id}.json"));
         std::fs::write(&file, settings.to_string()).unwrap();
-        let child = Command::new(binary("barleyspool-entry"))
+        let child = Command::new(binary_path("barleyspool-entry"))
             .arg("--settings")
             .arg(&file)
             .stdin(Stdio::null())
@@ -161,13 +168,13 @@
     /// Starts the keeper beside an entry node.
     pub fn start_keeper(&mut self, id: u32) {
         let settings = serde_json::json!({
-            "node": id, "region": self.deployment.region, "operators": self.port(id, 6), "beat_ms": 200,
+            "node": id, "region": self.deployment.region, "operators": self.address_of(id, 6), "beat_ms": 200,
             "configuration": self.deployment.platform_address, "fleet": self.deployment.platform_address,
             "loads_per_s": 30.0, "log_level": "warn",
         });
         let file = self.dir.join(format!("keeper-{id}.json"));
         std::fs::write(&file, settings.to_string()).unwrap();
-        let child = Command::new(binary("barleyspool-keeper"))
+        let child = Command::new(binary_path("barleyspool-keeper"))
             .arg("--settings")
             .arg(&file)
             .spawn()
@@ -183,7 +190,7 @@
     /// What a keeper says of its orders.
     pub async fn orders(&self, id: u32) -> Option<OrdersReply> {
         let endpoint =
-            tonic::transport::Endpoint::from_shared(format!("http://{}", self.port(id, 6))).unwrap();
+            tonic::transport::Endpoint::from_shared(format!("http://{}", self.address_of(id, 6))).unwrap();
         let mut client =
             OperationsClient::new(endpoint.timeout(Duration::from_secs(2)).connect().await.ok()?);
         Some(client.orders(OrdersRequest {}).await.ok()?.into_inner())
@@ -191,7 +198,7 @@
 
     /// Waits until a keeper sees every engine hold `model`.
     pub async fn wait_for_model(&self, keeper: u32, model: &str) {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let orders = self
                 .orders(keeper)
@@ -202,7 +209,7 @@
                 return;
             }
             assert!(
-                begun.elapsed() < LIMIT,
+                started.elapsed() < WAIT_LIMIT,
                 "engines do not come to hold {model}: {orders:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -234,12 +241,12 @@
 
     /// Waits until an entry node's process has finished by itself.
     pub async fn wait_for_exit(&mut self, id: u32) -> std::process::ExitStatus {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(status) = self.entries.get_mut(&id).unwrap().try_wait().unwrap() {
                 return status;
             }
-            assert!(begun.elapsed() < LIMIT, "entry {id} does not end");
+            assert!(started.elapsed() < WAIT_LIMIT, "entry {id} does not end");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -250,7 +257,7 @@
     }
 
     pub async fn status(&self, id: u32) -> Option<StatusReply> {
-        let address = format!("http://{}", self.port(id, 3));
+        let address = format!("http://{}", self.address_of(id, 3));
         let endpoint = tonic::transport::Endpoint::from_shared(address)
             .unwrap()
             .timeout(Duration::from_millis(500));
@@ -259,15 +266,15 @@
     }
 
     /// Waits until a node's status is as wanted.
-    pub async fn wait_for(&self, id: u32, wanted: impl Fn(&StatusReply) -> bool) -> StatusReply {
-        let begun = Instant::now();
+    pub async fn wait_for_status(&self, id: u32, condition: impl Fn(&StatusReply) -> bool) -> StatusReply {
+        let started = Instant::now();
         loop {
             let status = self.status(id).await;
-            if let Some(status) = status.clone().filter(|status| wanted(status)) {
+            if let Some(status) = status.clone().filter(|status| condition(status)) {
                 return status;
             }
             assert!(
-                begun.elapsed() < LIMIT,
+                started.elapsed() < WAIT_LIMIT,
                 "entry {id} does not get there: {status:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -275,11 +282,11 @@
     }
 
     /// Sends a mix of requests while `faults` goes on, and judges both sides' records.
-    pub async fn under_load(
+    pub async fn run_under_load(
         &mut self,
         requests: u32,
         rate: f64,
-        faults: impl AsyncFnOnce(&mut Self),
+        inject_faults: impl AsyncFnOnce(&mut Self),
     ) -> (CheckSummary, Vec<Record>) {
         let settings = LoadSettings {
             seed_nodes: self
@@ -296,11 +303,11 @@
             client: barleyspool_client::ClientSettings::default(),
         };
         let deployment = self.deployment.clone();
-        let load = tokio::spawn(async move { caller::run_load(&deployment, &settings, |_| {}).await });
-        faults(self).await;
-        let records = load.await.unwrap();
-        let lines = run_log::read_all(&self.dir.join("runs")).unwrap();
-        let summary = caller::check_records(&records, &lines);
+        let load_task = tokio::spawn(async move { caller::run_load(&deployment, &settings, |_| {}).await });
+        inject_faults(self).await;
+        let records = load_task.await.unwrap();
+        let run_records = run_log::read_all(&self.dir.join("runs")).unwrap();
+        let summary = caller::check_records(&records, &run_records);
         println!("{}{summary:?}", caller::summary_table(&records));
         (summary, records)
     }
@@ -323,7 +330,7 @@
 }
 
 /// Fewer targets, and deadlines that fit the short lease of the tests.
-fn shrink(deployment: &mut Deployment) {
+fn reduce_for_tests(deployment: &mut Deployment) {
     let mut next = 1;
     for spec in &mut deployment.targets {
         spec.count = spec.count.min(2);
@@ -340,9 +347,9 @@
     deployment.placement.clear();
 }
 
-fn entry(deployment: &Deployment, base: u16, id: u32) -> EntrySpec {
-    let first = u32::from(base) + 50 + id * 8;
-    let address = |nth: u32| format!("127.0.0.1:{}", first + nth);
+fn entry_spec(deployment: &Deployment, base: u16, id: u32) -> EntrySpec {
+    let first_port = u32::from(base) + 50 + id * 8;
+    let address = |port_offset: u32| format!("127.0.0.1:{}", first_port + port_offset);
     let zone = deployment.zones[id as usize % deployment.zones.len()].clone();
     EntrySpec {
         id,
@@ -354,7 +361,7 @@
 }
 
 /// A binary of another crate, which stands beside this crate's own.
-fn binary(name: &str) -> PathBuf {
+fn binary_path(name: &str) -> PathBuf {
     let binary = Path::new(env!("CARGO_BIN_EXE_barleyspool-stand-target")).with_file_name(name);
     assert!(
         binary.exists(),
