--- a/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
@@ -1,7 +1,8 @@
-//! `barleyspool-bench`: what one entry adds to a call, and how much it can carry on one traffic thread.
+//! `barleyspool-bench`: measures the latency that one entry node adds to a call, and its throughput on one
+//! traffic thread.
 //!
-//! It starts one entry as a process of its own before one plain target that answers at once, all on loopback,
-//! measures for a bounded time and ends what it started.
+//! The benchmark starts an entry node as a separate process, in front of a plain target that answers immediately,
+//! all on the loopback interface. It runs for a bounded time and stops what it started.
 
 use barleyspool_client::{Client, Job, JobOutcome};
 use barleyspool_core::{Echo, Span, Time};
@@ -25,20 +26,21 @@
 
 type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Ports from here on.
+/// First port of the benchmark.
 const BASE_PORT: u16 = 11_800;
-/// Calls one after the other.
+/// Calls of the latency measurements, sent one after the other.
 const SEQUENTIAL_CALLS: usize = 4_000;
-/// Callers at once, when it is measured how much an entry carries.
+/// Concurrent callers of the throughput measurements.
 const CONCURRENT_CALLERS: usize = 64;
-/// For how long.
+/// Duration of each throughput measurement.
 const LOAD_DURATION: Duration = Duration::from_secs(5);
 
+/// The entry process and its settings file. Dropping it kills the process and removes the file.
 struct EntryProcess(Child, std::path::PathBuf);
 
 impl Drop for EntryProcess {
     fn drop(&mut self) {
-        // One that has ended cannot be killed, and need not be.
+        // Fails if the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
         let _ = std::fs::remove_file(&self.1);
@@ -71,7 +73,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     println!(
-        "first answer {:.2} s after the entry's start",
+        "first answer {:.2} s after the start of the entry node",
         started.elapsed().as_secs_f64()
     );
     println!(
@@ -97,13 +99,13 @@
     let (requests, elapsed) = measure_throughput(&client).await;
     let cpu_used = cpu_time(entry.0.id()) - before;
     println!(
-        "{CONCURRENT_CALLERS} callers at once: {:.0} requests/s on one traffic thread, {:.0} us of processor each; resident {:.1} MB",
+        "{CONCURRENT_CALLERS} concurrent callers: {:.0} requests/s on one traffic thread, {:.0} us of CPU time each; resident {:.1} MB",
         requests as f64 / elapsed.as_secs_f64(),
         cpu_used.as_secs_f64() * 1e6 / requests as f64,
         resident_bytes(entry.0.id()) as f64 / 1e6
     );
     let asks_per_s = measure_ask_rate(&caller_address).await?;
-    println!("{CONCURRENT_CALLERS} callers at once: {asks_per_s:.0} answers to Ask a second");
+    println!("{CONCURRENT_CALLERS} concurrent callers: {asks_per_s:.0} answers to Ask per second");
     Ok(())
 }
 
@@ -159,7 +161,7 @@
     }
 }
 
-/// The same step, sent to the target on one connection without an entry.
+/// Latencies of the same step, sent directly to the target on one connection.
 async fn measure_direct(address: &str) -> Result<Vec<Duration>, BoxError> {
     let stream = net::connect(address).await?;
     let io = hyper_util::rt::TokioIo::new(stream);
@@ -186,6 +188,7 @@
     Ok(times)
 }
 
+/// Latencies of complete calls through the entry node, one after the other.
 async fn measure_through_entry(client: &Client) -> Vec<Duration> {
     let mut times = Vec::with_capacity(SEQUENTIAL_CALLS);
     for nth in 1..=SEQUENTIAL_CALLS as u64 {
@@ -197,6 +200,7 @@
     times
 }
 
+/// Number of complete calls of all concurrent callers, and the time that they took.
 async fn measure_throughput(client: &Arc<Client>) -> (u64, Duration) {
     let count = Arc::new(AtomicU64::new(0));
     let started = Instant::now();
@@ -213,12 +217,13 @@
         })
     });
     for caller in callers.collect::<Vec<_>>() {
-        // A caller that panicked shows as requests not carried.
+        // A panic of a caller appears as a lower request count.
         let _ = caller.await;
     }
     (count.load(Ordering::Relaxed), started.elapsed())
 }
 
+/// Answers to Ask per second, for all concurrent callers on one connection.
 async fn measure_ask_rate(callers: &str) -> Result<f64, BoxError> {
     let channel = tonic::transport::Endpoint::from_shared(format!("http://{callers}"))?
         .connect()
@@ -240,7 +245,7 @@
         })
     });
     for task in tasks.collect::<Vec<_>>() {
-        // As above.
+        // A panic of a caller appears as a lower request count.
         let _ = task.await;
     }
     Ok(count.load(Ordering::Relaxed) as f64 / started.elapsed().as_secs_f64())
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
@@ -1,4 +1,4 @@
-//! `barleyspool-stand-caller`: callers of a deployment, who check every answer.
+//! `barleyspool-stand-caller`: load generator that checks every answer of a deployment.
 
 use barleyspool_client::ClientSettings;
 use barleyspool_stands::caller::{self, LoadSettings};
@@ -14,21 +14,21 @@
     xflags::xflags! {
         /// Sends a deployment's mix of requests and checks every answer.
         ///
-        /// Ends with 0 only if nothing was lost, doubled or misdelivered, and no "not run" was false.
+        /// Exits with 0 only if nothing was lost, doubled or misdelivered, and no request reported as not run had run.
         cmd barleyspool-stand-caller {
-            /// The deployment, a JSON file.
+            /// The deployment file, in JSON.
             required --deployment file: PathBuf
-            /// How many requests; 400 if not given.
+            /// Number of requests (default: 400).
             optional --requests number: u32
-            /// How many a second; 40 if not given.
+            /// Requests per second (default: 40).
             optional --rate number: f64
-            /// Drive a recorded trace instead of the mix.
+            /// Send a recorded trace instead of the deployment's mix.
             optional --trace file: PathBuf
-            /// Seed of the mix; 1 if not given.
+            /// Seed of the random choice of requests (default: 1).
             optional --seed number: u64
-            /// The folder of the targets' run logs.
+            /// The folder with the run logs of the targets.
             optional --run-log dir: PathBuf
-            /// What the last line begins with; "caller" if not given.
+            /// Label at the start of the last output line (default: "caller").
             optional --label text: String
         }
     }
@@ -36,7 +36,7 @@
 
 #[allow(
     clippy::print_stdout,
-    reason = "the table and the last line are this program's output"
+    reason = "the table and the last line are the output of this program"
 )]
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<ExitCode, Box<dyn Error>> {
@@ -74,7 +74,7 @@
     println!("\n{}", caller::summary_table(&records));
     if summary.unknown > 0 || summary.false_not_run > 0 {
         println!(
-            "told unknown (counted as refused below): {}; false not run: {}",
+            "reported as unknown (counted as refused below): {}; run although reported as not run: {}",
             summary.unknown, summary.false_not_run
         );
     }
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-platform.rs
@@ -1,4 +1,4 @@
-//! `barleyspool-stand-platform`: the platform of a deployment, or a word to a running one.
+//! `barleyspool-stand-platform`: serves the simulated platform of a deployment, or sends a command to a running one.
 
 use barleyspool_stands::deployment::Deployment;
 use barleyspool_stands::platform::{COMMAND_PATH, Platform};
@@ -10,18 +10,18 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The platform's stand-in.
+        /// The simulated platform.
         cmd barleyspool-stand-platform {
             /// Serve the platform of a deployment.
             cmd serve {
-                /// The deployment, a JSON file.
+                /// The deployment file, in JSON.
                 required --deployment file: PathBuf
             }
-            /// Tell a running one something, such as '{"mode":"down"}' or '{"remove_entry":3}'.
+            /// Send a command to a running platform, such as '{"mode":"down"}' or '{"remove_entry":3}'.
             cmd tell {
-                /// Its address.
+                /// Address of the platform.
                 required address: String
-                /// What to tell, in JSON.
+                /// The command, in JSON.
                 required what: String
             }
         }
--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-target.rs
@@ -1,6 +1,6 @@
-//! `barleyspool-stand-target`: one target of a deployment.
+//! `barleyspool-stand-target`: one simulated target of a deployment.
 //!
-//! On SIGTERM it says that it is leaving, finishes what runs, and ends.
+//! On SIGTERM the target reports that it is leaving, finishes its running calls and exits.
 
 use barleyspool_stands::deployment::Deployment;
 use barleyspool_stands::run_log::RunLog;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long a leaving target stays, so that those who do not know yet can be told.
+/// Minimum time that a leaving target keeps answering, so that nodes without this information can receive it.
 const LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// One target's stand-in.
+        /// A simulated target.
         cmd barleyspool-stand-target {
-            /// The deployment, a JSON file.
+            /// The deployment file, in JSON.
             required --deployment file: PathBuf
-            /// The target's number.
+            /// Id of the target.
             optional --id number: u32
-            /// Print the numbers of the deployment's targets and exit.
+            /// Print the ids of the deployment's targets and exit.
             optional --list
-            /// The folder of the run log; without it nothing is logged.
+            /// The folder for the run log. Without it, nothing is logged.
             optional --run-log dir: PathBuf
-            /// Work this many times slower than the deployment says.
+            /// Multiply the call duration of the deployment by this factor.
             optional --slower factor: u32
         }
     }
@@ -41,10 +41,10 @@
         print_target_ids(&deployment);
         return Ok(());
     }
-    let id = flags.id.ok_or("--id: is needed")?;
+    let id = flags.id.ok_or("--id is required")?;
     let (spec, node) = deployment
         .target(id)
-        .ok_or("--id: no such target in the deployment")?;
+        .ok_or("--id: the deployment has no such target")?;
     let settings = TargetSettings {
         id,
         service: spec.service.clone(),
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-#[allow(clippy::print_stdout, reason = "the list is this call's output")]
+#[allow(clippy::print_stdout, reason = "the list is the output of this program")]
 fn print_target_ids(deployment: &Deployment) {
     for target in deployment
         .targets
--- a/crates/barleyspool_stands/src/caller.rs
+++ b/crates/barleyspool_stands/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that check every answer: that it is their own, complete, and given once.
+//! Load generator that checks every answer: it must be complete, belong to its request and have run at most once.
 
 use crate::deployment::Deployment;
 use crate::replay::Trace;
@@ -12,72 +12,72 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The most that a latency is told apart, in microseconds.
+/// Upper bound of the latency histogram. Longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// How a run of callers goes.
+/// Settings of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Entry nodes to ask first.
+    /// Caller addresses of the entry nodes that clients know at first.
     pub seed_nodes: Vec<String>,
-    /// How many requests.
+    /// Number of requests.
     pub request_count: u32,
-    /// How many a second.
+    /// Rate of the requests.
     pub requests_per_s: f64,
-    /// Seed of the mix.
+    /// Seed of the random choice of requests and payloads.
     pub seed: u64,
-    /// A recorded trace to drive instead of the mix; its arrivals and their times are kept.
+    /// Recorded trace to send instead of the deployment's mix, with its arrival times.
     pub trace: Option<Trace>,
-    /// Prefix of the keys, so that two runs do not share any.
+    /// Prefix of the request keys, so that two runs do not share keys.
     pub key_prefix: String,
-    /// The client's behaviour.
+    /// Settings of the clients.
     pub client: ClientSettings,
 }
 
-/// One request and how it ended.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// What was asked.
+    /// The request.
     pub job: Job,
-    /// Its class.
+    /// Class of the pipeline.
     pub class: String,
-    /// What came.
+    /// Answer to the request.
     pub answer: Answer,
-    /// How long it took.
+    /// Time from the submission to the outcome, including retries.
     pub latency: Duration,
-    /// What a whole answer of its own looks like.
+    /// Data of the correct complete answer.
     pub expected: Vec<u8>,
 }
 
-/// Counts of what must not happen, and of what may.
+/// Counts of allowed outcomes and of violated guarantees.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct CheckSummary {
-    /// Requests.
+    /// All requests.
     pub requests: usize,
     /// Complete answers.
     pub complete: usize,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub refused: usize,
-    /// Told "unknown": some of it ran or may have run, and it may not be sent again.
+    /// Requests reported as unknown: a part may have run, and they must not be sent again.
     pub unknown: usize,
-    /// Without an outcome though it could have been sent elsewhere.
+    /// Requests without an outcome that could have been sent to another node.
     pub lost: usize,
-    /// Unrepeatable steps that began more than once.
+    /// Unrepeatable steps that started more than once.
     pub duplicated: usize,
-    /// Complete answers that are not the caller's own.
+    /// Complete answers whose data does not belong to the request.
     pub misdelivered: usize,
-    /// Refused as not run though a target ran some of it.
+    /// Requests refused as not run although a target ran a part of them.
     pub false_not_run: usize,
 }
 
 impl CheckSummary {
-    /// Whether nothing happened that must not.
+    /// Whether no guarantee was violated.
     pub fn has_no_violation(&self) -> bool {
         self.lost == 0 && self.duplicated == 0 && self.misdelivered == 0 && self.false_not_run == 0
     }
 }
 
-/// Sends a mix of requests and checks what comes; `progress` hears the number of ended ones.
+/// Sends the requests and records their answers. Calls `progress` with the number of finished requests.
 pub async fn run_load(
     deployment: &Deployment,
     settings: &LoadSettings,
@@ -125,7 +125,7 @@
     tasks.join_all().await
 }
 
-/// A request that is going to be sent.
+/// A request that is scheduled to be sent.
 struct PlannedRequest {
     at: Duration,
     pipeline: String,
@@ -134,7 +134,7 @@
     unrepeatable: bool,
 }
 
-/// What is sent when: the arrivals of the trace, or the mix at a steady rate.
+/// Schedules the arrivals of the trace, or the deployment's mix at a constant rate.
 fn schedule(deployment: &Deployment, settings: &LoadSettings, random: &mut StdRng) -> Vec<PlannedRequest> {
     let unrepeatable = |pipeline: &str| {
         deployment
@@ -206,9 +206,9 @@
 }
 
 // ----------------------------------------------------------------------------
-// Judging
+// Checks
 
-/// Judges the records by themselves and by what the targets logged.
+/// Checks the records by themselves and against the run logs of the targets.
 pub fn check_records(records: &[Record], run_records: &[RunRecord]) -> CheckSummary {
     let started_keys: std::collections::HashSet<&str> = run_records
         .iter()
@@ -227,8 +227,8 @@
                 summary.refused += 1;
                 summary.false_not_run += usize::from(started_keys.contains(record.job.key.as_str()));
             }
-            // A node's own word, or an unrepeatable request whose home died or hung with it: whether it ran
-            // cannot be told, it must not be sent to anybody else, and its caller was told just that.
+            // Either a node reported the reason, or the node that held an unrepeatable request crashed or hung.
+            // Such a request may have run and must not be sent to another node, so "unknown" is the correct outcome.
             JobOutcome::Unknown { reason } if is_node_reason(reason) || record.job.unrepeatable => {
                 summary.unknown += 1;
             }
@@ -242,14 +242,14 @@
     summary
 }
 
-/// Whether a reason is one that a node gave, and not a broken connection.
+/// Whether a reason was reported by a node, in contrast to a connection error.
 fn is_node_reason(reason: &str) -> bool {
     barleyspool_core::Reason::ALL
         .iter()
         .any(|reason_code| reason_code.name() == reason)
 }
 
-/// A table line per pipeline: how many, how many complete, refused, unknown, and how long they took.
+/// Formats a table with the outcomes and the latency percentiles of complete answers, one line per pipeline.
 pub fn summary_table(records: &[Record]) -> String {
     let mut groups: BTreeMap<(&str, &str), Vec<&Record>> = BTreeMap::new();
     for record in records {
@@ -284,7 +284,7 @@
     text
 }
 
-/// The 50th, 95th and 99th percentile in milliseconds.
+/// The 50th, 95th and 99th percentiles in milliseconds.
 pub fn percentiles(times: impl Iterator<Item = Duration>) -> [f64; 3] {
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3) else {
         return [0.0; 3];
--- a/crates/barleyspool_stands/src/deployment.rs
+++ b/crates/barleyspool_stands/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of the brief: what the platform publishes, and what its targets are like.
+//! Description of a deployment: what the platform publishes, the entry nodes, the targets and the load.
 
 use barleyspool_core::{
     Cell, CellId, Class, ConfigHead, ConfigPart, EntryNode, Epoch, Era, Fleet, Incarnation, ListState,
@@ -9,119 +9,119 @@
 use std::io;
 use std::path::Path;
 
-/// The key of the one part that the stand-in keeps its organisations in.
+/// Key of the only configuration part of the simulated platform. It holds all organisations.
 pub const PART_KEY: &str = "organisations/0";
 
 /// An entry node of a deployment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySpec {
-    /// Its number.
+    /// Id of the node.
     pub id: u32,
-    /// Its zone.
+    /// Availability zone of the node.
     pub zone: String,
-    /// Where callers connect.
+    /// Address for callers.
     #[serde(rename = "callers")]
     pub caller_address: String,
-    /// Where peers connect.
+    /// Address for gossip between entry nodes.
     #[serde(rename = "control")]
     pub control_address: String,
-    /// Where peers fetch.
+    /// Address from which peers fetch snapshots.
     #[serde(rename = "bulk")]
     pub bulk_address: String,
 }
 
-/// A group of like targets.
+/// A group of identical targets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// The service.
+    /// Service of the targets.
     pub service: String,
-    /// How many there are, dealt over the zones in turn.
+    /// Number of targets. They are assigned to the zones in rotation.
     pub count: u32,
-    /// The number of the first.
+    /// Id of the first target. The ids of the group are consecutive.
     pub first_id: u32,
-    /// Calls each works on at once.
+    /// Number of calls that each target processes concurrently.
     pub slots: u32,
-    /// What a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     #[serde(rename = "service_ms")]
     pub service_time_ms: u64,
-    /// Whether they report their load.
+    /// Whether the targets report their load.
     #[serde(rename = "reports")]
     pub reports_load: bool,
-    /// Whether they are engines.
+    /// Whether the targets are engines, which stream answers and hold models.
     #[serde(default)]
     pub engine: bool,
-    /// Whether they check fences.
+    /// Whether the targets reject orders with an outdated fence.
     #[serde(default)]
     #[serde(rename = "fences")]
     pub checks_fences: bool,
-    /// The models they hold at start.
+    /// Models that the targets hold at start.
     #[serde(default)]
     pub models: Vec<String>,
 }
 
-/// What callers of a deployment ask for, for the caller stand-in.
+/// One kind of request in the load that simulated callers generate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixSpec {
-    /// The pipeline.
+    /// Pipeline of the requests.
     pub pipeline: String,
-    /// Its share of the requests.
+    /// Relative frequency of this kind.
     pub weight: u32,
-    /// The deadline, in milliseconds ahead.
+    /// Time from the submission to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether the request may run at most once.
+    /// Whether the requests may run at most once.
     #[serde(default)]
     pub unrepeatable: bool,
 }
 
-/// A whole deployment.
+/// A complete deployment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment.
     pub name: String,
-    /// Its region.
+    /// Region of all nodes and targets.
     pub region: String,
-    /// Its zones.
+    /// Availability zones.
     pub zones: Vec<String>,
-    /// Where the platform stand-in listens.
+    /// Address of the simulated platform.
     #[serde(rename = "platform")]
     pub platform_address: String,
-    /// The first port of the targets; each has the port of its number after it.
+    /// Base port of the targets. The port of a target is this port plus its id.
     #[serde(rename = "target_port")]
     pub first_target_port: u16,
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Services.
+    /// Services that targets provide.
     pub services: Vec<Service>,
-    /// Pipelines.
+    /// Pipelines that callers can request.
     pub pipelines: Vec<Pipeline>,
-    /// Organisations.
+    /// Organisations that may send requests.
     pub organisations: Vec<Organisation>,
-    /// Wanted placement of models.
+    /// Desired placement of models on engines.
     #[serde(default)]
     pub placement: Vec<Placement>,
     /// Entry nodes.
     pub entries: Vec<EntrySpec>,
-    /// Targets.
+    /// Groups of targets.
     pub targets: Vec<TargetSpec>,
-    /// What callers ask for.
+    /// Kinds of requests that callers send.
     pub mix: Vec<MixSpec>,
 }
 
 impl Deployment {
-    /// Reads a deployment.
+    /// Reads a deployment from a JSON file.
     ///
     /// # Errors
-    /// When the file cannot be read or understood.
+    /// Returns an error if the file cannot be read or parsed.
     pub fn load(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         serde_json::from_str(&text).map_err(|error| io::Error::other(format!("{}: {error}", path.display())))
     }
 
-    /// The head of its configuration, with the part at `revision`.
+    /// Head of the configuration, which refers to the configuration part at `revision`.
     pub fn config_head(&self, revision: Revision) -> ConfigHead {
         ConfigHead {
             classes: self.classes.clone(),
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Its organisations.
+    /// Configuration part with all organisations.
     pub fn config_part(&self) -> ConfigPart {
         ConfigPart {
             organisations: self.organisations.clone(),
         }
     }
 
-    /// Its fleet list at revision 1.
+    /// Fleet list at revision 1.
     pub fn fleet(&self) -> Fleet {
         let mut members: Vec<NodeId> = self.entries.iter().map(|entry| NodeId(entry.id)).collect();
         members.sort_unstable();
@@ -200,7 +200,7 @@
         (0..spec.count).map(target).collect()
     }
 
-    /// One of the things that callers ask for, as often as its weight says.
+    /// Picks the index of a kind of request at random, by weight.
     pub fn pick_mix(&self, random: &mut impl Rng) -> usize {
         let total: u32 = self.mix.iter().map(|mix| mix.weight).sum();
         let mut offset = random.random_range(0..total);
@@ -212,7 +212,7 @@
         self.mix.iter().position(covers).unwrap_or_default()
     }
 
-    /// The group and the target of a number.
+    /// Looks up a target and its group by id.
     pub fn target(&self, id: u32) -> Option<(&TargetSpec, TargetNode)> {
         let spec = self
             .targets
--- a/crates/barleyspool_stands/src/fault_relay.rs
+++ b/crates/barleyspool_stands/src/fault_relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two addresses that can be cut, in both directions or in one.
+//! A TCP relay that injects network faults: dropped, delayed and reset connections, in one direction or both.
 
 use barleyspool_wire::net;
 use std::sync::Arc;
@@ -8,28 +8,28 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
 
-/// Bytes passed on at once.
+/// Most bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// How late a relay passes bytes on that delays them.
+/// Delay of each chunk in [`RelayMode::Delayed`].
 const DELAY: Duration = Duration::from_millis(150);
 
-/// What a relay does with bytes.
+/// How a relay handles traffic.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub enum RelayMode {
-    /// Passes all on.
+    /// Forwards all bytes.
     #[default]
     PassThrough,
-    /// Holds all back, and lets new connections hang: what a network that drops packets looks like.
+    /// Forwards nothing and lets new connections hang, like a network that drops all packets.
     Blackhole,
-    /// Holds back what the far side sends; what is sent to it still arrives.
+    /// Forwards bytes to the destination, but nothing that the destination sends.
     BlackholeReplies,
-    /// Passes all on, late.
+    /// Forwards all bytes after a delay.
     Delayed,
-    /// Closes every connection.
+    /// Closes all connections.
     Reset,
 }
 
-/// A relay to one address.
+/// A relay to one destination.
 #[derive(Clone, Debug)]
 pub struct FaultRelay {
     mode: Arc<watch::Sender<RelayMode>>,
@@ -44,7 +44,7 @@
 }
 
 impl FaultRelay {
-    /// Changes what the relay does, for open connections too.
+    /// Changes the mode, also for open connections.
     pub fn set_mode(&self, mode: RelayMode) {
         self.mode.send_replace(mode);
     }
@@ -64,7 +64,7 @@
                 let (server_read, server_write) = server.into_split();
                 let requests = forward(client_read, server_write, mode.clone(), false);
                 let replies = forward(server_read, client_write, mode, true);
-                // When one direction ends both connections are closed.
+                // When one direction ends, both connections are closed.
                 tokio::select! { () = requests => {}, () = replies => {} }
             });
         }
--- a/crates/barleyspool_stands/src/lib.rs
+++ b/crates/barleyspool_stands/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds the system. Nothing here is part of it.
+//! Simulators of the external systems: platform, targets and callers. The system itself does not depend on them.
 
 pub mod caller;
 pub mod deployment;
--- a/crates/barleyspool_stands/src/platform.rs
+++ b/crates/barleyspool_stands/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: a configuration service and a fleet list that can be read and watched, and told to fail.
+//! Simulated platform: a configuration service and a fleet list with reads and watches, and injected failures.
 
 use crate::deployment::{Deployment, PART_KEY};
 use barleyspool_core::{ConfigHead, ConfigPart, Epoch, Era, Fleet, ListState, NodeId, Revision, TargetId};
@@ -13,49 +13,49 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Where the stand-in is told what to do.
+/// Path for [`PlatformCommand`]s.
 pub const COMMAND_PATH: &str = "/stand/tell";
-/// The longest wait of a watch.
+/// Longest time that a watch waits for a change.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// How the configuration service behaves.
+/// Behaviour of the configuration service. The fleet list is not affected.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceMode {
-    /// It works.
+    /// Answers normally.
     #[default]
     Up,
-    /// It answers 503.
+    /// Answers 503.
     Down,
-    /// It answers as it was when it was told so.
+    /// Answers with the configuration as it was when this mode was set.
     Stale,
-    /// It answers after two seconds.
+    /// Answers after two seconds.
     Slow,
 }
 
-/// What the stand-in can be told.
+/// Command that changes the state or the behaviour of the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformCommand {
-    /// Behave so.
+    /// Set the behaviour of the configuration service.
     #[serde(rename = "mode")]
     SetMode(ServiceMode),
-    /// Publish this head; its part keeps its revision.
+    /// Publish a new head. The configuration part keeps its revision.
     #[serde(rename = "publish")]
     PublishHead(Box<ConfigHead>),
-    /// Publish this part, and a head that asks for it.
+    /// Publish a new configuration part, and a head that refers to it.
     PublishPart(ConfigPart),
-    /// Publish the present configuration once more, under a new revision.
+    /// Publish the current configuration again with a new revision.
     #[serde(rename = "touch")]
     Republish,
-    /// List a target as leaving.
+    /// Mark a target as leaving in the fleet list.
     #[serde(rename = "leave_target")]
     MarkTargetLeaving(TargetId),
-    /// Take an entry node off the list; its cell enters a new era.
+    /// Remove an entry node from the fleet list, which starts a new era of its cell.
     RemoveEntry(NodeId),
-    /// Put an entry node that was taken off back onto the list.
+    /// Add a removed entry node to the fleet list again, which also starts a new era.
     AddEntry(NodeId),
-    /// Show changes of the list this many milliseconds late.
+    /// Delay all following changes of the fleet list by this many milliseconds.
     #[serde(rename = "list_lag")]
     SetListDelay(u64),
 }
@@ -71,7 +71,7 @@
     read_count: u64,
 }
 
-/// The platform.
+/// The simulated platform. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -80,7 +80,7 @@
 }
 
 impl Platform {
-    /// The platform of a deployment, at revision 1.
+    /// Creates the platform of a deployment at revision 1.
     pub fn new(deployment: &Deployment) -> Self {
         let revision = Revision(1);
         let fleet = deployment.fleet();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Serves until the task is dropped.
+    /// Serves requests until the task is dropped.
     pub async fn serve(self, listener: TcpListener) {
         http::serve(listener, move |request| {
             let platform = self.clone();
@@ -115,13 +115,13 @@
         .await;
     }
 
-    /// How often it was read, watches included.
+    /// Number of reads so far, including watches.
     pub fn read_count(&self) -> u64 {
         self.with_state(|state| state.read_count)
     }
 
     fn with_state<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
-        // A poisoned lock means that another request panicked; the state itself is whole.
+        // The lock is poisoned if another request panicked. The state is still consistent.
         let mut state = self
             .state
             .lock()
@@ -129,7 +129,7 @@
         update(&mut state)
     }
 
-    /// The state as readers of the configuration see it.
+    /// State that readers of the configuration see.
     fn visible_state(&self) -> State {
         let current = self.with_state(|state| state.clone());
         let stale = self
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Answers as soon as `read` gives something, or 204 after `wait`.
+    /// Answers as soon as `read` returns a response, or with 204 after `wait`.
     async fn wait_for(
         &self,
         wait: Duration,
@@ -206,7 +206,7 @@
 
     async fn run_command(&self, request: Request<Incoming>) -> Response<FullBody> {
         let Ok(body) = request.into_body().collect().await else {
-            return http::reply(StatusCode::BAD_REQUEST, "broken off\n");
+            return http::reply(StatusCode::BAD_REQUEST, "the request body was interrupted\n");
         };
         match serde_json::from_slice::<PlatformCommand>(&body.to_bytes()) {
             Ok(command) => {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Does what it is told.
+    /// Executes a command.
     pub fn execute(&self, command: PlatformCommand) {
         match command {
             PlatformCommand::SetMode(mode) => {
@@ -272,7 +272,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes the list, as late as it lags.
+    /// Changes the fleet list after the current list delay.
     fn change_fleet(&self, change: impl FnOnce(&mut Fleet, &Fleet) + Send + 'static) {
         let list_delay = self.with_state(|state| state.list_delay);
         let platform = self.clone();
@@ -300,7 +300,7 @@
     }
 }
 
-/// The set of entry nodes changed: the cell enters a new era at the list's revision.
+/// Appends an era with the current entry nodes to the cell. The revision of the list is the epoch of the era.
 fn append_era(fleet: &mut Fleet) {
     let mut members: Vec<NodeId> = fleet.entries.iter().map(|entry| entry.id).collect();
     members.sort_unstable();
@@ -317,7 +317,7 @@
     }
 }
 
-/// A whole number out of a query; zero when it is not there.
+/// Unsigned integer parameter of a query string, or zero if it is missing or invalid.
 fn query_number(query: &str, name: &str) -> u64 {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/barleyspool_stands/src/process.rs
+++ b/crates/barleyspool_stands/src/process.rs
@@ -1,13 +1,13 @@
-//! What the operating system says of a process, for measurements.
+//! Resource usage of a process as reported by `/proc`, for measurements.
 
 use std::time::Duration;
 
-/// The size of a page in `/proc`, in bytes.
+/// Size of the memory pages that `/proc` counts.
 const PAGE_BYTES: u64 = 4096;
-/// Milliseconds of a clock tick in `/proc`.
+/// Length of a clock tick in `/proc`.
 const TICK_MS: u64 = 10;
 
-/// The memory that a process has in use, in bytes; zero when there is no such process.
+/// Resident memory of a process in bytes, or zero if the process does not exist.
 pub fn resident_bytes(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     text.split_whitespace()
@@ -17,11 +17,11 @@
         * PAGE_BYTES
 }
 
-/// The processor time of a process, its own and the system's on its behalf.
+/// CPU time of a process, in user mode and in the kernel.
 pub fn cpu_time(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields = text.rsplit(')').next().unwrap_or_default();
-    // Of the fields after the name, the 12th and 13th are the times.
+    // The 12th and 13th fields after the process name are utime and stime.
     let ticks: u64 = fields
         .split_whitespace()
         .skip(11)
--- a/crates/barleyspool_stands/src/run_log.rs
+++ b/crates/barleyspool_stands/src/run_log.rs
@@ -1,4 +1,4 @@
-//! The log of what targets ran: the evidence on which proofs rest.
+//! Log of the steps that targets ran. Tests check the guarantees of the system against it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,57 +7,57 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// What happened to a step at a target.
+/// Event of a step or order at a target.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
-    /// It began to run.
+    /// The step started to run.
     #[serde(rename = "begin")]
     Started,
-    /// It ran to its end.
+    /// The step ran to completion.
     #[serde(rename = "end")]
     Completed,
-    /// It was cancelled while it ran.
+    /// The step was cancelled while it ran.
     #[serde(rename = "cut")]
     Cancelled,
-    /// It was refused and did not run.
+    /// The step was refused and did not run.
     Refused,
-    /// An order was put into effect.
+    /// An order was applied.
     #[serde(rename = "order")]
     OrderApplied,
 }
 
-/// One line of a run log.
+/// One record of a run log, written as one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Unix milliseconds.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
-    /// The target's number.
+    /// Id of the target.
     pub target: u32,
-    /// The service.
+    /// Service of the target.
     pub service: String,
-    /// What happened.
+    /// Event that the record describes.
     pub event: RunEvent,
-    /// The caller's key, as it stands in the payload.
+    /// Key of the request, taken from the payload, or the models of an order.
     pub key: String,
-    /// Whether the step could be run more than once.
+    /// Whether the step may run more than once.
     pub repeatable: bool,
-    /// The revision of an order.
+    /// Revision of an order, or zero for a step.
     #[serde(default)]
     pub revision: u64,
 }
 
-/// Appends lines to a file. Each is written at once, so that a killed target loses none.
+/// Appends records to a file. Each record is written unbuffered, so that a killed target loses none.
 #[derive(Debug)]
 pub struct RunLog {
     file: Option<Mutex<File>>,
 }
 
 impl RunLog {
-    /// Opens the log of a target in `dir`; without a folder nothing is written.
+    /// Opens the log of a target in `dir`. Without a folder, nothing is logged.
     ///
     /// # Errors
-    /// When the file cannot be opened.
+    /// Returns an error if the file cannot be opened.
     pub fn open(dir: Option<&Path>, target: u32) -> io::Result<Self> {
         let Some(dir) = dir else {
             return Ok(Self { file: None });
@@ -69,22 +69,22 @@
         })
     }
 
-    /// Writes a line.
+    /// Appends a record.
     pub fn write(&self, record: &RunRecord) {
         if let (Some(file), Ok(mut text)) = (&self.file, serde_json::to_string(record)) {
             text.push('\n');
             if let Ok(mut file) = file.lock() {
-                // A log that cannot be written shows as a lost run, and the proof fails.
+                // A failed write appears as a missing run, which fails the checks on the log.
                 let _ = file.write_all(text.as_bytes());
             }
         }
     }
 }
 
-/// Reads all run logs of a folder.
+/// Reads all run logs of a folder, ordered by time. A last line truncated by a kill is skipped.
 ///
 /// # Errors
-/// When a file cannot be read or a line is not understood; a last line cut short by a kill is passed over.
+/// Returns an error if a file cannot be read or a complete line cannot be parsed.
 pub fn read_all(dir: &Path) -> io::Result<Vec<RunRecord>> {
     let mut records = Vec::new();
     for entry in std::fs::read_dir(dir)? {
@@ -101,7 +101,7 @@
     Ok(records)
 }
 
-/// How often each step that may run at most once was begun, by service and key.
+/// Number of times that each unrepeatable step started, by service and key.
 pub fn count_unrepeatable_runs(records: &[RunRecord]) -> BTreeMap<(String, String), u32> {
     let mut runs = BTreeMap::new();
     for record in records
--- a/crates/barleyspool_stands/src/target.rs
+++ b/crates/barleyspool_stands/src/target.rs
@@ -1,7 +1,7 @@
-//! One target: a stage pool's member, a model engine with continuous batching, or a plain service.
+//! Simulated target: a member of a stage pool, a model engine with continuous batching, or a plain service.
 //!
-//! What it answers says what it was asked: `service(input)`, so that a caller can tell whether every stage
-//! ran on its own request.
+//! The output contains the input, as `service(input)`, so that a caller can verify that each stage ran on the
+//! caller's own request.
 
 use crate::run_log::{RunEvent, RunLog, RunRecord};
 use barleyspool_core::{EngineReport, LoadReport};
@@ -23,38 +23,38 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Pieces into which an engine cuts its answer.
+/// Number of events into which an engine splits an answer.
 const EVENTS_PER_STREAM: usize = 8;
-/// How old the load is that a target reports.
+/// Minimum interval between updates of the reported load.
 const REPORT_DELAY: Duration = Duration::from_millis(100);
 
 type Body = BoxBody<Bytes, Infallible>;
 
-/// What a target is like.
+/// Settings of a target.
 #[derive(Clone, Debug)]
 pub struct TargetSettings {
-    /// Its number.
+    /// Id of the target.
     pub id: u32,
-    /// Its service.
+    /// Service that the target provides.
     pub service: String,
-    /// Calls it works on at once.
+    /// Number of calls that the target processes concurrently.
     pub slots: u32,
-    /// What a call takes.
+    /// Duration of a call.
     pub service_time: Duration,
-    /// Whether it reports its load.
+    /// Whether the target reports its load.
     pub reports_load: bool,
-    /// Whether it is an engine, which streams and takes orders.
+    /// Whether the target is an engine, which streams answers and accepts orders.
     pub engine: bool,
-    /// Whether it checks fences.
+    /// Whether the target rejects orders with an outdated fence.
     pub checks_fences: bool,
-    /// How long a load of a model takes.
+    /// Time to load models.
     pub model_load_time: Duration,
 }
 
 #[derive(Debug, Default)]
 struct State {
     running: u32,
-    /// Calls that wait for a slot, by priority and order of arrival.
+    /// Calls that wait for a slot, by priority, then by arrival.
     queue: BTreeMap<(u8, u64), oneshot::Sender<()>>,
     arrivals: u64,
     leaving: bool,
@@ -63,7 +63,7 @@
     engine: EngineReport,
 }
 
-/// A target.
+/// A simulated target. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Target {
     settings: Arc<TargetSettings>,
@@ -71,7 +71,7 @@
     log: Arc<RunLog>,
 }
 
-/// A call's place in a target. Giving it up wakes the next call that waits.
+/// A slot that a call occupies. Dropping it records the end of the call and passes the slot to the next one.
 #[derive(Debug)]
 struct Slot {
     target: Target,
@@ -93,7 +93,7 @@
 }
 
 impl Target {
-    /// A target with its run log.
+    /// Creates a target that holds `models` and records its steps in `log`.
     pub fn new(settings: TargetSettings, log: RunLog, models: impl IntoIterator<Item = String>) -> Self {
         let engine = EngineReport {
             models: models.into_iter().collect(),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Serves until the task is dropped.
+    /// Serves requests until the task is dropped.
     pub async fn serve(self, listener: TcpListener) {
         http::serve(listener, move |request| {
             let target = self.clone();
@@ -119,12 +119,12 @@
         .await;
     }
 
-    /// Says from now on that it is leaving, and refuses new work.
+    /// Reports from now on that the target is leaving, and refuses new steps.
     pub fn start_leaving(&self) {
         self.state().leaving = true;
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether no call runs or waits.
     pub fn is_idle(&self) -> bool {
         let state = self.state();
         state.running == 0 && state.queue.is_empty()
@@ -140,7 +140,7 @@
             return json_response(&self.report());
         }
         let Ok(body) = request.into_body().collect().await else {
-            return text_response(StatusCode::BAD_REQUEST, "broken off\n");
+            return text_response(StatusCode::BAD_REQUEST, "the request body was interrupted\n");
         };
         let body = body.to_bytes();
         match path.as_str() {
@@ -152,7 +152,7 @@
                 Ok(order) => json_response(&self.apply_order(&order)),
                 Err(error) => text_response(StatusCode::BAD_REQUEST, &format!("{error}\n")),
             },
-            // The connection's end already stopped the work; there is nothing left to do.
+            // The closed connection has already cancelled the step.
             CANCEL_PATH => text_response(StatusCode::OK, ""),
             _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
@@ -204,7 +204,7 @@
         json_response(&self.reply(&step, Some(output)))
     }
 
-    /// Streams the answer from where the caller already has it.
+    /// Streams the answer from the end of the data that the requester already has.
     fn answer_stream(&self, step: StepRequest, output: Vec<u8>, slot: Slot) -> Response<Body> {
         let start_offset = step.so_far.0.len().min(output.len());
         let event_bytes = output.len().div_ceil(EVENTS_PER_STREAM).max(1);
@@ -249,9 +249,9 @@
     }
 
     // ------------------------------------------------------------------------
-    // Slots: who works, who waits, and in which order
+    // Slots and the queue of waiting calls
 
-    /// Waits for a slot. A caller that goes away while it waits is passed over.
+    /// Waits for a slot. Calls that are cancelled while they wait are skipped.
     async fn acquire_slot(&self, priority: u8, record: RunRecord) -> Slot {
         let grant = {
             let mut state = self.state();
@@ -267,7 +267,7 @@
             }
         };
         if let Some(grant) = grant {
-            // The sender only goes when its turn has come.
+            // The sender is only dropped after it has granted the slot.
             let _ = grant.await;
         }
         let record = RunRecord {
@@ -296,7 +296,7 @@
     // ------------------------------------------------------------------------
     // Reports and orders
 
-    /// The load as it was a moment ago: reports lag.
+    /// Current report. Its load may be out of date by up to [`REPORT_DELAY`].
     fn report(&self) -> TargetReport {
         let mut state = self.state();
         let queued = state.queue.values().filter(|waiter| !waiter.is_closed()).count() as u32;
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Takes an order whose fence is higher than the last; an engine that checks no fences takes any.
+    /// Applies an order if its fence is higher than the last one. An engine that checks no fences applies any order.
     fn apply_order(&self, order: &OrderRequest) -> OrderReply {
         let mut state = self.state();
         if self.settings.checks_fences && order.fence <= state.engine.fence {
@@ -343,7 +343,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(target.settings.model_load_time).await;
             let mut state = target.state();
-            // A later order replaces what this one was loading.
+            // A later order replaces the models that this order was loading.
             if state.engine.fence == fence {
                 state.engine.loading.clear();
                 state.engine.models.extend(load);
@@ -356,7 +356,7 @@
     }
 }
 
-/// The caller's key: what stands innermost in the input, up to the first bar.
+/// Key of the request: the innermost text of the input up to the first `|`.
 pub fn key_from_input(input: &[u8]) -> String {
     let text = String::from_utf8_lossy(input);
     let inner = text.rsplit('(').next().unwrap_or_default();
--- a/crates/barleyspool_stands/tests/processes.rs
+++ b/crates/barleyspool_stands/tests/processes.rs
@@ -1,10 +1,10 @@
-//! What only real processes can show: kills, freezes, cuts and planned stops, under load, judged by the
-//! targets' run logs and by what the callers heard.
+//! Tests with real processes that are killed, paused, partitioned and stopped under load. The answers that callers
+//! receive are checked against the run logs of the targets.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
     clippy::print_stdout,
-    reason = "a proof stops where it fails"
+    reason = "a test panics where it fails"
 )]
 
 mod support;
@@ -20,8 +20,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const REQUESTS_PER_S: f64 = 60.0;
-/// Unrepeatable requests in flight at one node at one moment: 60 a second, a tenth of them unrepeatable, 0.12 s
-/// each, so hardly ever more than one or two.
+/// Bound on the unrepeatable requests that are in flight at one node at a time. At 60 requests per second, of which a
+/// tenth is unrepeatable and takes 0.12 s, there are rarely more than one or two.
 const MAX_UNKNOWN: usize = 4;
 
 fn seconds(seconds: f64) -> Duration {
@@ -35,15 +35,15 @@
 #[track_caller]
 fn assert_no_violation(summary: &CheckSummary) {
     assert!(summary.has_no_violation(), "{summary:?}");
-    // Only what was unrepeatable and in flight at a node that died or hung may end so.
+    // Only unrepeatable requests in flight at a node that crashed or hung may have an unknown outcome.
     assert!(summary.unknown <= MAX_UNKNOWN, "{summary:?}");
     assert!(
         summary.complete * 2 > summary.requests,
-        "hardly anything was served: {summary:?}"
+        "fewer than half of the requests completed: {summary:?}"
     );
 }
 
-/// An entry node is killed, dropped from the list, and comes back with empty memory.
+/// An entry node is killed, removed from the fleet list, and added again after a restart without its state.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_entry_node_loses_and_duplicates_no_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -62,8 +62,8 @@
     cluster.wait_for_status(2, |status| status.lease == "held").await;
 }
 
-/// An entry node is stopped for longer than any deadline, loses its place meanwhile, and wakes up believing
-/// in old facts.
+/// An entry node is paused for longer than any deadline and removed from the fleet list meanwhile. It resumes with
+/// outdated state.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_node_resumed_after_its_lease_expired_duplicates_no_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -82,17 +82,20 @@
         .await;
     assert_no_violation(&summary);
     let status = cluster.wait_for_status(1, |status| status.epoch > 1).await;
-    assert_ne!(status.lease, "held", "it knows that it has lost its place");
+    assert_ne!(
+        status.lease, "held",
+        "the resumed node must not hold a lease after its removal"
+    );
 }
 
-/// One node is cut off from its peers while both sides keep working and callers reach both.
+/// One node is partitioned from its peers while both sides keep working and remain reachable for callers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_partition_between_entry_nodes_duplicates_no_requests_and_recovers() {
     let mut cluster = Cluster::start(4).await;
     let (summary, _) = cluster
         .run_under_load(540, REQUESTS_PER_S, async |cluster: &mut Cluster| {
             tokio::time::sleep(seconds(1.0)).await;
-            // Node 4's peers cannot reach it and get nothing back; it still reaches the platform.
+            // Peers cannot reach node 4 and get no replies from it. Node 4 still reaches the platform.
             cluster.set_relay_mode(4, RelayMode::Blackhole);
             tokio::time::sleep(seconds(0.5)).await;
             cluster.platform.execute(PlatformCommand::SetListDelay(1500));
@@ -110,7 +113,7 @@
     }
 }
 
-/// A node that most peers do not answer takes no unrepeatable work, and serves everything else.
+/// A node that most peers do not answer refuses unrepeatable requests and serves all others.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_without_a_quorum_refuses_only_unrepeatable_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -139,11 +142,11 @@
         .count();
     assert!(
         refused > 0 && refused == unrepeatable.count(),
-        "each is refused as not run"
+        "each unrepeatable request must be refused as not run"
     );
 }
 
-/// A planned stop under load, with a second signal, cuts off nothing and ends by itself.
+/// A planned stop under load interrupts no requests, also after a second signal, and the process exits with success.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_interrupts_no_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -163,7 +166,7 @@
         .iter()
         .filter(|record| matches!(record.answer.outcome, JobOutcome::Unknown { .. }))
         .collect();
-    assert!(unknown.is_empty(), "nothing was cut off: {unknown:?}");
+    assert!(unknown.is_empty(), "requests were interrupted: {unknown:?}");
     for record in records.iter().filter(|record| !record.job.unrepeatable) {
         assert_eq!(
             record.answer.outcome,
@@ -175,7 +178,7 @@
     }
 }
 
-/// A target is killed, another hangs and wakes late.
+/// One target is killed. Another one is paused and resumes later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn killed_and_frozen_targets_lose_and_duplicate_no_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -192,8 +195,8 @@
     assert_no_violation(&summary);
 }
 
-/// A target says that it is leaving on its own answers, long before the list does: no node sends it anything
-/// new after a second, and nobody's request suffers.
+/// A target reports in its answers that it is leaving, long before the fleet list does. After a second no node may
+/// send it new steps, and no request may be lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_target_gets_no_new_steps() {
     let mut cluster = Cluster::start(3).await;
@@ -219,17 +222,18 @@
         .map(|record| record.at_ms - left_at)
         .max()
         .unwrap_or_default();
-    println!("the leaving target heard of a step for the last time {last_ms} ms after it was told to leave");
+    println!("the leaving target received its last step {last_ms} ms after it started to leave");
     assert!(last_ms < 1000, "{last_ms} ms");
     assert!(
         run_records
             .iter()
             .any(|record| record.target == 2 && record.at_ms > left_at + 1000),
-        "the other one went on"
+        "the other target must still get steps"
     );
 }
 
-/// The configuration service goes down, comes back stale, and a node restarts meanwhile: no revision goes back.
+/// The configuration service is set to stale and back, publishes two changes and goes down, and a node restarts
+/// meanwhile. No node may revert to an older revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stale_configuration_service_and_a_restart_revert_no_revision() {
     let mut cluster = Cluster::start(3).await;
@@ -257,7 +261,10 @@
     let status = cluster
         .wait_for_status(2, |status| status.state == "serving")
         .await;
-    assert_eq!(status.revision, 3, "it learnt from its peers");
+    assert_eq!(
+        status.revision, 3,
+        "the restarted node must get the revision from its peers"
+    );
     let (summary, _) = cluster
         .run_under_load(120, REQUESTS_PER_S, async |_: &mut Cluster| {})
         .await;
@@ -267,7 +274,7 @@
     }
 }
 
-/// Keepers put a new placement into effect; one that sleeps through a change and one that is killed do no harm.
+/// Keepers apply a new placement. A keeper that is paused during a change and one that is killed must not revert it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keepers_apply_placements_and_never_an_older_one_after_a_newer_one() {
     let mut cluster = Cluster::start(3).await;
@@ -319,7 +326,7 @@
     }
 }
 
-/// Garbage, half-open connections and connections that just stay open harm nobody.
+/// Invalid data, half-open connections and idle connections must not affect other requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn malformed_and_half_open_connections_do_not_affect_other_requests() {
     let mut cluster = Cluster::start(3).await;
@@ -344,7 +351,7 @@
         .await;
     assert_no_violation(&summary);
     assert_eq!(summary.complete, records.len());
-    // At least the plain nonsense has been hung up on by now.
+    // At least the connections with invalid data must have been answered or closed by now.
     let mut closed = 0;
     for stream in &mut streams {
         let mut buffer = [0; 4096];
@@ -353,7 +360,7 @@
     }
     assert!(
         closed >= entries.len(),
-        "{closed} of {} were answered or hung up on",
+        "{closed} of {} connections were answered or closed",
         streams.len()
     );
 }
--- a/crates/barleyspool_stands/tests/support/mod.rs
+++ b/crates/barleyspool_stands/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! A small deployment of real processes on loopback: entry nodes and targets as processes of their own, the
-//! platform and the relays between entry nodes in the test.
-#![allow(dead_code, reason = "not every test uses all of it")]
+//! A small deployment on the loopback interface. Entry nodes, targets and keepers are separate processes. The
+//! platform and the relays between entry nodes run in the test process.
+#![allow(dead_code, reason = "not every test uses all helpers")]
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
     clippy::print_stdout,
-    reason = "a test stops where it fails, and says what it saw"
+    reason = "a test panics where it fails and prints what it observed"
 )]
 
 use barleyspool_stands::caller::{self, CheckSummary, LoadSettings, Record};
@@ -22,14 +22,14 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Ports of one deployment.
+/// Number of ports reserved for one deployment.
 const PORTS_PER_DEPLOYMENT: u16 = 100;
-/// How long anything may take to come about.
+/// Timeout of all waits for a condition.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// Numbers the deployments of this test process.
+/// Index of the next deployment of this test process.
 static NEXT_DEPLOYMENT: AtomicU16 = AtomicU16::new(0);
 
-/// A running deployment. Dropping it ends the processes it started.
+/// A running deployment. Dropping it kills the processes that it started.
 pub struct Cluster {
     pub deployment: Deployment,
     pub platform: Platform,
@@ -41,8 +41,8 @@
 }
 
 impl Cluster {
-    /// Starts `entries` entry nodes and the targets of `settings/kirjakoda`, and waits until all serve and
-    /// hold their lease.
+    /// Starts `entries` entry nodes and the targets of `settings/kirjakoda`, and waits until all entry nodes
+    /// serve and hold their lease.
     pub async fn start(entries: u32) -> Self {
         let base = 12_000
             + (std::process::id() % 18) as u16 * 1000
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// Peers reach a node's control address through a relay that can be cut.
+    /// Starts the relay through which peers reach the control address of a node.
     fn start_relay(&mut self, id: u32) {
         let relay = FaultRelay::default();
         let listen_address = self.deployment.entries[id as usize - 1]
@@ -182,12 +182,12 @@
         self.keepers.insert(id, child);
     }
 
-    /// Sends a signal to a keeper's process.
+    /// Sends a signal to a keeper process.
     pub fn signal_keeper(&self, id: u32, signal: &str) {
         send_signal(&self.keepers[&id], signal);
     }
 
-    /// What a keeper says of its orders.
+    /// States of the orders of a keeper, or `None` if the keeper does not answer.
     pub async fn orders(&self, id: u32) -> Option<OrdersReply> {
         let endpoint =
             tonic::transport::Endpoint::from_shared(format!("http://{}", self.address_of(id, 6))).unwrap();
@@ -196,7 +196,7 @@
         Some(client.orders(OrdersRequest {}).await.ok()?.into_inner())
     }
 
-    /// Waits until a keeper sees every engine hold `model`.
+    /// Waits until every engine has reported to a keeper that it holds `model`.
     pub async fn wait_for_model(&self, keeper: u32, model: &str) {
         let started = Instant::now();
         loop {
@@ -210,7 +210,7 @@
             }
             assert!(
                 started.elapsed() < WAIT_LIMIT,
-                "engines do not come to hold {model}: {orders:?}"
+                "timed out waiting for engines to load {model}: {orders:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -221,17 +221,17 @@
         run_log::read_all(&self.dir.join("runs")).unwrap()
     }
 
-    /// Sends a signal to an entry node's process.
+    /// Sends a signal to the process of an entry node.
     pub fn signal_entry(&self, id: u32, signal: &str) {
         send_signal(&self.entries[&id], signal);
     }
 
-    /// Sends a signal to a target's process.
+    /// Sends a signal to the process of a target.
     pub fn signal_target(&self, id: u32, signal: &str) {
         send_signal(&self.targets[&id], signal);
     }
 
-    /// Kills an entry node's process and waits for its end.
+    /// Kills the process of an entry node and waits until it has exited.
     pub fn kill_entry(&mut self, id: u32) {
         if let Some(mut child) = self.entries.remove(&id) {
             child.kill().unwrap();
@@ -239,19 +239,22 @@
         }
     }
 
-    /// Waits until an entry node's process has finished by itself.
+    /// Waits until the process of an entry node has exited without being killed.
     pub async fn wait_for_exit(&mut self, id: u32) -> std::process::ExitStatus {
         let started = Instant::now();
         loop {
             if let Some(status) = self.entries.get_mut(&id).unwrap().try_wait().unwrap() {
                 return status;
             }
-            assert!(started.elapsed() < WAIT_LIMIT, "entry {id} does not end");
+            assert!(
+                started.elapsed() < WAIT_LIMIT,
+                "timed out waiting for entry node {id} to exit"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Cuts a node off from its peers' questions, or lets them through again.
+    /// Sets how the relay before a node handles requests of its peers.
     pub fn set_relay_mode(&self, id: u32, mode: RelayMode) {
         self.relays[&id].set_mode(mode);
     }
@@ -265,7 +268,7 @@
         Some(client.status(StatusRequest {}).await.ok()?.into_inner())
     }
 
-    /// Waits until a node's status is as wanted.
+    /// Waits until the status of a node meets `condition`.
     pub async fn wait_for_status(&self, id: u32, condition: impl Fn(&StatusReply) -> bool) -> StatusReply {
         let started = Instant::now();
         loop {
@@ -275,13 +278,13 @@
             }
             assert!(
                 started.elapsed() < WAIT_LIMIT,
-                "entry {id} does not get there: {status:?}"
+                "timed out waiting for the expected status of entry node {id}: {status:?}"
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Sends a mix of requests while `faults` goes on, and judges both sides' records.
+    /// Sends a mix of requests while `inject_faults` runs, then checks the answers against the run logs.
     pub async fn run_under_load(
         &mut self,
         requests: u32,
@@ -321,7 +324,7 @@
             .chain(self.targets.values_mut())
             .chain(self.keepers.values_mut())
         {
-            // A child that has finished already cannot be killed, and need not be.
+            // Fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -329,7 +332,7 @@
     }
 }
 
-/// Fewer targets, and deadlines that fit the short lease of the tests.
+/// Reduces the number of targets, and sets deadlines that suit the short leases of the tests.
 fn reduce_for_tests(deployment: &mut Deployment) {
     let mut next = 1;
     for spec in &mut deployment.targets {
@@ -360,12 +363,12 @@
     }
 }
 
-/// A binary of another crate, which stands beside this crate's own.
+/// Path of a binary of another crate, in the same folder as the binaries of this crate.
 fn binary_path(name: &str) -> PathBuf {
     let binary = Path::new(env!("CARGO_BIN_EXE_barleyspool-stand-target")).with_file_name(name);
     assert!(
         binary.exists(),
-        "{} is missing: run `cargo build --bins` first",
+        "{} is missing; run `cargo build --bins` first",
         binary.display()
     );
     binary
