--- a/crates/barleyspool_stands/src/bin/barleyspool-replay.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-replay.rs
@@ -59,53 +59,56 @@
     let flags = flags::BarleyspoolReplay::from_env_or_exit();
     let settings = flags.settings.unwrap_or_else(|| PathBuf::from("settings"));
     match flags.subcommand {
-        flags::BarleyspoolReplayCmd::Run(run) => one(&settings, &run),
-        flags::BarleyspoolReplayCmd::Compare(compare) => all(&settings, &compare.traces),
-        flags::BarleyspoolReplayCmd::Sweep(sweep) => over_load(&settings, &sweep),
-        flags::BarleyspoolReplayCmd::Generate(generate) => make(&settings, &generate),
+        flags::BarleyspoolReplayCmd::Run(run) => replay_trace(&settings, &run),
+        flags::BarleyspoolReplayCmd::Compare(compare) => compare_policies(&settings, &compare.traces),
+        flags::BarleyspoolReplayCmd::Sweep(sweep) => sweep_load(&settings, &sweep),
+        flags::BarleyspoolReplayCmd::Generate(generate) => generate_traces(&settings, &generate),
     }
 }
 
-fn deployment(settings: &Path, name: &str) -> std::io::Result<Deployment> {
+fn load_deployment(settings: &Path, name: &str) -> std::io::Result<Deployment> {
     Deployment::load(&settings.join(name).join("deployment.json"))
 }
 
-fn policy(name: &str) -> Result<Policy, String> {
+fn policy_by_name(name: &str) -> Result<Policy, String> {
     Policy::named(name).ok_or_else(|| format!("--policy: {name}: allowed: {}", POLICIES.join(", ")))
 }
 
 #[allow(clippy::print_stdout, reason = "the report is this program's output")]
-fn one(settings: &Path, run: &flags::Run) -> Result<ExitCode, Box<dyn Error>> {
+fn replay_trace(settings: &Path, run: &flags::Run) -> Result<ExitCode, Box<dyn Error>> {
     let trace = Trace::load(&run.trace)?;
-    let deployment = deployment(settings, &trace.head.deployment)?;
+    let deployment = load_deployment(settings, &trace.header.deployment)?;
     let report = replay::replay(
         &trace,
         &deployment,
-        policy(run.policy.as_deref().unwrap_or("default"))?,
+        policy_by_name(run.policy.as_deref().unwrap_or("default"))?,
     )?;
-    let judged = report.judge(&trace);
-    let hold = judged.iter().all(|(_, _, holds)| *holds);
+    let results = report.check_outcomes(&trace);
+    let all_hold = results.iter().all(|(_, _, holds)| *holds);
     if run.json {
-        let outcomes: Vec<_> = judged
+        let outcomes: Vec<_> = results
             .iter()
-            .map(|(stated, value, holds)| json!({ "stated": stated, "measured": value, "holds": holds }))
+            .map(|(expected, value, holds)| json!({ "stated": expected, "measured": value, "holds": holds }))
             .collect();
-        let (spent, useful) = report.cost();
+        let (spent, useful) = report.accelerator_seconds();
         println!(
             "{}",
-            json!({ "trace": trace.head.trace, "outcomes": outcomes, "hold": hold,
-                "accelerator_s": spent, "useful_s": useful, "wasted": report.wasted() })
+            json!({ "trace": trace.header.name, "outcomes": outcomes, "hold": all_hold,
+                "accelerator_s": spent, "useful_s": useful, "wasted": report.wasted_share() })
         );
     } else {
-        println!("{}", report.text());
-        for (stated, value, holds) in &judged {
-            let word = if *holds { "holds" } else { "FAILS" };
-            println!("{word}: {}, measured {value:.4}", serde_json::to_string(stated)?);
+        println!("{}", report.to_tables());
+        for (expected, value, holds) in &results {
+            let verdict = if *holds { "holds" } else { "FAILS" };
+            println!(
+                "{verdict}: {}, measured {value:.4}",
+                serde_json::to_string(expected)?
+            );
         }
-        let [p50, p95, p99] = report.decision();
+        let [p50, p95, p99] = report.decision_percentiles_ms();
         println!("decision about an arrival: p50 {p50:.3} ms, p95 {p95:.3} ms, p99 {p99:.3} ms");
     }
-    Ok(if hold {
+    Ok(if all_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -113,27 +116,27 @@
 }
 
 #[allow(clippy::print_stdout, reason = "the table is this program's output")]
-fn all(settings: &Path, traces: &[PathBuf]) -> Result<ExitCode, Box<dyn Error>> {
+fn compare_policies(settings: &Path, traces: &[PathBuf]) -> Result<ExitCode, Box<dyn Error>> {
     println!(
         "{:<34} {:<16} {:>9} {:>9} {:>9} {:>8} {:>10} {:>6}",
         "trace", "policy", "top", "all", "useful-s", "wasted", "s/answer", "hold"
     );
-    let mut hold = true;
+    let mut all_hold = true;
     for path in traces {
         let trace = Trace::load(path)?;
-        let deployment = deployment(settings, &trace.head.deployment)?;
+        let deployment = load_deployment(settings, &trace.header.deployment)?;
         for name in POLICIES {
-            let report = replay::replay(&trace, &deployment, policy(name)?)?;
-            let holds = report.judge(&trace).iter().all(|(_, _, holds)| *holds);
-            hold &= holds || name != POLICIES[0];
+            let report = replay::replay(&trace, &deployment, policy_by_name(name)?)?;
+            let holds = report.check_outcomes(&trace).iter().all(|(_, _, holds)| *holds);
+            all_hold &= holds || name != POLICIES[0];
             println!(
                 "{:<34} {}",
-                trace.head.trace,
-                line(name, &report, &deployment, holds)
+                trace.header.name,
+                policy_row(name, &report, &deployment, holds)
             );
         }
     }
-    Ok(if hold {
+    Ok(if all_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -141,19 +144,24 @@
 }
 
 /// A policy's line: attainment of the top class and of all, useful work, waste, cost of an assistant answer.
-fn line(policy: &str, report: &Report, deployment: &Deployment, holds: bool) -> String {
-    let top = report.of(Some(&deployment.classes[0].name), None).attainment() * 100.0;
-    let all = report.of(None, None).attainment() * 100.0;
-    let (_, useful) = report.cost();
-    let wasted = report.wasted() * 100.0;
+fn policy_row(policy: &str, report: &Report, deployment: &Deployment, holds: bool) -> String {
+    let top = report
+        .group_stats(Some(&deployment.classes[0].name), None)
+        .attainment()
+        * 100.0;
+    let all = report.group_stats(None, None).attainment() * 100.0;
+    let (_, useful) = report.accelerator_seconds();
+    let wasted = report.wasted_share() * 100.0;
     let answer = report.cost_per_answer("assistant");
-    let hold = if holds { "yes" } else { "no" };
-    format!("{policy:<16} {top:>8.1}% {all:>8.1}% {useful:>9.1} {wasted:>7.1}% {answer:>10.3} {hold:>6}")
+    let holds_text = if holds { "yes" } else { "no" };
+    format!(
+        "{policy:<16} {top:>8.1}% {all:>8.1}% {useful:>9.1} {wasted:>7.1}% {answer:>10.3} {holds_text:>6}"
+    )
 }
 
 #[allow(clippy::print_stdout, reason = "the table is this program's output")]
-fn over_load(settings: &Path, sweep: &flags::Sweep) -> Result<ExitCode, Box<dyn Error>> {
-    let deployment = deployment(settings, &sweep.deployment)?;
+fn sweep_load(settings: &Path, sweep: &flags::Sweep) -> Result<ExitCode, Box<dyn Error>> {
+    let deployment = load_deployment(settings, &sweep.deployment)?;
     println!(
         "{}: capacity {:.0} requests/s",
         deployment.name,
@@ -163,20 +171,23 @@
         for load in LOADS {
             let seed = sweep.seed.unwrap_or(1);
             let trace = replay::generate(&deployment, "sweep", Scenario::Steady(load), seed);
-            let report = replay::replay(&trace, &deployment, policy(name)?)?;
-            println!("load {load:>4.1}  {}", line(name, &report, &deployment, true));
+            let report = replay::replay(&trace, &deployment, policy_by_name(name)?)?;
+            println!(
+                "load {load:>4.1}  {}",
+                policy_row(name, &report, &deployment, true)
+            );
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn make(settings: &Path, generate: &flags::Generate) -> Result<ExitCode, Box<dyn Error>> {
-    let deployment = deployment(settings, &generate.deployment)?;
+fn generate_traces(settings: &Path, generate: &flags::Generate) -> Result<ExitCode, Box<dyn Error>> {
+    let deployment = load_deployment(settings, &generate.deployment)?;
     std::fs::create_dir_all(&generate.dir)?;
     for (name, scenario) in Scenario::NAMED {
         let name = format!("{}-{name}", deployment.name);
         let trace = replay::generate(&deployment, &name, scenario, generate.seed);
-        std::fs::write(generate.dir.join(format!("{name}.jsonl")), trace.text()?)?;
+        std::fs::write(generate.dir.join(format!("{name}.jsonl")), trace.to_jsonl()?)?;
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/barleyspool_stands/src/bin/barleyspool-slopes.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-slopes.rs
@@ -26,13 +26,13 @@
     println!("| what | size counts | measured | line | drawn out |");
     println!("|---|---|---|---|---|");
     for slope in core_slopes()? {
-        println!("{}", slope.text());
+        println!("{}", slope.table_row());
     }
     if !flags.core_only {
         let deployment = Deployment::load(&settings.join("vigilanza/deployment.json"))?;
         let entry = std::env::current_exe()?.with_file_name("barleyspool-entry");
         for slope in node_slopes(&entry, &deployment).await? {
-            println!("{}", slope.text());
+            println!("{}", slope.table_row());
         }
     }
     Ok(())
--- a/crates/barleyspool_stands/src/caller.rs
+++ b/crates/barleyspool_stands/src/caller.rs
@@ -144,10 +144,10 @@
     };
     if let Some(trace) = &settings.trace {
         let planned = |arrival: &crate::replay::Arrival| {
-            let pipeline = trace.head.pipelines[arrival.pipeline].clone();
+            let pipeline = trace.header.pipelines[arrival.pipeline].clone();
             PlannedRequest {
                 at: Duration::from_millis(arrival.at_ms),
-                organisation: trace.head.organisations[arrival.organisation].clone(),
+                organisation: trace.header.organisations[arrival.organisation].clone(),
                 deadline_ms: arrival.deadline_ms,
                 unrepeatable: unrepeatable(&pipeline),
                 pipeline,
--- a/crates/barleyspool_stands/src/replay/generator.rs
+++ b/crates/barleyspool_stands/src/replay/generator.rs
@@ -1,18 +1,18 @@
 //! Making traces with a seed.
 
-use super::trace::{Arrival, Bound, Fault, FaultKind, Measure, Outcome, Trace, TraceHead};
+use super::trace::{Arrival, Bound, ExpectedOutcome, Fault, FaultKind, Measure, Trace, TraceHeader};
 use crate::deployment::Deployment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 /// How long a generated trace is, in milliseconds.
-const LENGTH_MS: u64 = 18_000;
+const TRACE_LENGTH_MS: u64 = 18_000;
 /// When a surge begins and ends, in milliseconds.
-const SURGE_MS: (u64, u64) = (4_000, 14_000);
+const SURGE_PERIOD_MS: (u64, u64) = (4_000, 14_000);
 /// The load of quiet times, as a share of capacity.
-const QUIET: f64 = 0.5;
+const QUIET_LOAD: f64 = 0.5;
 /// How many requests of a flood one organisation sends for each of all others.
-const FLOOD: u32 = 40;
+const FLOOD_RATIO: u32 = 40;
 
 /// What a trace is about.
 #[derive(Copy, Clone, Debug, PartialEq)]
@@ -47,61 +47,61 @@
         ("slow-target", Self::SlowTarget),
     ];
 
-    fn load(self, at_ms: u64) -> f64 {
-        let surge = (SURGE_MS.0..SURGE_MS.1).contains(&at_ms);
+    fn load_at(self, at_ms: u64) -> f64 {
+        let in_surge = (SURGE_PERIOD_MS.0..SURGE_PERIOD_MS.1).contains(&at_ms);
         match self {
             Self::Steady(load) => load,
-            Self::Surge | Self::ConfigurationDown | Self::Flood if surge => 3.0,
-            Self::ZoneLost if surge => 1.5,
+            Self::Surge | Self::ConfigurationDown | Self::Flood if in_surge => 3.0,
+            Self::ZoneLost if in_surge => 1.5,
             Self::SaturatedStage => 0.3,
-            _ => QUIET,
+            _ => QUIET_LOAD,
         }
     }
 
     fn faults(self, deployment: &Deployment) -> Vec<Fault> {
-        let at = |at_ms, fault| vec![Fault { at_ms, fault }];
+        let fault_at = |at_ms, kind| vec![Fault { at_ms, kind }];
         match self {
-            Self::SaturatedStage => at(
-                SURGE_MS.0,
-                FaultKind::Slow {
+            Self::SaturatedStage => fault_at(
+                SURGE_PERIOD_MS.0,
+                FaultKind::SlowService {
                     service: "rerank".to_owned(),
                     factor: 8.0,
                 },
             ),
-            Self::ZoneLost => at(
-                SURGE_MS.0 + 2000,
+            Self::ZoneLost => fault_at(
+                SURGE_PERIOD_MS.0 + 2000,
                 FaultKind::ZoneLost {
                     zone: deployment.zones[1].clone(),
                 },
             ),
-            Self::ConfigurationDown => at(SURGE_MS.0 - 1000, FaultKind::ConfigurationDown),
+            Self::ConfigurationDown => fault_at(SURGE_PERIOD_MS.0 - 1000, FaultKind::ConfigurationDown),
             Self::SlowTarget => {
                 let engine = deployment.targets.iter().find(|spec| spec.engine);
                 let target = engine.map_or(0, |spec| spec.first_id);
-                at(SURGE_MS.0, FaultKind::SlowTarget { target, factor: 10.0 })
+                fault_at(SURGE_PERIOD_MS.0, FaultKind::SlowTarget { target, factor: 10.0 })
             }
             _ => Vec::new(),
         }
     }
 
     /// What has to hold, stated before anything was tuned.
-    fn outcomes(self, deployment: &Deployment) -> Vec<Outcome> {
+    fn expected_outcomes(self, deployment: &Deployment) -> Vec<ExpectedOutcome> {
         let top = deployment.classes[0].name.clone();
-        let attainment = |class: &str, least| Outcome {
+        let attainment = |class: &str, least| ExpectedOutcome {
             measure: Measure::Attainment,
             class: Some(class.to_owned()),
             organisation: None,
-            bound: Bound::Least(least),
+            bound: Bound::AtLeast(least),
         };
-        let wasted = |most| Outcome {
+        let wasted = |most| ExpectedOutcome {
             measure: Measure::Wasted,
             class: None,
             organisation: None,
-            bound: Bound::Most(most),
+            bound: Bound::AtMost(most),
         };
         match self {
             Self::Quiet => {
-                let mut all: Vec<Outcome> = deployment
+                let mut all: Vec<ExpectedOutcome> = deployment
                     .classes
                     .iter()
                     .map(|class| attainment(&class.name, 0.99))
@@ -116,14 +116,14 @@
             Self::Flood => {
                 let small = deployment.organisations.last().map(|org| org.name.clone());
                 // Deferrable classes yield to everybody's other work in a surge, whoever sends it.
-                let kept = deployment.classes.iter().filter(|class| !class.deferrable);
-                let served = |class: &barleyspool_core::Class| Outcome {
+                let non_deferrable = deployment.classes.iter().filter(|class| !class.deferrable);
+                let well_served = |class: &barleyspool_core::Class| ExpectedOutcome {
                     measure: Measure::Attainment,
                     class: Some(class.name.clone()),
                     organisation: small.clone(),
-                    bound: Bound::Least(0.95),
+                    bound: Bound::AtLeast(0.95),
                 };
-                kept.map(served).chain([wasted(0.05)]).collect()
+                non_deferrable.map(well_served).chain([wasted(0.05)]).collect()
             }
             Self::Steady(_) => Vec::new(),
         }
@@ -133,7 +133,7 @@
 /// How many requests a second of a deployment's mix its targets can serve: the slowest stage decides.
 pub fn capacity(deployment: &Deployment) -> f64 {
     let total: u32 = deployment.mix.iter().map(|mix| mix.weight).sum();
-    let rate = |spec: &crate::deployment::TargetSpec| {
+    let requests_per_s = |spec: &crate::deployment::TargetSpec| {
         let calls: f64 = deployment
             .mix
             .iter()
@@ -145,11 +145,11 @@
                 let stages = pipeline
                     .map(|pipeline| pipeline.stages.as_slice())
                     .unwrap_or_default();
-                let uses = stages
+                let calls_per_request = stages
                     .iter()
                     .filter(|stage| stage.service == spec.service)
                     .count() as f64;
-                uses * f64::from(mix.weight) / f64::from(total)
+                calls_per_request * f64::from(mix.weight) / f64::from(total)
             })
             .sum();
         let served = f64::from(spec.count * spec.slots) * 1000.0 / spec.service_time_ms as f64;
@@ -159,7 +159,11 @@
             f64::INFINITY
         }
     };
-    deployment.targets.iter().map(rate).fold(f64::INFINITY, f64::min)
+    deployment
+        .targets
+        .iter()
+        .map(requests_per_s)
+        .fold(f64::INFINITY, f64::min)
 }
 
 /// Makes the trace of a scenario.
@@ -167,15 +171,15 @@
     let mut random = StdRng::seed_from_u64(seed);
     let capacity = capacity(deployment);
     let mut arrivals = Vec::new();
-    let mut at = 0.0_f64;
-    while (at as u64) < LENGTH_MS {
-        let rate = capacity * scenario.load(at as u64);
+    let mut at_ms = 0.0_f64;
+    while (at_ms as u64) < TRACE_LENGTH_MS {
+        let requests_per_s = capacity * scenario.load_at(at_ms as u64);
         // Arrivals of many independent callers: exponential times in between.
-        at += -(1.0 - random.random::<f64>()).ln() / rate * 1000.0;
-        arrivals.push(arrival(deployment, scenario, at as u64, &mut random));
+        at_ms += -(1.0 - random.random::<f64>()).ln() / requests_per_s * 1000.0;
+        arrivals.push(generate_arrival(deployment, scenario, at_ms as u64, &mut random));
     }
-    let head = TraceHead {
-        trace: name.to_owned(),
+    let header = TraceHeader {
+        name: name.to_owned(),
         deployment: deployment.name.clone(),
         seed,
         report_lag_ms: Some(100),
@@ -185,20 +189,20 @@
             .map(|org| org.name.clone())
             .collect(),
         pipelines: deployment.mix.iter().map(|mix| mix.pipeline.clone()).collect(),
-        outcomes: scenario.outcomes(deployment),
+        outcomes: scenario.expected_outcomes(deployment),
     };
     Trace {
-        head,
+        header,
         arrivals,
         faults: scenario.faults(deployment),
     }
 }
 
-fn arrival(deployment: &Deployment, scenario: Scenario, at_ms: u64, random: &mut StdRng) -> Arrival {
+fn generate_arrival(deployment: &Deployment, scenario: Scenario, at_ms: u64, random: &mut StdRng) -> Arrival {
     let pipeline = deployment.pick_mix(random);
     let others = deployment.organisations.len() as u32 - 1;
     let organisation = match scenario {
-        Scenario::Flood if random.random_range(0..=FLOOD) > 0 => 0,
+        Scenario::Flood if random.random_range(0..=FLOOD_RATIO) > 0 => 0,
         Scenario::Flood => 1 + random.random_range(0..others),
         _ => random.random_range(0..=others),
     };
--- a/crates/barleyspool_stands/src/replay/report.rs
+++ b/crates/barleyspool_stands/src/replay/report.rs
@@ -1,7 +1,7 @@
 //! What a replay or a run of real callers says: attainment, refusals, latency, and cost by stage.
 
-use super::fake::StageUse;
-use super::trace::{Bound, Measure, Outcome as Stated, Trace};
+use super::fake_targets::StageUsage;
+use super::trace::{Bound, ExpectedOutcome, Measure, Trace};
 use crate::caller::percentiles;
 use crate::deployment::Deployment;
 use barleyspool_core::{AttemptId, Call, CallerId, Outcome, Span, Time};
@@ -10,7 +10,7 @@
 
 /// How a caller's request ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct FinalOutcome {
     /// When.
     pub at: Time,
     /// With what.
@@ -19,54 +19,55 @@
 
 /// One request of a replay.
 #[derive(Clone, Debug)]
-struct Entry {
+struct RequestRecord {
     class: String,
     pipeline: String,
     organisation: String,
-    arrived: Time,
+    arrived_at: Time,
     deadline: Time,
-    ended: Option<Ended>,
-    work: Vec<(String, Span)>,
+    final_outcome: Option<FinalOutcome>,
+    executions: Vec<(String, Span)>,
 }
 
-impl Entry {
-    fn in_time(&self) -> bool {
-        let complete = |ended: &Ended| matches!(ended.outcome, Outcome::Complete { .. });
-        self.ended
+impl RequestRecord {
+    fn completed_in_time(&self) -> bool {
+        let complete =
+            |final_outcome: &FinalOutcome| matches!(final_outcome.outcome, Outcome::Complete { .. });
+        self.final_outcome
             .as_ref()
-            .is_some_and(|ended| complete(ended) && ended.at <= self.deadline)
+            .is_some_and(|final_outcome| complete(final_outcome) && final_outcome.at <= self.deadline)
     }
 }
 
 /// What is said of a group of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Group {
+pub struct GroupStats {
     /// Requests.
     pub requests: usize,
     /// Of those, completed in time.
-    pub in_time: usize,
+    pub completed_in_time: usize,
     /// Refusals by reason.
-    pub refused: BTreeMap<&'static str, usize>,
+    pub refusals: BTreeMap<&'static str, usize>,
     /// The 50th, 95th and 99th percentile of completed ones, in milliseconds.
-    pub latency: [f64; 3],
+    pub latency_ms: [f64; 3],
 }
 
-impl Group {
+impl GroupStats {
     /// The share completed in time.
     pub fn attainment(&self) -> f64 {
-        self.in_time as f64 / self.requests.max(1) as f64
+        self.completed_in_time as f64 / self.requests.max(1) as f64
     }
 }
 
 /// Everything that a replay says.
 #[derive(Clone, Debug)]
 pub struct Report {
-    classes: HashMap<String, String>,
-    costs: BTreeMap<String, f64>,
-    entries: BTreeMap<CallerId, Entry>,
-    attempts: HashMap<AttemptId, CallerId>,
-    calls: BTreeMap<String, u64>,
-    decisions: Vec<Duration>,
+    class_by_pipeline: HashMap<String, String>,
+    cost_by_service: BTreeMap<String, f64>,
+    requests: BTreeMap<CallerId, RequestRecord>,
+    caller_by_attempt: HashMap<AttemptId, CallerId>,
+    calls_by_service: BTreeMap<String, u64>,
+    decision_times: Vec<Duration>,
 }
 
 impl Report {
@@ -74,98 +75,110 @@
     pub fn new(deployment: &Deployment) -> Self {
         let class = |pipeline: &barleyspool_core::Pipeline| (pipeline.name.clone(), pipeline.class.clone());
         Self {
-            classes: deployment.pipelines.iter().map(class).collect(),
-            costs: deployment
+            class_by_pipeline: deployment.pipelines.iter().map(class).collect(),
+            cost_by_service: deployment
                 .services
                 .iter()
                 .map(|service| (service.name.clone(), service.cost))
                 .collect(),
-            entries: BTreeMap::new(),
-            attempts: HashMap::new(),
-            calls: BTreeMap::new(),
-            decisions: Vec::new(),
+            requests: BTreeMap::new(),
+            caller_by_attempt: HashMap::new(),
+            calls_by_service: BTreeMap::new(),
+            decision_times: Vec::new(),
         }
     }
 
-    pub(super) fn arrived(&mut self, caller: CallerId, now: Time, call: &Call) {
-        let entry = Entry {
-            class: self.classes.get(&call.pipeline).cloned().unwrap_or_default(),
+    pub(super) fn record_arrival(&mut self, caller: CallerId, now: Time, call: &Call) {
+        let request = RequestRecord {
+            class: self
+                .class_by_pipeline
+                .get(&call.pipeline)
+                .cloned()
+                .unwrap_or_default(),
             pipeline: call.pipeline.clone(),
             organisation: call.organisation.clone(),
-            arrived: now,
+            arrived_at: now,
             deadline: call.deadline,
-            ended: None,
-            work: Vec::new(),
+            final_outcome: None,
+            executions: Vec::new(),
         };
-        self.entries.insert(caller, entry);
+        self.requests.insert(caller, request);
     }
 
-    pub(super) fn decided(&mut self, took: Duration) {
-        self.decisions.push(took);
+    pub(super) fn record_decision_time(&mut self, duration: Duration) {
+        self.decision_times.push(duration);
     }
 
-    pub(super) fn sent(&mut self, attempt: AttemptId, caller: CallerId) {
-        self.attempts.insert(attempt, caller);
+    pub(super) fn record_dispatch(&mut self, attempt: AttemptId, caller: CallerId) {
+        self.caller_by_attempt.insert(attempt, caller);
     }
 
-    pub(super) fn worked(&mut self, attempt: AttemptId, service: &str, took: Span) {
-        *self.calls.entry(service.to_owned()).or_default() += 1;
-        let entry = self
-            .attempts
+    pub(super) fn record_execution(&mut self, attempt: AttemptId, service: &str, duration: Span) {
+        *self.calls_by_service.entry(service.to_owned()).or_default() += 1;
+        let request = self
+            .caller_by_attempt
             .get(&attempt)
-            .and_then(|caller| self.entries.get_mut(caller));
-        if let Some(entry) = entry {
-            entry.work.push((service.to_owned(), took));
+            .and_then(|caller| self.requests.get_mut(caller));
+        if let Some(request) = request {
+            request.executions.push((service.to_owned(), duration));
         }
     }
 
-    pub(super) fn ended(&mut self, caller: CallerId, ended: Ended) {
-        if let Some(entry) = self.entries.get_mut(&caller) {
-            entry.ended = Some(ended);
+    pub(super) fn record_outcome(&mut self, caller: CallerId, final_outcome: FinalOutcome) {
+        if let Some(request) = self.requests.get_mut(&caller) {
+            request.final_outcome = Some(final_outcome);
         }
     }
 
     // ------------------------------------------------------------------------
     // What is said
 
-    fn group<'a>(entries: impl Iterator<Item = &'a Entry> + Clone) -> Group {
-        let mut group = Group::default();
-        for entry in entries.clone() {
+    fn stats_of<'a>(requests: impl Iterator<Item = &'a RequestRecord> + Clone) -> GroupStats {
+        let mut group = GroupStats::default();
+        for request in requests.clone() {
             group.requests += 1;
-            group.in_time += usize::from(entry.in_time());
-            if let Some(Ended {
+            group.completed_in_time += usize::from(request.completed_in_time());
+            if let Some(FinalOutcome {
                 outcome: Outcome::Refused(refusal),
                 ..
-            }) = &entry.ended
+            }) = &request.final_outcome
             {
-                *group.refused.entry(refusal.reason.name()).or_default() += 1;
+                *group.refusals.entry(refusal.reason.name()).or_default() += 1;
             }
         }
-        let complete = entries.filter(|entry| entry.in_time()).filter_map(|entry| {
-            let ended = entry.ended.as_ref()?;
-            Some(Duration::from_micros(ended.at.since(entry.arrived).0))
-        });
-        group.latency = percentiles(complete);
+        let latencies = requests
+            .filter(|request| request.completed_in_time())
+            .filter_map(|request| {
+                let final_outcome = request.final_outcome.as_ref()?;
+                Some(Duration::from_micros(
+                    final_outcome.at.since(request.arrived_at).0,
+                ))
+            });
+        group.latency_ms = percentiles(latencies);
         group
     }
 
     /// The requests of a class, of an organisation, of both, or all.
-    pub fn of(&self, class: Option<&str>, organisation: Option<&str>) -> Group {
-        let wanted = |entry: &&Entry| {
-            class.is_none_or(|class| entry.class == class)
-                && organisation.is_none_or(|organisation| entry.organisation == organisation)
+    pub fn group_stats(&self, class: Option<&str>, organisation: Option<&str>) -> GroupStats {
+        let is_selected = |request: &&RequestRecord| {
+            class.is_none_or(|class| request.class == class)
+                && organisation.is_none_or(|organisation| request.organisation == organisation)
         };
-        Self::group(self.entries.values().filter(wanted))
+        Self::stats_of(self.requests.values().filter(is_selected))
     }
 
     /// What each service was busy with.
-    pub fn stages(&self) -> BTreeMap<&str, StageUse> {
-        let mut stages: BTreeMap<&str, StageUse> = BTreeMap::new();
-        for entry in self.entries.values() {
-            for (service, took) in &entry.work {
+    pub fn stage_usage(&self) -> BTreeMap<&str, StageUsage> {
+        let mut stages: BTreeMap<&str, StageUsage> = BTreeMap::new();
+        for request in self.requests.values() {
+            for (service, duration) in &request.executions {
                 let stage = stages.entry(service).or_default();
-                stage.busy += took.0;
-                stage.useful += if entry.in_time() { took.0 } else { 0 };
+                stage.busy_us += duration.0;
+                stage.useful_us += if request.completed_in_time() {
+                    duration.0
+                } else {
+                    0
+                };
                 stage.calls += 1;
             }
         }
@@ -173,82 +186,89 @@
     }
 
     /// Accelerator-seconds spent, and how many of them went into requests completed in time.
-    pub fn cost(&self) -> (f64, f64) {
-        self.stages()
+    pub fn accelerator_seconds(&self) -> (f64, f64) {
+        self.stage_usage()
             .iter()
             .fold((0.0, 0.0), |(spent, useful), (service, stage)| {
-                let cost = self.costs.get(*service).copied().unwrap_or_default() / 1e6;
+                let cost = self.cost_by_service.get(*service).copied().unwrap_or_default() / 1e6;
                 (
-                    spent + stage.busy as f64 * cost,
-                    useful + stage.useful as f64 * cost,
+                    spent + stage.busy_us as f64 * cost,
+                    useful + stage.useful_us as f64 * cost,
                 )
             })
     }
 
     /// Accelerator-seconds that one completed request of `class` cost, wasted work of the class included.
     pub fn cost_per_answer(&self, class: &str) -> f64 {
-        let entries = self.entries.values().filter(|entry| entry.class == class);
-        let cost = |(service, took): &(String, Span)| {
-            took.as_secs() * self.costs.get(service).copied().unwrap_or_default()
+        let requests = self.requests.values().filter(|request| request.class == class);
+        let cost = |(service, duration): &(String, Span)| {
+            duration.as_secs() * self.cost_by_service.get(service).copied().unwrap_or_default()
         };
-        let spent: f64 = entries
+        let spent: f64 = requests
             .clone()
-            .flat_map(|entry| entry.work.iter().map(cost))
+            .flat_map(|request| request.executions.iter().map(cost))
             .sum();
-        spent / entries.filter(|entry| entry.in_time()).count().max(1) as f64
+        spent
+            / requests
+                .filter(|request| request.completed_in_time())
+                .count()
+                .max(1) as f64
     }
 
     /// The share of stage work that was wasted.
-    pub fn wasted(&self) -> f64 {
-        let (spent, useful) = self.cost();
+    pub fn wasted_share(&self) -> f64 {
+        let (spent, useful) = self.accelerator_seconds();
         if spent > 0.0 { 1.0 - useful / spent } else { 0.0 }
     }
 
     /// The 50th, 95th and 99th percentile of the time to decide about an arrival, in milliseconds.
-    pub fn decision(&self) -> [f64; 3] {
-        percentiles(self.decisions.iter().copied())
+    pub fn decision_percentiles_ms(&self) -> [f64; 3] {
+        percentiles(self.decision_times.iter().copied())
     }
 
     /// The stated outcomes with what was measured and whether they hold.
-    pub fn judge(&self, trace: &Trace) -> Vec<(Stated, f64, bool)> {
-        let measure = |stated: &Stated| match stated.measure {
-            Measure::Wasted => self.wasted(),
+    pub fn check_outcomes(&self, trace: &Trace) -> Vec<(ExpectedOutcome, f64, bool)> {
+        let measured_value = |expected: &ExpectedOutcome| match expected.measure {
+            Measure::Wasted => self.wasted_share(),
             Measure::Attainment => self
-                .of(stated.class.as_deref(), stated.organisation.as_deref())
+                .group_stats(expected.class.as_deref(), expected.organisation.as_deref())
                 .attainment(),
         };
         let holds = |bound: Bound, value: f64| match bound {
-            Bound::Least(least) => value >= least,
-            Bound::Most(most) => value <= most,
+            Bound::AtLeast(least) => value >= least,
+            Bound::AtMost(most) => value <= most,
         };
-        let judged = trace.head.outcomes.iter().map(|stated| {
-            let value = measure(stated);
-            (stated.clone(), value, holds(stated.bound, value))
+        let results = trace.header.outcomes.iter().map(|expected| {
+            let value = measured_value(expected);
+            (expected.clone(), value, holds(expected.bound, value))
         });
-        judged.collect()
+        results.collect()
     }
 
     /// Tables per class, pipeline, organisation and stage.
-    pub fn text(&self) -> String {
+    pub fn to_tables(&self) -> String {
         let mut text = format!(
             "{:<28} {:>7} {:>7} {:>8} {:>8} {:>8}  refused\n",
             "", "sent", "in time", "p50 ms", "p95 ms", "p99 ms"
         );
-        let mut groups: BTreeMap<(u8, &str), Vec<&Entry>> = BTreeMap::new();
-        for entry in self.entries.values() {
-            groups.entry((0, &entry.class)).or_default().push(entry);
-            groups.entry((1, &entry.pipeline)).or_default().push(entry);
-            groups.entry((2, &entry.organisation)).or_default().push(entry);
+        let mut groups: BTreeMap<(u8, &str), Vec<&RequestRecord>> = BTreeMap::new();
+        for request in self.requests.values() {
+            groups.entry((0, &request.class)).or_default().push(request);
+            groups.entry((1, &request.pipeline)).or_default().push(request);
+            groups
+                .entry((2, &request.organisation))
+                .or_default()
+                .push(request);
         }
-        for ((kind, name), entries) in groups {
+        for ((kind, name), requests) in groups {
             let kind = ["class", "pipeline", "organisation"][usize::from(kind)];
-            let group = Self::group(entries.into_iter());
+            let group = Self::stats_of(requests.into_iter());
             let refused: Vec<String> = group
-                .refused
+                .refusals
                 .iter()
                 .map(|(why, count)| format!("{why}={count}"))
                 .collect();
-            let [p50, p95, p99] = group.latency;
+            let [p50, p95, p99] = group.latency_ms;
             let label = format!("{kind} {name}");
             text += &format!(
                 "{label:<28} {:>7} {:>6.1}% {p50:>8.1} {p95:>8.1} {p99:>8.1}  {}\n",
@@ -258,14 +278,14 @@
             );
         }
         text += &format!("{:<28} {:>7} {:>10} {:>8}\n", "", "calls", "acc-s", "wasted");
-        for (service, stage) in self.stages() {
-            let cost = self.costs.get(service).copied().unwrap_or_default() / 1e6;
-            let wasted = (stage.busy - stage.useful) as f64 / stage.busy.max(1) as f64;
+        for (service, stage) in self.stage_usage() {
+            let cost = self.cost_by_service.get(service).copied().unwrap_or_default() / 1e6;
+            let wasted = (stage.busy_us - stage.useful_us) as f64 / stage.busy_us.max(1) as f64;
             let label = format!("stage {service}");
             text += &format!(
                 "{label:<28} {:>7} {:>10.2} {:>7.1}%\n",
                 stage.calls,
-                stage.busy as f64 * cost,
+                stage.busy_us as f64 * cost,
                 wasted * 100.0
             );
         }
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -1,7 +1,7 @@
 //! The loop of a replay: arrivals, answers, faults and the router's own wishes, in virtual time.
 
-use super::fake::{FakeTargets, Fate};
-use super::report::{Ended, Report};
+use super::fake_targets::{FakeTargets, StepResponse};
+use super::report::{FinalOutcome, Report};
 use super::trace::{FaultKind, Trace};
 use crate::deployment::Deployment;
 use barleyspool_core::{
@@ -17,27 +17,27 @@
 /// When replays begin; any time will do.
 const START: Time = Time::from_millis(1_000_000_000);
 /// How often the plan is vouched for.
-const BEAT: Span = Span::from_millis(300);
+const PLAN_REFRESH_INTERVAL: Span = Span::from_millis(300);
 /// How long a replay goes on after the last arrival.
-const TAIL: Span = Span::from_secs(10);
+const DRAIN_TIME: Span = Span::from_secs(10);
 
 /// What happens next in a replay.
 #[derive(Clone, Debug)]
-enum Happening {
+enum SimEvent {
     Arrive(usize),
     Answer(AttemptId),
-    Break(AttemptId),
+    Disconnect(AttemptId),
     Fault(FaultKind),
-    Beat,
+    RefreshPlan,
     Wake,
 }
 
 struct Replay<'a> {
     trace: &'a Trace,
     router: Router,
-    fake: FakeTargets,
+    targets: FakeTargets,
     plan: Plan,
-    agenda: BTreeMap<(Time, u64), Happening>,
+    event_queue: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
     orders: HashMap<AttemptId, StepOrder>,
 
@@ -52,29 +52,29 @@
     let settings = RouterSettings {
         node: NodeId(1),
         policy,
-        seed: trace.head.seed,
+        seed: trace.header.seed,
         ..RouterSettings::default()
     };
     let router = Router::new(settings)?;
-    let lag = trace.head.report_lag_ms.map(Span::from_millis);
+    let lag = trace.header.report_lag_ms.map(Span::from_millis);
     let mut replay = Replay {
         trace,
         router,
-        fake: FakeTargets::new(deployment, lag, trace.head.seed),
-        plan: plan(deployment)?,
-        agenda: BTreeMap::new(),
+        targets: FakeTargets::new(deployment, lag, trace.header.seed),
+        plan: single_node_plan(deployment)?,
+        event_queue: BTreeMap::new(),
         sequence: 0,
         orders: HashMap::new(),
 
         report: Report::new(deployment),
     };
-    replay.begin();
-    replay.play();
+    replay.schedule_trace();
+    replay.run();
     Ok(replay.report)
 }
 
 /// A node that is alone, settled and confirmed, with all targets of the deployment for itself.
-fn plan(deployment: &Deployment) -> Result<Plan, Box<dyn Error>> {
+fn single_node_plan(deployment: &Deployment) -> Result<Plan, Box<dyn Error>> {
     let revision = barleyspool_core::Revision(1);
     let part = platform::PartValue {
         revision,
@@ -83,8 +83,8 @@
     let parts = [(crate::deployment::PART_KEY.to_owned(), part)];
     let document: ConfigDocument =
         platform::assemble_document(revision, &deployment.config_head(revision), &parts);
-    let config = Config::from_document(&document, None).map_err(|faults| {
-        faults
+    let config = Config::from_document(&document, None).map_err(|errors| {
+        errors
             .iter()
             .map(ToString::to_string)
             .collect::<Vec<_>>()
@@ -128,56 +128,56 @@
 }
 
 impl Replay<'_> {
-    fn begin(&mut self) {
-        for (at, arrival) in self.trace.arrivals.iter().enumerate() {
-            self.schedule(START + Span::from_millis(arrival.at_ms), Happening::Arrive(at));
+    fn schedule_trace(&mut self) {
+        for (index, arrival) in self.trace.arrivals.iter().enumerate() {
+            self.schedule(START + Span::from_millis(arrival.at_ms), SimEvent::Arrive(index));
         }
         for fault in &self.trace.faults {
             self.schedule(
                 START + Span::from_millis(fault.at_ms),
-                Happening::Fault(fault.fault.clone()),
+                SimEvent::Fault(fault.kind.clone()),
             );
         }
-        self.schedule(START, Happening::Beat);
+        self.schedule(START, SimEvent::RefreshPlan);
     }
 
-    fn schedule(&mut self, at: Time, happening: Happening) {
+    fn schedule(&mut self, at: Time, event: SimEvent) {
         self.sequence += 1;
-        self.agenda.insert((at, self.sequence), happening);
+        self.event_queue.insert((at, self.sequence), event);
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let last = self.trace.arrivals.last().map_or(0, |arrival| arrival.at_ms);
-        let end = START + Span::from_millis(last) + TAIL;
-        while let Some(((now, _), happening)) = self.agenda.pop_first()
+        let end = START + Span::from_millis(last) + DRAIN_TIME;
+        while let Some(((now, _), event)) = self.event_queue.pop_first()
             && now <= end
         {
-            self.happen(now, happening);
+            self.handle_event(now, event);
             if let Some(wake) = self.router.next_wake().filter(|wake| *wake <= end) {
-                let first = self.agenda.first_key_value().map(|((at, _), _)| *at);
+                let first = self.event_queue.first_key_value().map(|((at, _), _)| *at);
                 if first.is_none_or(|first| wake < first) {
-                    self.schedule(wake.max(now), Happening::Wake);
+                    self.schedule(wake.max(now), SimEvent::Wake);
                 }
             }
         }
     }
 
-    fn happen(&mut self, now: Time, happening: Happening) {
-        match happening {
-            Happening::Arrive(at) => self.arrive(now, at),
-            Happening::Answer(attempt) => self.answer(now, attempt),
-            Happening::Break(attempt) => {
+    fn handle_event(&mut self, now: Time, event: SimEvent) {
+        match event {
+            SimEvent::Arrive(index) => self.arrive(now, index),
+            SimEvent::Answer(attempt) => self.answer(now, attempt),
+            SimEvent::Disconnect(attempt) => {
                 self.orders.remove(&attempt);
-                self.end(now, attempt, None, AttemptEnd::Interrupted, None);
+                self.finish_attempt(now, attempt, None, AttemptEnd::Interrupted, None);
             }
-            Happening::Fault(fault) => self.fake.fault(&fault),
-            Happening::Beat => {
+            SimEvent::Fault(fault) => self.targets.apply_fault(&fault),
+            SimEvent::RefreshPlan => {
                 self.plan.refreshed_at = now;
                 let actions = self.router.apply_plan(now, Arc::new(self.plan.clone()));
                 self.execute(now, actions);
-                self.schedule(now + BEAT, Happening::Beat);
+                self.schedule(now + PLAN_REFRESH_INTERVAL, SimEvent::RefreshPlan);
             }
-            Happening::Wake => self.step(now, TrafficEvent::Tick),
+            SimEvent::Wake => self.step(now, TrafficEvent::Tick),
         }
     }
 
@@ -186,34 +186,34 @@
         self.execute(now, actions);
     }
 
-    fn arrive(&mut self, now: Time, at: usize) {
-        let arrival = self.trace.arrivals[at];
-        let caller = CallerId(at as u64);
+    fn arrive(&mut self, now: Time, index: usize) {
+        let arrival = self.trace.arrivals[index];
+        let caller = CallerId(index as u64);
         let call = Call {
-            key: format!("t{at}"),
-            organisation: self.trace.head.organisations[arrival.organisation].clone(),
-            pipeline: self.trace.head.pipelines[arrival.pipeline].clone(),
+            key: format!("t{index}"),
+            organisation: self.trace.header.organisations[arrival.organisation].clone(),
+            pipeline: self.trace.header.pipelines[arrival.pipeline].clone(),
             deadline: now + Span::from_millis(arrival.deadline_ms),
             payload: Arc::from(caller.0.to_le_bytes().as_slice()),
             ..Call::default()
         };
-        self.report.arrived(caller, now, &call);
+        self.report.record_arrival(caller, now, &call);
 
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let actions = self.router.step(now, TrafficEvent::Arrive { caller, call });
-        self.report.decided(begun.elapsed());
+        self.report.record_decision_time(started_at.elapsed());
         self.execute(now, actions);
     }
 
     fn answer(&mut self, now: Time, attempt: AttemptId) {
-        if !self.fake.running(attempt) {
+        if !self.targets.is_active(attempt) {
             return;
         }
         let Some(order) = self.orders.remove(&attempt) else {
             return;
         };
-        self.free(now, attempt);
-        let report = self.fake.report(now, order.target);
+        self.release_slot(now, attempt);
+        let report = self.targets.load_report(now, order.target);
         let echo = Some(order.echo);
         // Every stage answers with its input, so that each step tells whose it is.
         let (data, length) = (Arc::clone(&order.input), order.input.len() as u64);
@@ -230,10 +230,10 @@
             );
             output = Payload::default();
         }
-        self.end(now, attempt, echo, AttemptEnd::Done { output, length }, report);
+        self.finish_attempt(now, attempt, echo, AttemptEnd::Done { output, length }, report);
     }
 
-    fn end(
+    fn finish_attempt(
         &mut self,
         now: Time,
         attempt: AttemptId,
@@ -254,13 +254,13 @@
     }
 
     /// Frees a call's slot, books what it took, and lets the next one begin.
-    fn free(&mut self, now: Time, attempt: AttemptId) {
-        let next = self.fake.end(now, attempt);
-        if let Some((service, took)) = self.fake.took.remove(&attempt) {
-            self.report.worked(attempt, &service, took);
+    fn release_slot(&mut self, now: Time, attempt: AttemptId) {
+        let next = self.targets.finish_step(now, attempt);
+        if let Some((service, duration)) = self.targets.execution_times.remove(&attempt) {
+            self.report.record_execution(attempt, &service, duration);
         }
         if let Some((next, at)) = next {
-            self.schedule(at, Happening::Answer(next));
+            self.schedule(at, SimEvent::Answer(next));
         }
     }
 
@@ -270,10 +270,11 @@
                 TrafficAction::Dispatch { attempt, order } => self.dispatch(now, attempt, order),
                 TrafficAction::Cancel { attempt, .. } => {
                     self.orders.remove(&attempt);
-                    self.free(now, attempt);
+                    self.release_slot(now, attempt);
                 }
                 TrafficAction::Finish { caller, outcome, .. } => {
-                    self.report.ended(caller, Ended { at: now, outcome });
+                    self.report
+                        .record_outcome(caller, FinalOutcome { at: now, outcome });
                 }
                 TrafficAction::Probe { target, .. } => self.probe(now, target),
                 TrafficAction::Part { .. }
@@ -285,20 +286,24 @@
     }
 
     fn dispatch(&mut self, now: Time, attempt: AttemptId, order: StepOrder) {
-        if let Some(caller) = owner(&order) {
-            self.report.sent(attempt, caller);
+        if let Some(caller) = caller_of(&order) {
+            self.report.record_dispatch(attempt, caller);
         }
-        match self.fake.take(now, attempt, &order) {
-            Fate::Answered(at) => self.schedule(at, Happening::Answer(attempt)),
-            Fate::Broken(at) => self.schedule(at, Happening::Break(attempt)),
-            Fate::Silent => {}
+        match self.targets.accept_step(now, attempt, &order) {
+            StepResponse::AnsweredAt(at) => self.schedule(at, SimEvent::Answer(attempt)),
+            StepResponse::DisconnectedAt(at) => self.schedule(at, SimEvent::Disconnect(attempt)),
+            StepResponse::Pending => {}
         }
         self.orders.insert(attempt, order);
     }
 
     fn probe(&mut self, now: Time, target: TargetId) {
-        let ok = self.fake.healthy(target);
-        let report = if ok { self.fake.report(now, target) } else { None };
+        let ok = self.targets.is_healthy(target);
+        let report = if ok {
+            self.targets.load_report(now, target)
+        } else {
+            None
+        };
         self.step(
             now,
             TrafficEvent::Probed {
@@ -312,7 +317,7 @@
 }
 
 /// The caller that a step is for, as its input says.
-fn owner(order: &StepOrder) -> Option<CallerId> {
+fn caller_of(order: &StepOrder) -> Option<CallerId> {
     let bytes = order.input.as_ref().try_into().ok()?;
     Some(CallerId(u64::from_le_bytes(bytes)))
 }
--- a/crates/barleyspool_stands/src/replay/trace.rs
+++ b/crates/barleyspool_stands/src/replay/trace.rs
@@ -20,15 +20,17 @@
 #[serde(rename_all = "snake_case")]
 pub enum Bound {
     /// At least this.
-    Least(f64),
+    #[serde(rename = "least")]
+    AtLeast(f64),
     /// At most this.
-    Most(f64),
+    #[serde(rename = "most")]
+    AtMost(f64),
 }
 
 /// One stated outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Outcome {
+pub struct ExpectedOutcome {
     /// What it speaks of.
     pub measure: Measure,
     /// Only this class.
@@ -44,9 +46,10 @@
 /// The head of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TraceHead {
+pub struct TraceHeader {
     /// Its name.
-    pub trace: String,
+    #[serde(rename = "trace")]
+    pub name: String,
     /// The deployment whose configuration and targets it is for, below `settings/`.
     pub deployment: String,
     /// The seed it was made with, or zero for a recorded one.
@@ -58,7 +61,7 @@
     /// Pipelines, as arrivals number them.
     pub pipelines: Vec<String>,
     /// What has to hold under the default policy.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<ExpectedOutcome>,
 }
 
 /// One arrival: when, by whom, for what, with how long a deadline. In the file an array of four numbers.
@@ -102,7 +105,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
     /// Every target of a service takes this many times as long.
-    Slow {
+    #[serde(rename = "slow")]
+    SlowService {
         /// The service.
         service: String,
         /// How many times as long.
@@ -121,7 +125,8 @@
         zone: String,
     },
     /// Every call of a service breaks off.
-    Failing {
+    #[serde(rename = "failing")]
+    FailingService {
         /// The service.
         service: String,
     },
@@ -136,14 +141,15 @@
     /// Milliseconds from the beginning.
     pub at_ms: u64,
     /// What happens.
-    pub fault: FaultKind,
+    #[serde(rename = "fault")]
+    pub kind: FaultKind,
 }
 
 /// A whole trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
     /// Its head.
-    pub head: TraceHead,
+    pub header: TraceHeader,
     /// Arrivals in order.
     pub arrivals: Vec<Arrival>,
     /// Faults in order.
@@ -152,7 +158,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
-enum Line {
+enum TraceLine {
     Arrival(Arrival),
     Fault(Fault),
 }
@@ -165,36 +171,36 @@
     pub fn load(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         let mut lines = text.lines().enumerate();
-        let wrong = |at: usize, error: &serde_json::Error| {
-            io::Error::other(format!("{}:{}: {error}", path.display(), at + 1))
+        let parse_error = |index: usize, error: &serde_json::Error| {
+            io::Error::other(format!("{}:{}: {error}", path.display(), index + 1))
         };
-        let (_, head) = lines
+        let (_, header) = lines
             .next()
             .ok_or_else(|| io::Error::other("the trace is empty"))?;
-        let head = serde_json::from_str(head).map_err(|error| wrong(0, &error))?;
+        let header = serde_json::from_str(header).map_err(|error| parse_error(0, &error))?;
         let mut trace = Self {
-            head,
+            header,
             arrivals: Vec::new(),
             faults: Vec::new(),
         };
-        for (at, line) in lines {
-            match serde_json::from_str(line).map_err(|error| wrong(at, &error))? {
-                Line::Arrival(arrival) => trace.arrivals.push(arrival),
-                Line::Fault(fault) => trace.faults.push(fault),
+        for (index, line) in lines {
+            match serde_json::from_str(line).map_err(|error| parse_error(index, &error))? {
+                TraceLine::Arrival(arrival) => trace.arrivals.push(arrival),
+                TraceLine::Fault(fault) => trace.faults.push(fault),
             }
         }
-        trace.check(path)?;
+        trace.validate(path)?;
         Ok(trace)
     }
 
-    fn check(&self, path: &Path) -> io::Result<()> {
-        let known = |arrival: &Arrival| {
-            arrival.organisation < self.head.organisations.len()
-                && arrival.pipeline < self.head.pipelines.len()
+    fn validate(&self, path: &Path) -> io::Result<()> {
+        let is_in_range = |arrival: &Arrival| {
+            arrival.organisation < self.header.organisations.len()
+                && arrival.pipeline < self.header.pipelines.len()
         };
-        match self.arrivals.iter().position(|arrival| !known(arrival)) {
-            Some(at) => Err(io::Error::other(format!(
-                "{}: arrival {at}: not in the head's lists",
+        match self.arrivals.iter().position(|arrival| !is_in_range(arrival)) {
+            Some(index) => Err(io::Error::other(format!(
+                "{}: arrival {index}: not in the head's lists",
                 path.display()
             ))),
             None => Ok(()),
@@ -205,8 +211,8 @@
     ///
     /// # Errors
     /// When it cannot be put into JSON.
-    pub fn text(&self) -> serde_json::Result<String> {
-        let mut lines = vec![serde_json::to_string(&self.head)?];
+    pub fn to_jsonl(&self) -> serde_json::Result<String> {
+        let mut lines = vec![serde_json::to_string(&self.header)?];
         for fault in &self.faults {
             lines.push(serde_json::to_string(fault)?);
         }
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -15,9 +15,9 @@
 use std::time::Instant;
 
 /// Parts into which organisations are spread, so that a value stays under a megabyte.
-const PARTS: usize = 64;
+const PART_COUNT: usize = 64;
 /// Entry nodes of a cell at the size to come.
-const CELL: usize = 13;
+const CELL_SIZE: usize = 13;
 /// When the measurements begin; any time will do.
 const START: Time = Time::from_millis(1_000_000_000);
 
@@ -56,7 +56,7 @@
         revision: Revision(1),
         part: Arc::new(ConfigPart {
             organisations: (0..organisations)
-                .filter(|org| org % PARTS == nth)
+                .filter(|org| org % PART_COUNT == nth)
                 .map(organisation)
                 .collect(),
         }),
@@ -71,7 +71,7 @@
             }],
             services: services.iter().map(service).collect(),
             pipelines: pipelines.collect(),
-            parts: (0..PARTS)
+            parts: (0..PART_COUNT)
                 .map(|nth| PartRef {
                     key: format!("organisations/{nth}"),
                     revision: Revision(1),
@@ -79,12 +79,12 @@
                 .collect(),
             placement: Vec::new(),
         },
-        parts: (0..PARTS).map(part).collect(),
+        parts: (0..PART_COUNT).map(part).collect(),
     }
 }
 
 fn fleet(entries: usize, targets: usize) -> Fleet {
-    let cells = entries.div_ceil(CELL);
+    let cells = entries.div_ceil(CELL_SIZE);
     let entry = |nth: usize| EntryNode {
         id: NodeId(nth as u32 + 1),
         address: format!("10.20.{}.{}:7100", nth / 250, nth % 250),
@@ -92,7 +92,7 @@
         bulk: format!("10.20.{}.{}:7102", nth / 250, nth % 250),
         zone: format!("zone-{}", nth % 4),
         region: format!("region-{}", nth % 4 / 2),
-        cell: CellId((nth / CELL) as u16),
+        cell: CellId((nth / CELL_SIZE) as u16),
         state: ListState::Live,
     };
     let target = |nth: usize| TargetNode {
@@ -111,7 +111,7 @@
         region: format!("region-{}", nth % 2),
         eras: vec![Era {
             epoch: Epoch(1),
-            members: (nth * CELL..entries.min((nth + 1) * CELL))
+            members: (nth * CELL_SIZE..entries.min((nth + 1) * CELL_SIZE))
                 .map(|id| NodeId(id as u32 + 1))
                 .collect(),
         }],
@@ -125,7 +125,7 @@
     }
 }
 
-fn control(seed: u64) -> Result<Control, Box<dyn Error>> {
+fn new_control(seed: u64) -> Result<Control, Box<dyn Error>> {
     let settings = ControlSettings {
         node: NodeId(1),
         incarnation: Incarnation(1),
@@ -138,8 +138,12 @@
 }
 
 /// A control state of a whole fleet, ready to serve.
-fn ready(organisations: usize, entries: usize, targets: usize) -> Result<Control, Box<dyn Error>> {
-    let mut control = control(1)?;
+fn control_with_fleet(
+    organisations: usize,
+    entries: usize,
+    targets: usize,
+) -> Result<Control, Box<dyn Error>> {
+    let mut control = new_control(1)?;
     control.step(
         START,
         ControlEvent::ConfigRead {
@@ -156,22 +160,28 @@
     Ok(control)
 }
 
-fn slope(name: &str, size: &'static str, unit: &'static str, target: f64, points: Vec<(f64, f64)>) -> Slope {
+fn slope(
+    name: &str,
+    size_unit: &'static str,
+    cost_unit: &'static str,
+    projected_size: f64,
+    points: Vec<(f64, f64)>,
+) -> Slope {
     Slope {
         name: name.to_owned(),
-        size,
-        unit,
+        size_unit,
+        cost_unit,
         points,
-        target,
+        projected_size,
     }
 }
 
 /// The best of several runs, in microseconds: what the machine does beside is left out.
 fn best_us(runs: usize, mut body: impl FnMut()) -> f64 {
     let time = |_| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         body();
-        begun.elapsed().as_secs_f64() * 1e6
+        started_at.elapsed().as_secs_f64() * 1e6
     };
     (0..runs).map(time).fold(f64::MAX, f64::min)
 }
@@ -184,35 +194,37 @@
     let organisations = [5, 11_750, 23_500, 47_000];
     let fleets = [(9, 40), (102, 180), (205, 360), (410, 720)];
     // Memory is told by what the process has in use, so what measures it goes first.
-    let mut slopes = requests()?;
-    slopes.extend(configuration(&organisations)?);
-    slopes.extend(lists(&fleets)?);
+    let mut slopes = request_slopes()?;
+    slopes.extend(configuration_slopes(&organisations)?);
+    slopes.extend(fleet_list_slopes(&fleets)?);
     Ok(slopes)
 }
 
-fn configuration(sizes: &[usize]) -> Result<Vec<Slope>, Box<dyn Error>> {
-    let (mut check, mut memory, mut whole, mut change) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+fn configuration_slopes(sizes: &[usize]) -> Result<Vec<Slope>, Box<dyn Error>> {
+    let (mut check_time, mut memory, mut full_size, mut change_size) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for &size in sizes {
         let document = document(size);
-        check.push((
+        check_time.push((
             size as f64,
             best_us(3, || drop(black_box(Config::from_document(&document, None)))) / 1000.0,
         ));
         let before = resident_bytes(std::process::id());
-        let kept: Vec<_> = (0..4)
-            .map(|_| (Config::from_document(&document, None), document_copy(&document)))
+        let copies: Vec<_> = (0..4)
+            .map(|_| (Config::from_document(&document, None), deep_copy(&document)))
             .collect();
-        let used = resident_bytes(std::process::id()).saturating_sub(before) as f64 / kept.len() as f64;
-        memory.push((size as f64, used / 1e6));
-        drop(black_box(kept));
-        whole.push((
+        let used_bytes =
+            resident_bytes(std::process::id()).saturating_sub(before) as f64 / copies.len() as f64;
+        memory.push((size as f64, used_bytes / 1e6));
+        drop(black_box(copies));
+        full_size.push((
             size as f64,
             rmp_serde::to_vec_named(&document)?.len() as f64 / 1000.0,
         ));
         let mut changed = document.clone();
         changed.revision = Revision(2);
         changed.parts[0].revision = Revision(2);
-        change.push((
+        change_size.push((
             size as f64,
             rmp_serde::to_vec_named(&changed.changes_since(Revision(1)))?.len() as f64 / 1000.0,
         ));
@@ -223,7 +235,7 @@
             "organisations",
             "ms",
             47_000.0,
-            check,
+            check_time,
         ),
         slope(
             "control: a configuration in memory, document and resolved",
@@ -237,20 +249,20 @@
             "organisations",
             "KB",
             47_000.0,
-            whole,
+            full_size,
         ),
         slope(
             "bulk: a change of one part, as a running node fetches it",
             "organisations",
             "KB",
             47_000.0,
-            change,
+            change_size,
         ),
     ])
 }
 
 /// A copy that shares nothing, as a node that parsed it would have.
-fn document_copy(document: &ConfigDocument) -> ConfigDocument {
+fn deep_copy(document: &ConfigDocument) -> ConfigDocument {
     let copy = |at: &VersionedPart| VersionedPart {
         part: Arc::new(ConfigPart::clone(&at.part)),
         ..at.clone()
@@ -261,17 +273,17 @@
     }
 }
 
-fn lists(fleets: &[(usize, usize)]) -> Result<Vec<Slope>, Box<dyn Error>> {
-    let (mut bytes, mut take, mut beat, mut ask, mut asks) =
+fn fleet_list_slopes(fleets: &[(usize, usize)]) -> Result<Vec<Slope>, Box<dyn Error>> {
+    let (mut bytes, mut apply_time, mut tick_time, mut answer_time, mut gossip_rate) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let (mut said, mut used) = (Vec::new(), Vec::new());
+    let (mut exchange_bytes, mut used_targets) = (Vec::new(), Vec::new());
     for &(entries, targets) in fleets {
         let list = fleet(entries, targets);
         let size = (entries + targets) as f64;
         bytes.push((size, rmp_serde::to_vec_named(&list)?.len() as f64 / 1000.0));
         let mut revision = 1;
-        let mut node = ready(5, entries, targets)?;
-        take.push((
+        let mut node = control_with_fleet(5, entries, targets)?;
+        apply_time.push((
             size,
             best_us(5, || {
                 revision += 1;
@@ -283,18 +295,18 @@
             }) / 1000.0,
         ));
         let mut now = START + Span::from_secs(10);
-        let mut questions = 0.0;
+        let mut gossip_sent = 0.0;
         let cost = best_us(20, || {
             now = now + Span::from_millis(500);
             let actions = node.step(now, ControlEvent::Tick);
-            questions = actions
+            gossip_sent = actions
                 .iter()
                 .filter(|action| matches!(action, barleyspool_core::ControlAction::SendGossip { .. }))
                 .count() as f64;
             drop(black_box(actions));
         });
-        beat.push((size, cost / 1000.0));
-        asks.push((entries as f64, questions * 2.0));
+        tick_time.push((size, cost / 1000.0));
+        gossip_rate.push((entries as f64, gossip_sent * 2.0));
         let gossip = Gossip {
             from: NodeId(2),
             bulk: "10.20.0.1:7102".to_owned(),
@@ -307,7 +319,7 @@
             ],
             ..Gossip::default()
         };
-        ask.push((
+        answer_time.push((
             size,
             best_us(20, || drop(black_box(node.answer_gossip(now, &gossip)))),
         ));
@@ -316,8 +328,8 @@
             ..PeerReply::default()
         };
         let message = rmp_serde::to_vec(&gossip)?.len() + rmp_serde::to_vec(&reply)?.len();
-        said.push((entries as f64, message as f64));
-        used.push((size, node.plan(now).targets.len() as f64));
+        exchange_bytes.push((entries as f64, message as f64));
+        used_targets.push((size, node.plan(now).targets.len() as f64));
     }
     Ok(vec![
         slope("bulk: a fleet list", "entries and targets", "KB", 1130.0, bytes),
@@ -326,36 +338,42 @@
             "entries and targets",
             "ms",
             1130.0,
-            take,
+            apply_time,
+        ),
+        slope(
+            "control: one beat",
+            "entries and targets",
+            "ms",
+            1130.0,
+            tick_time,
         ),
-        slope("control: one beat", "entries and targets", "ms", 1130.0, beat),
         slope(
             "control: answer one question of a peer",
             "entries and targets",
             "us",
             1130.0,
-            ask,
+            answer_time,
         ),
         slope(
             "control: questions to peers a second",
             "entries",
             "questions",
             410.0,
-            asks,
+            gossip_rate,
         ),
         slope(
             "control: bytes of one question with its answer",
             "entries",
             "bytes",
             410.0,
-            said,
+            exchange_bytes,
         ),
         slope(
             "traffic: targets that a node uses",
             "entries and targets",
             "targets",
             1130.0,
-            used,
+            used_targets,
         ),
     ])
 }
@@ -364,17 +382,17 @@
 // Requests
 
 /// A router in front of a whole fleet, with `active` organisations that have a request waiting.
-struct Bench {
+struct RouterHarness {
     router: Router,
-    sent: Vec<(barleyspool_core::AttemptId, barleyspool_core::StepOrder)>,
+    dispatched: Vec<(barleyspool_core::AttemptId, barleyspool_core::StepOrder)>,
     now: Time,
-    next: u64,
+    last_request: u64,
 }
 
-impl Bench {
+impl RouterHarness {
     fn new(organisations: usize, entries: usize, targets: usize) -> Result<Self, Box<dyn Error>> {
         let now = START + Span::from_secs(4);
-        let plan: Plan = ready(organisations, entries, targets)?.plan(now);
+        let plan: Plan = control_with_fleet(organisations, entries, targets)?.plan(now);
         let mut router = Router::new(RouterSettings {
             node: NodeId(1),
             ..RouterSettings::default()
@@ -382,39 +400,39 @@
         router.apply_plan(now, Arc::new(plan));
         Ok(Self {
             router,
-            sent: Vec::new(),
+            dispatched: Vec::new(),
             now,
-            next: 0,
+            last_request: 0,
         })
     }
 
-    fn arrive(&mut self, organisation: usize) {
-        self.next += 1;
+    fn submit_request(&mut self, organisation: usize) {
+        self.last_request += 1;
         let call = Call {
-            key: format!("k{}", self.next),
+            key: format!("k{}", self.last_request),
             organisation: format!("organisation-{organisation:06}"),
             pipeline: "pipeline-1".to_owned(),
             deadline: self.now + Span::from_secs(50),
             ..Call::default()
         };
         let event = TrafficEvent::Arrive {
-            caller: CallerId(self.next),
+            caller: CallerId(self.last_request),
             call,
         };
         let actions = self.router.step(self.now, event);
-        self.keep(actions);
+        self.record_dispatches(actions);
     }
 
-    fn keep(&mut self, actions: Vec<TrafficAction>) {
+    fn record_dispatches(&mut self, actions: Vec<TrafficAction>) {
         for action in actions {
             if let TrafficAction::Dispatch { attempt, order } = action {
-                self.sent.push((attempt, order));
+                self.dispatched.push((attempt, order));
             }
         }
     }
 
-    fn answer_one(&mut self) {
-        let Some((attempt, order)) = self.sent.pop() else {
+    fn answer_last_dispatched(&mut self) {
+        let Some((attempt, order)) = self.dispatched.pop() else {
             return;
         };
         self.now = self.now + Span(10);
@@ -430,51 +448,53 @@
             leaving: false,
         };
         let actions = self.router.step(self.now, event);
-        self.keep(actions);
+        self.record_dispatches(actions);
     }
 
     /// Microseconds for a request from its arrival through four stages.
     fn request_us(&mut self, count: usize) -> f64 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..count {
-            self.arrive(0);
-            while !self.sent.is_empty() {
-                self.answer_one();
+            self.submit_request(0);
+            while !self.dispatched.is_empty() {
+                self.answer_last_dispatched();
             }
         }
-        begun.elapsed().as_secs_f64() * 1e6 / count as f64
+        started_at.elapsed().as_secs_f64() * 1e6 / count as f64
     }
 }
 
-fn requests() -> Result<Vec<Slope>, Box<dyn Error>> {
-    let (mut by_fleet, mut by_orgs, mut memory, mut ask) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+fn request_slopes() -> Result<Vec<Slope>, Box<dyn Error>> {
+    let (mut by_fleet, mut by_orgs, mut memory, mut answer_time) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for (entries, targets) in [(9, 40), (102, 180), (205, 360), (410, 720)] {
-        let mut bench = Bench::new(5, entries, targets)?;
-        let best = (0..5).map(|_| bench.request_us(400)).fold(f64::MAX, f64::min);
+        let mut harness = RouterHarness::new(5, entries, targets)?;
+        let best = (0..5).map(|_| harness.request_us(400)).fold(f64::MAX, f64::min);
         by_fleet.push((targets as f64, best));
-        let plan = Arc::clone(bench.router.plan());
-        let one = best_us(20, || {
+        let plan = Arc::clone(harness.router.plan());
+        let lookup_time = best_us(20, || {
             (0..100).for_each(|n| drop(black_box(plan.addresses("zone-1", None, n))));
         }) / 100.0;
-        ask.push((entries as f64, one));
+        answer_time.push((entries as f64, lookup_time));
     }
-    let mut bench = Bench::new(47_000, 9, 40)?;
+    let mut harness = RouterHarness::new(47_000, 9, 40)?;
     let before = resident_bytes(std::process::id());
     for active in [5, 500, 5_000, 23_500, 47_000] {
-        (bench.router.live_requests()..active).for_each(|organisation| bench.arrive(organisation));
+        (harness.router.live_requests()..active)
+            .for_each(|organisation| harness.submit_request(organisation));
         if active >= 5_000 {
-            let used = resident_bytes(std::process::id()).saturating_sub(before);
-            memory.push((bench.router.live_requests() as f64, used as f64 / 1e6));
+            let used_bytes = resident_bytes(std::process::id()).saturating_sub(before);
+            memory.push((harness.router.live_requests() as f64, used_bytes as f64 / 1e6));
         }
         // Deciding about one more, with all of those waiting.
         let best = (0..5)
             .map(|_| {
-                let begun = Instant::now();
-                (0..200).for_each(|nth| bench.arrive(nth));
-                begun.elapsed().as_secs_f64() * 1e6 / 200.0
+                let started_at = Instant::now();
+                (0..200).for_each(|nth| harness.submit_request(nth));
+                started_at.elapsed().as_secs_f64() * 1e6 / 200.0
             })
             .fold(f64::MAX, f64::min);
-        by_orgs.push((bench.router.active_organisations() as f64, best));
+        by_orgs.push((harness.router.active_organisations() as f64, best));
     }
     Ok(vec![
         slope(
@@ -498,6 +518,6 @@
             47_000.0,
             memory,
         ),
-        slope("traffic: answer one Ask", "entries", "us", 410.0, ask),
+        slope("traffic: answer one Ask", "entries", "us", 410.0, answer_time),
     ])
 }
--- a/crates/barleyspool_stands/src/slopes/mod.rs
+++ b/crates/barleyspool_stands/src/slopes/mod.rs
@@ -12,13 +12,13 @@
     /// What was measured.
     pub name: String,
     /// What the size counts.
-    pub size: &'static str,
+    pub size_unit: &'static str,
     /// What the cost counts.
-    pub unit: &'static str,
+    pub cost_unit: &'static str,
     /// Sizes with their costs.
     pub points: Vec<(f64, f64)>,
     /// The size to draw it out to.
-    pub target: f64,
+    pub projected_size: f64,
 }
 
 impl Slope {
@@ -28,42 +28,43 @@
         let n = self.points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / n;
         let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-        let spread = |a: fn(&(f64, f64)) -> f64, ma: f64, b: fn(&(f64, f64)) -> f64, mb: f64| {
-            self.points
-                .iter()
-                .map(|point| (a(point) - ma) * (b(point) - mb))
-                .sum::<f64>()
-        };
-        let xx = spread(|point| point.0, x, |point| point.0, x);
-        let xy = spread(|point| point.0, x, |point| point.1, y);
-        let yy = spread(|point| point.1, y, |point| point.1, y);
+        let deviation_products =
+            |a: fn(&(f64, f64)) -> f64, mean_a: f64, b: fn(&(f64, f64)) -> f64, mean_b: f64| {
+                self.points
+                    .iter()
+                    .map(|point| (a(point) - mean_a) * (b(point) - mean_b))
+                    .sum::<f64>()
+            };
+        let xx = deviation_products(|point| point.0, x, |point| point.0, x);
+        let xy = deviation_products(|point| point.0, x, |point| point.1, y);
+        let yy = deviation_products(|point| point.1, y, |point| point.1, y);
         let slope = if xx > 0.0 { xy / xx } else { 0.0 };
-        let explained = if xx * yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
-        (y - slope * x, slope, explained)
+        let r_squared = if xx * yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
+        (y - slope * x, slope, r_squared)
     }
 
     /// The cost that the line gives at the target size.
-    pub fn drawn_out(&self) -> f64 {
-        let (start, slope, _) = self.fit();
-        start + slope * self.target
+    pub fn projected_cost(&self) -> f64 {
+        let (intercept, slope, _) = self.fit();
+        intercept + slope * self.projected_size
     }
 
     /// A line of the table.
-    pub fn text(&self) -> String {
+    pub fn table_row(&self) -> String {
         let points: Vec<String> = self
             .points
             .iter()
             .map(|(size, cost)| format!("{size:.0}:{cost:.4}"))
             .collect();
-        let (start, slope, explained) = self.fit();
+        let (intercept, slope, r_squared) = self.fit();
         format!(
-            "| {} | {} | {} | {start:.4} + {slope:.3e} x size (r2 {explained:.2}) | {:.0}: {:.4} {} |",
+            "| {} | {} | {} | {intercept:.4} + {slope:.3e} x size (r2 {r_squared:.2}) | {:.0}: {:.4} {} |",
             self.name,
-            self.size,
+            self.size_unit,
             points.join(", "),
-            self.target,
-            self.drawn_out(),
-            self.unit
+            self.projected_size,
+            self.projected_cost(),
+            self.cost_unit
         )
     }
 }
--- a/crates/barleyspool_stands/src/slopes/node_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/node_slopes.rs
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// How long the nodes are let come up, and then watched.
-const SETTLE: Duration = Duration::from_secs(4);
-const WATCH: Duration = Duration::from_secs(6);
+const STARTUP_TIME: Duration = Duration::from_secs(4);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
 
 /// Entry processes that end with this value.
-struct Nodes {
+struct NodeProcesses {
     children: Vec<Child>,
     dir: PathBuf,
 }
 
-impl Drop for Nodes {
+impl Drop for NodeProcesses {
     fn drop(&mut self) {
         for child in &mut self.children {
             // One that has ended cannot be killed, and need not be.
@@ -36,52 +36,48 @@
 /// # Errors
 /// When the processes cannot be started.
 pub async fn node_slopes(entry: &Path, deployment: &Deployment) -> Result<Vec<Slope>, Box<dyn Error>> {
-    let (mut processor, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
-    for (nth, size) in [3_u32, 9, 18, 26].into_iter().enumerate() {
-        let node = cell(entry, deployment, size, 14_000 + nth as u16 * 300).await?;
-        processor.push((f64::from(size), node.processor));
-        memory.push((f64::from(size), node.memory));
-        bytes.push((f64::from(size), node.bytes));
+    let (mut cpu, mut memory, mut traffic) = (Vec::new(), Vec::new(), Vec::new());
+    for (index, size) in [3_u32, 9, 18, 26].into_iter().enumerate() {
+        let node = measure_cell(entry, deployment, size, 14_000 + index as u16 * 300).await?;
+        cpu.push((f64::from(size), node.cpu_percent));
+        memory.push((f64::from(size), node.memory_mb));
+        traffic.push((f64::from(size), node.traffic_kb_per_s));
     }
-    let slope = |name: &str, unit, points| Slope {
+    let slope = |name: &str, cost_unit, points| Slope {
         name: name.to_owned(),
-        size: "entries in the cell",
-        unit,
+        size_unit: "entries in the cell",
+        cost_unit,
         points,
-        target: 13.0,
+        projected_size: 13.0,
     };
     Ok(vec![
-        slope(
-            "process: control, share of a core, idle",
-            "% of a core",
-            processor,
-        ),
+        slope("process: control, share of a core, idle", "% of a core", cpu),
         slope("process: resident memory, idle", "MB", memory),
         slope(
             "process: bytes sent and received, headers included, beat 500 ms",
             "KB/s",
-            bytes,
+            traffic,
         ),
     ])
 }
 
 /// What one node of a cell used while nobody asked it anything.
-struct NodeUse {
+struct NodeUsage {
     /// Percent of a core.
-    processor: f64,
+    cpu_percent: f64,
     /// Megabytes.
-    memory: f64,
+    memory_mb: f64,
     /// Kilobytes a second, sent and received.
-    bytes: f64,
+    traffic_kb_per_s: f64,
 }
 
 /// Runs a cell of `size` nodes for a while.
-async fn cell(
+async fn measure_cell(
     entry: &Path,
     deployment: &Deployment,
     size: u32,
     base: u16,
-) -> Result<NodeUse, Box<dyn Error>> {
+) -> Result<NodeUsage, Box<dyn Error>> {
     let mut deployment = deployment.clone();
     deployment.platform_address = format!("127.0.0.1:{base}");
     let address = |id: u32, nth: u32| format!("127.0.0.1:{}", u32::from(base) + id * 8 + nth);
@@ -94,10 +90,10 @@
     };
     deployment.entries = (1..=size).map(spec).collect();
     let platform = Platform::new(&deployment);
-    let serving = tokio::spawn(platform.serve(net::listen(deployment.platform_address.parse()?)?));
+    let platform_task = tokio::spawn(platform.serve(net::listen(deployment.platform_address.parse()?)?));
     let dir = std::env::temp_dir().join(format!("barleyspool-slopes-{}-{base}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
-    let mut nodes = Nodes {
+    let mut nodes = NodeProcesses {
         children: Vec::new(),
         dir,
     };
@@ -118,24 +114,25 @@
                 .spawn()?,
         );
     }
-    tokio::time::sleep(SETTLE).await;
-    let sent = loopback_bytes();
+    tokio::time::sleep(STARTUP_TIME).await;
+    let loopback = loopback_bytes();
     let before: Duration = nodes.children.iter().map(|child| cpu_time(child.id())).sum();
-    tokio::time::sleep(WATCH).await;
-    let sent = loopback_bytes() - sent;
+    tokio::time::sleep(MEASUREMENT_TIME).await;
+    let loopback = loopback_bytes() - loopback;
     let after: Duration = nodes.children.iter().map(|child| cpu_time(child.id())).sum();
-    let used = (after - before).as_secs_f64() / WATCH.as_secs_f64() * 100.0 / f64::from(size);
+    let percent_of_core =
+        (after - before).as_secs_f64() / MEASUREMENT_TIME.as_secs_f64() * 100.0 / f64::from(size);
     let resident: u64 = nodes
         .children
         .iter()
         .map(|child| resident_bytes(child.id()))
         .sum();
-    serving.abort();
-    Ok(NodeUse {
-        processor: used,
-        memory: resident as f64 / 1e6 / f64::from(size),
+    platform_task.abort();
+    Ok(NodeUsage {
+        cpu_percent: percent_of_core,
+        memory_mb: resident as f64 / 1e6 / f64::from(size),
         // On loopback every byte that one node sends another one receives.
-        bytes: 2.0 * sent / 1000.0 / WATCH.as_secs_f64() / f64::from(size),
+        traffic_kb_per_s: 2.0 * loopback / 1000.0 / MEASUREMENT_TIME.as_secs_f64() / f64::from(size),
     })
 }
 
--- a/crates/barleyspool_stands/tests/replay.rs
+++ b/crates/barleyspool_stands/tests/replay.rs
@@ -13,27 +13,33 @@
 use std::path::{Path, PathBuf};
 
 /// Seeds that were kept out of tuning.
-const HELD_OUT: [u64; 2] = [907, 908];
+const HELD_OUT_SEEDS: [u64; 2] = [907, 908];
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn deployment(name: &str) -> Deployment {
-    Deployment::load(&root().join("settings").join(name).join("deployment.json")).unwrap()
+fn load_deployment(name: &str) -> Deployment {
+    Deployment::load(
+        &repository_root()
+            .join("settings")
+            .join(name)
+            .join("deployment.json"),
+    )
+    .unwrap()
 }
 
-fn run(trace: &Trace, policy: Policy) -> Report {
-    replay(trace, &deployment(&trace.head.deployment), policy).unwrap()
+fn replay_trace(trace: &Trace, policy: Policy) -> Report {
+    replay(trace, &load_deployment(&trace.header.deployment), policy).unwrap()
 }
 
 #[track_caller]
-fn outcomes_hold(trace: &Trace, report: &Report) {
-    for (stated, value, holds) in report.judge(trace) {
+fn assert_outcomes_hold(trace: &Trace, report: &Report) {
+    for (expected, value, holds) in report.check_outcomes(trace) {
         assert!(
             holds,
-            "{}, seed {}: {stated:?}: measured {value}",
-            trace.head.trace, trace.head.seed
+            "{}, seed {}: {expected:?}: measured {value}",
+            trace.header.name, trace.header.seed
         );
     }
 }
@@ -41,9 +47,9 @@
 #[test]
 fn the_stated_outcomes_of_all_traces_hold() {
     let mut count = 0;
-    for file in std::fs::read_dir(root().join("traces")).unwrap() {
+    for file in std::fs::read_dir(repository_root().join("traces")).unwrap() {
         let trace = Trace::load(&file.unwrap().path()).unwrap();
-        outcomes_hold(&trace, &run(&trace, Policy::default()));
+        assert_outcomes_hold(&trace, &replay_trace(&trace, Policy::default()));
         count += 1;
     }
     assert!(count >= 14, "{count} traces");
@@ -53,9 +59,9 @@
 fn the_stated_outcomes_hold_for_seeds_kept_out_of_tuning() {
     for name in ["vigilanza", "kirjakoda"] {
         for (scenario_name, scenario) in Scenario::NAMED {
-            for seed in HELD_OUT {
-                let trace = generate(&deployment(name), scenario_name, scenario, seed);
-                outcomes_hold(&trace, &run(&trace, Policy::default()));
+            for seed in HELD_OUT_SEEDS {
+                let trace = generate(&load_deployment(name), scenario_name, scenario, seed);
+                assert_outcomes_hold(&trace, &replay_trace(&trace, Policy::default()));
             }
         }
     }
@@ -65,21 +71,21 @@
 #[test]
 fn baselines_fail_the_outcomes_of_a_surge() {
     for name in ["vigilanza", "kirjakoda"] {
-        let trace = Trace::load(&root().join(format!("traces/{name}-surge.jsonl"))).unwrap();
-        let ours = run(&trace, Policy::default());
+        let trace = Trace::load(&repository_root().join(format!("traces/{name}-surge.jsonl"))).unwrap();
+        let default_policy = replay_trace(&trace, Policy::default());
         for policy in [Policy::round_robin(), Policy::least_in_flight()] {
-            let theirs = run(&trace, policy);
+            let baseline = replay_trace(&trace, policy);
             assert!(
-                theirs.judge(&trace).iter().any(|(_, _, holds)| !holds),
+                baseline.check_outcomes(&trace).iter().any(|(_, _, holds)| !holds),
                 "{name}: {policy:?}"
             );
-            let (ours, theirs) = (
-                ours.cost_per_answer("assistant"),
-                theirs.cost_per_answer("assistant"),
+            let (default_policy, baseline) = (
+                default_policy.cost_per_answer("assistant"),
+                baseline.cost_per_answer("assistant"),
             );
             assert!(
-                ours < theirs,
-                "{name}: {ours} accelerator-seconds per answer, baseline {theirs}"
+                default_policy < baseline,
+                "{name}: {default_policy} accelerator-seconds per answer, baseline {baseline}"
             );
         }
     }
@@ -91,7 +97,7 @@
 #[test]
 fn goodput_does_not_fall_with_load() {
     for name in ["vigilanza", "kirjakoda"] {
-        let deployment = deployment(name);
+        let deployment = load_deployment(name);
         let slots: u32 = deployment
             .targets
             .iter()
@@ -100,13 +106,14 @@
             .sum();
         for (load, seed) in [1.0, 1.5, 2.0, 3.0]
             .into_iter()
-            .flat_map(|load| HELD_OUT.map(|seed| (load, seed)))
+            .flat_map(|load| HELD_OUT_SEEDS.map(|seed| (load, seed)))
         {
             let trace = generate(&deployment, "sweep", Scenario::Steady(load), seed);
-            let report = run(&trace, Policy::default());
+            let report = replay_trace(&trace, Policy::default());
             let seconds = trace.arrivals.last().unwrap().at_ms as f64 / 1000.0;
-            let useful = report.stages()["generate"].useful as f64 / 1e6 / (f64::from(slots) * seconds);
-            let wasted = report.wasted();
+            let useful =
+                report.stage_usage()["generate"].useful_us as f64 / 1e6 / (f64::from(slots) * seconds);
+            let wasted = report.wasted_share();
             println!(
                 "{name}, load {load}, seed {seed}: useful share of the slots {useful:.3}, wasted {wasted:.3}"
             );
@@ -121,24 +128,24 @@
 /// The same trace gives the same report.
 #[test]
 fn a_replay_is_repeatable() {
-    let trace = generate(&deployment("kirjakoda"), "again", Scenario::Surge, 5);
+    let trace = generate(&load_deployment("kirjakoda"), "again", Scenario::Surge, 5);
     assert_eq!(
-        run(&trace, Policy::default()).text(),
-        run(&trace, Policy::default()).text()
+        replay_trace(&trace, Policy::default()).to_tables(),
+        replay_trace(&trace, Policy::default()).to_tables()
     );
 }
 
 #[test]
 fn a_trace_with_a_bad_line_names_the_line() {
     let file = std::env::temp_dir().join(format!("barleyspool-trace-{}.jsonl", std::process::id()));
-    let good = generate(&deployment("kirjakoda"), "bad", Scenario::Quiet, 5)
-        .text()
+    let valid_lines = generate(&load_deployment("kirjakoda"), "bad", Scenario::Quiet, 5)
+        .to_jsonl()
         .unwrap();
-    std::fs::write(&file, good + "[1,2,3]\n").unwrap();
+    std::fs::write(&file, valid_lines + "[1,2,3]\n").unwrap();
     let error = Trace::load(&file).unwrap_err().to_string();
     std::fs::remove_file(&file).unwrap();
-    let line = generate(&deployment("kirjakoda"), "bad", Scenario::Quiet, 5)
-        .text()
+    let line = generate(&load_deployment("kirjakoda"), "bad", Scenario::Quiet, 5)
+        .to_jsonl()
         .unwrap()
         .lines()
         .count()
