--- a/crates/barleyspool_ctl/src/flags.rs
+++ b/crates/barleyspool_ctl/src/flags.rs
@@ -11,7 +11,7 @@
     cmd barleyspool {
         /// The operator address of the node, IP:PORT.
         optional --node address: String
-        /// Print JSON instead of a table.
+        /// Print JSON instead of text.
         optional --json
         /// Show the state of the node: configuration, membership, lease, load.
         cmd status {}
