--- a/crates/barleyspool_stands/tests/replay.rs
+++ b/crates/barleyspool_stands/tests/replay.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_stated_outcomes_of_all_traces_hold() {
+fn expected_outcomes_of_all_stored_traces_hold() {
     let mut count = 0;
     for file in std::fs::read_dir(repository_root().join("traces")).unwrap() {
         let trace = Trace::load(&file.unwrap().path()).unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_stated_outcomes_hold_for_seeds_kept_out_of_tuning() {
+fn expected_outcomes_hold_for_held_out_seeds() {
     for name in ["vigilanza", "kirjakoda"] {
         for (scenario_name, scenario) in Scenario::NAMED {
             for seed in HELD_OUT_SEEDS {
@@ -127,7 +127,7 @@
 
 /// The same trace gives the same report.
 #[test]
-fn a_replay_is_repeatable() {
+fn replaying_a_trace_twice_gives_the_same_report() {
     let trace = generate(&load_deployment("kirjakoda"), "again", Scenario::Surge, 5);
     assert_eq!(
         replay_trace(&trace, Policy::default()).to_tables(),
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_trace_with_a_bad_line_names_the_line() {
+fn an_error_in_a_trace_reports_its_line_number() {
     let file = std::env::temp_dir().join(format!("barleyspool-trace-{}.jsonl", std::process::id()));
     let valid_lines = generate(&load_deployment("kirjakoda"), "bad", Scenario::Quiet, 5)
         .to_jsonl()
