--- a/crates/barleyspool_stands/tests/replay.rs
+++ b/crates/barleyspool_stands/tests/replay.rs
@@ -1,10 +1,10 @@
-//! The recorded traces under the default policy: their stated outcomes hold, and so do those of traces made
-//! with seeds that nothing was tuned on. The baselines show that the outcomes can fail.
+//! Checks that the default policy reaches the expected outcomes of the stored traces, and of generated traces
+//! whose seeds were not used for tuning. The baseline policies show that the outcomes can fail.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
     clippy::print_stdout,
-    reason = "a proof stops where it fails"
+    reason = "a test stops where it fails"
 )]
 
 use barleyspool_core::Policy;
@@ -12,7 +12,7 @@
 use barleyspool_stands::replay::{Report, Scenario, Trace, generate, replay};
 use std::path::{Path, PathBuf};
 
-/// Seeds that were kept out of tuning.
+/// Seeds that were not used for tuning the default policy.
 const HELD_OUT_SEEDS: [u64; 2] = [907, 908];
 
 fn repository_root() -> PathBuf {
@@ -67,7 +67,8 @@
     }
 }
 
-/// A surge's outcomes are not met by either baseline, and their assistant answers cost more.
+/// Both baseline policies miss the expected outcomes of a surge, and use more accelerator-seconds per completed
+/// request of the class `assistant`.
 #[test]
 fn baselines_fail_the_outcomes_of_a_surge() {
     for name in ["vigilanza", "kirjakoda"] {
@@ -91,9 +92,9 @@
     }
 }
 
-/// Goodput does not fall with load: from capacity on, the stage that limits the deployment does useful work
-/// for at least nine tenths of what its slots can do while requests arrive, and at most a twentieth of all
-/// work is wasted.
+/// Goodput does not fall when the load exceeds capacity: at one to three times capacity, useful work takes at
+/// least nine tenths of the slot time of the engines, which limit the deployment, while requests arrive. At most
+/// a twentieth of all work is wasted.
 #[test]
 fn goodput_does_not_fall_with_load() {
     for name in ["vigilanza", "kirjakoda"] {
@@ -125,7 +126,6 @@
     }
 }
 
-/// The same trace gives the same report.
 #[test]
 fn replaying_a_trace_twice_gives_the_same_report() {
     let trace = generate(&load_deployment("kirjakoda"), "again", Scenario::Surge, 5);
