--- a/crates/barleyspool_stands/src/bin/barleyspool-replay.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-replay.rs
@@ -1,4 +1,4 @@
-//! `barleyspool-replay`: replays recorded traces against the decisions of one node, and makes traces.
+//! `barleyspool-replay`: replays recorded traces against the router of one node, and generates traces.
 
 use barleyspool_core::Policy;
 use barleyspool_stands::deployment::Deployment;
@@ -8,47 +8,47 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Policies that are compared.
+/// The routing policies to compare; the first must meet the expected outcomes of a trace.
 const POLICIES: [&str; 3] = ["default", "round-robin", "least-in-flight"];
-/// Loads of a sweep, as shares of capacity.
+/// The loads of a sweep, relative to the capacity of the deployment.
 const LOADS: [f64; 6] = [0.5, 0.8, 1.0, 1.5, 2.0, 3.0];
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Replays recorded traces against the real decisions of one node.
+        /// Replays recorded traces against the router of one node.
         cmd barleyspool-replay {
-            /// Where the deployments are; "settings" if not given.
+            /// Directory with the deployments (default: "settings").
             optional --settings dir: PathBuf
-            /// Replay a trace. Ends with 0 only if its stated outcomes hold under the default policy.
+            /// Replay a trace. Exits with 0 only if the expected outcomes of the trace hold under the policy.
             cmd run {
-                /// The trace.
+                /// The trace file.
                 required trace: PathBuf
-                /// One policy: default, round-robin or least-in-flight; the default one if not given.
+                /// The routing policy: default, round-robin or least-in-flight (default: default).
                 optional --policy name: String
                 /// Print JSON instead of tables.
                 optional --json
             }
-            /// Replay traces under every policy and print one line for each.
+            /// Replay traces under every policy and print one line for each trace and policy.
             cmd compare {
-                /// The traces.
+                /// The trace files.
                 repeated traces: PathBuf
             }
-            /// Goodput over load, under every policy.
+            /// Measure goodput at several loads, under every policy.
             cmd sweep {
                 /// The deployment's name.
                 required deployment: String
-                /// The seed; 1 if not given.
+                /// The seed of the generated traces (default: 1).
                 optional --seed number: u64
             }
-            /// Make the traces of a deployment with a seed.
+            /// Generate a trace of every scenario for a deployment.
             cmd generate {
                 /// The deployment's name.
                 required deployment: String
-                /// The seed.
+                /// The seed of the generated traces.
                 required seed: u64
-                /// The folder to write them to.
+                /// The directory to write the traces to.
                 required dir: PathBuf
             }
         }
@@ -71,7 +71,12 @@
 }
 
 fn policy_by_name(name: &str) -> Result<Policy, String> {
-    Policy::named(name).ok_or_else(|| format!("--policy: {name}: allowed: {}", POLICIES.join(", ")))
+    Policy::named(name).ok_or_else(|| {
+        format!(
+            "--policy: unknown policy {name}, expected one of {}",
+            POLICIES.join(", ")
+        )
+    })
 }
 
 #[allow(clippy::print_stdout, reason = "the report is this program's output")]
@@ -143,7 +148,8 @@
     })
 }
 
-/// A policy's line: attainment of the top class and of all, useful work, waste, cost of an assistant answer.
+/// Formats the table row of a policy: attainment of the highest class and of all requests, useful
+/// accelerator-seconds, wasted share, and accelerator-seconds per completed request of the class `assistant`.
 fn policy_row(policy: &str, report: &Report, deployment: &Deployment, holds: bool) -> String {
     let top = report
         .group_stats(Some(&deployment.classes[0].name), None)
--- a/crates/barleyspool_stands/src/replay/fake_targets.rs
+++ b/crates/barleyspool_stands/src/replay/fake_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a replay: slots, service times and a lag on their reports, and nothing else.
+//! Simulated targets of a replay. They model only slots, service times and the delay of load reports.
 
 use super::trace::FaultKind;
 use crate::deployment::Deployment;
@@ -7,25 +7,25 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// How a step that was sent to a fake target goes on.
+/// The response of a fake target to a step that was sent to it.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum StepResponse {
-    /// It will be answered at this time, if nobody cancels it.
+    /// The step is answered at this time unless it is cancelled before.
     AnsweredAt(Time),
-    /// The connection breaks at this time.
+    /// The connection is lost at this time.
     DisconnectedAt(Time),
-    /// It waits for a slot, or is never answered.
+    /// The step waits for a slot, or the target never answers.
     Pending,
 }
 
-/// What the targets of a service were busy with.
+/// How much work the targets of a service did.
 #[derive(Copy, Clone, Debug, Default, PartialEq)]
 pub struct StageUsage {
-    /// Microseconds of slots in use.
+    /// The time for which slots were in use, summed over the slots, in microseconds.
     pub busy_us: u64,
-    /// Microseconds of those that went into requests completed in time.
+    /// The part of `busy_us` spent on requests that completed before their deadline.
     pub useful_us: u64,
-    /// Calls that began.
+    /// The number of steps that occupied a slot.
     pub calls: u64,
 }
 
@@ -37,25 +37,29 @@
     reports_load: bool,
     slowdown: f64,
     unreachable: bool,
+    /// Running steps and when they started.
     running_steps: BTreeMap<AttemptId, Time>,
+    /// Steps that wait for a slot, ordered by rank and then by arrival.
     queued_steps: BTreeSet<(u8, u64, AttemptId)>,
     load_history: VecDeque<(Time, LoadReport)>,
 }
 
-/// All targets of a deployment.
+/// All simulated targets of a deployment.
 pub struct FakeTargets {
     targets: HashMap<TargetId, FakeTarget>,
+    /// Target, rank and sequence number of each step that is running or queued.
     accepted: HashMap<AttemptId, (TargetId, u8, u64)>,
     failing_services: BTreeSet<String>,
     step_count: u64,
     report_lag: Option<Span>,
     random: StdRng,
-    /// What each finished or cancelled call took, by attempt.
+    /// The service and slot time of each finished or cancelled step that had started; the replay removes them.
     pub execution_times: HashMap<AttemptId, (String, Span)>,
 }
 
 impl FakeTargets {
-    /// The targets of a deployment, whose service times vary with `seed`.
+    /// Creates the targets of a deployment. `seed` determines the variation of their service times; without
+    /// `report_lag` the targets report no load.
     pub fn new(deployment: &Deployment, report_lag: Option<Span>, seed: u64) -> Self {
         let mut targets = HashMap::new();
         for spec in &deployment.targets {
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Applies a fault.
+    /// Applies a fault of the trace; faults stay in effect until the end of the replay.
     pub fn apply_fault(&mut self, fault: &FaultKind) {
         for (id, target) in &mut self.targets {
             match fault {
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Takes a step.
+    /// Starts or queues a step and returns how the target will respond.
     pub fn accept_step(&mut self, now: Time, attempt: AttemptId, order: &StepOrder) -> StepResponse {
         self.step_count += 1;
         let sequence = self.step_count;
@@ -126,7 +130,8 @@
     }
 
     fn start_step(&mut self, now: Time, id: TargetId, attempt: AttemptId) -> Time {
-        // Service times vary by a factor of two or so to either side, with the mean as given.
+        // Service times are uniform between 0.6 and 1.4 times the configured mean (about a factor of two
+        // between the shortest and the longest).
         let variation = 0.6 + 0.8 * self.random.random::<f64>();
         let Some(target) = self.targets.get_mut(&id) else {
             return now;
@@ -135,7 +140,8 @@
         now + target.service_time.scale(variation * target.slowdown)
     }
 
-    /// Ends a call, answered or cancelled, and gives the one that begins in its place.
+    /// Finishes an answered or cancelled step. Returns the queued step that starts in the freed slot, with the
+    /// time of its answer.
     pub fn finish_step(&mut self, now: Time, attempt: AttemptId) -> Option<(AttemptId, Time)> {
         let (id, rank, sequence) = self.accepted.remove(&attempt)?;
         let target = self.targets.get_mut(&id)?;
@@ -149,17 +155,18 @@
         Some((next, self.start_step(now, id, next)))
     }
 
-    /// Whether a call is still running: a cancelled one is not answered.
+    /// Whether a step is running or queued. A cancelled step is neither and must not be answered.
     pub fn is_active(&self, attempt: AttemptId) -> bool {
         self.accepted.contains_key(&attempt)
     }
 
-    /// Whether a target answers its health check.
+    /// Whether a target responds to health checks.
     pub fn is_healthy(&self, id: TargetId) -> bool {
         self.targets.get(&id).is_some_and(|target| !target.unreachable)
     }
 
-    /// What a target reports now: its load as it was a while ago.
+    /// Returns the load that a target reports now, which is delayed by the report lag. Also records the current
+    /// load for later reports.
     pub fn load_report(&mut self, now: Time, id: TargetId) -> Option<LoadReport> {
         let report_lag = self.report_lag?;
         let target = self.targets.get_mut(&id).filter(|target| target.reports_load)?;
--- a/crates/barleyspool_stands/src/replay/generator.rs
+++ b/crates/barleyspool_stands/src/replay/generator.rs
@@ -1,42 +1,43 @@
-//! Making traces with a seed.
+//! Generates traces of load and failure scenarios from a seed.
 
 use super::trace::{Arrival, Bound, ExpectedOutcome, Fault, FaultKind, Measure, Trace, TraceHeader};
 use crate::deployment::Deployment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// How long a generated trace is, in milliseconds.
+/// The duration of a generated trace, in milliseconds.
 const TRACE_LENGTH_MS: u64 = 18_000;
-/// When a surge begins and ends, in milliseconds.
+/// Start and end of a surge, in milliseconds from the start of the trace.
 const SURGE_PERIOD_MS: (u64, u64) = (4_000, 14_000);
-/// The load of quiet times, as a share of capacity.
+/// The load outside a surge, relative to capacity.
 const QUIET_LOAD: f64 = 0.5;
-/// How many requests of a flood one organisation sends for each of all others.
+/// How many requests the flooding organisation sends for each request of all others together.
 const FLOOD_RATIO: u32 = 40;
 
-/// What a trace is about.
+/// The load and the faults of a generated trace.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub enum Scenario {
-    /// Half of capacity all the time.
+    /// Half of capacity throughout.
     Quiet,
-    /// This load all the time, as a share of capacity.
+    /// A constant load, relative to capacity.
     Steady(f64),
-    /// A release day: three times capacity for ten seconds.
+    /// A surge of three times capacity for ten seconds, as on a release day.
     Surge,
-    /// The service `rerank` takes eight times as long from the fourth second on; all else idles.
+    /// The service `rerank` becomes eight times slower after four seconds; the load on all other services is low.
     SaturatedStage,
-    /// A zone is lost in the middle of a surge of half again the capacity.
+    /// All targets of an availability zone fail during a surge of 1.5 times capacity.
     ZoneLost,
-    /// The configuration service is down through a surge.
+    /// The configuration service is down from one second before a surge on.
     ConfigurationDown,
-    /// One organisation floods the node with forty times what all others send, at three times capacity.
+    /// One organisation sends forty times as many requests as all others together, in a surge of three times
+    /// capacity.
     Flood,
-    /// One target of `generate` takes ten times as long and still answers its health check.
+    /// One target of the service `generate` becomes ten times slower and still responds to health checks.
     SlowTarget,
 }
 
 impl Scenario {
-    /// Every scenario with the name that its traces have.
+    /// The scenarios of the stored traces, with the names of the traces.
     pub const NAMED: [(&str, Self); 7] = [
         ("quiet", Self::Quiet),
         ("surge", Self::Surge),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What has to hold, stated before anything was tuned.
+    /// The outcomes that the default policy must reach. They were set before the policy was tuned.
     fn expected_outcomes(self, deployment: &Deployment) -> Vec<ExpectedOutcome> {
         let top = deployment.classes[0].name.clone();
         let attainment = |class: &str, least| ExpectedOutcome {
@@ -115,7 +116,8 @@
             Self::SlowTarget => vec![attainment(&top, 0.99), wasted(0.05)],
             Self::Flood => {
                 let small = deployment.organisations.last().map(|org| org.name.clone());
-                // Deferrable classes yield to everybody's other work in a surge, whoever sends it.
+                // In a surge, deferrable classes of every organisation yield to the non-deferrable requests of all
+                // organisations, so no outcome is expected of them.
                 let non_deferrable = deployment.classes.iter().filter(|class| !class.deferrable);
                 let well_served = |class: &barleyspool_core::Class| ExpectedOutcome {
                     measure: Measure::Attainment,
@@ -130,7 +132,8 @@
     }
 }
 
-/// How many requests a second of a deployment's mix its targets can serve: the slowest stage decides.
+/// Returns how many requests per second of the deployment's mix its targets can serve. The service with the
+/// lowest throughput sets the limit.
 pub fn capacity(deployment: &Deployment) -> f64 {
     let total: u32 = deployment.mix.iter().map(|mix| mix.weight).sum();
     let requests_per_s = |spec: &crate::deployment::TargetSpec| {
@@ -166,7 +169,7 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Makes the trace of a scenario.
+/// Generates the trace of a scenario.
 pub fn generate(deployment: &Deployment, name: &str, scenario: Scenario, seed: u64) -> Trace {
     let mut random = StdRng::seed_from_u64(seed);
     let capacity = capacity(deployment);
@@ -174,7 +177,8 @@
     let mut at_ms = 0.0_f64;
     while (at_ms as u64) < TRACE_LENGTH_MS {
         let requests_per_s = capacity * scenario.load_at(at_ms as u64);
-        // Arrivals of many independent callers: exponential times in between.
+        // Requests of many independent callers form a Poisson process: the times between arrivals are
+        // exponentially distributed.
         at_ms += -(1.0 - random.random::<f64>()).ln() / requests_per_s * 1000.0;
         arrivals.push(generate_arrival(deployment, scenario, at_ms as u64, &mut random));
     }
--- a/crates/barleyspool_stands/src/replay/mod.rs
+++ b/crates/barleyspool_stands/src/replay/mod.rs
@@ -1,7 +1,7 @@
-//! Replaying a recorded trace against the real decisions of one node.
+//! Replays a recorded trace against the real router of one node.
 //!
-//! The node's router is stepped in virtual time; its targets are answered by one small fake at its interface.
-//! What comes out depends on nothing but the trace and the policy.
+//! The router runs in virtual time, and [`FakeTargets`] simulates all of its targets. Apart from the measured
+//! decision times, the report depends only on the trace, the deployment and the policy.
 
 mod fake_targets;
 mod generator;
--- a/crates/barleyspool_stands/src/replay/report.rs
+++ b/crates/barleyspool_stands/src/replay/report.rs
@@ -1,4 +1,4 @@
-//! What a replay or a run of real callers says: attainment, refusals, latency, and cost by stage.
+//! The report of a replay: attainment, refusals, latency, and cost by stage.
 
 use super::fake_targets::StageUsage;
 use super::trace::{Bound, ExpectedOutcome, Measure, Trace};
@@ -8,12 +8,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How a caller's request ended.
+/// The final outcome of a caller's request.
 #[derive(Clone, Debug)]
 pub struct FinalOutcome {
-    /// When.
+    /// When the request finished.
     pub at: Time,
-    /// With what.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
@@ -26,6 +26,7 @@
     arrived_at: Time,
     deadline: Time,
     final_outcome: Option<FinalOutcome>,
+    /// The services that worked on the request, with the slot time of each step.
     executions: Vec<(String, Span)>,
 }
 
@@ -39,27 +40,27 @@
     }
 }
 
-/// What is said of a group of requests.
+/// Statistics of a group of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupStats {
-    /// Requests.
+    /// The number of requests.
     pub requests: usize,
-    /// Of those, completed in time.
+    /// The number of requests completed before their deadline.
     pub completed_in_time: usize,
-    /// Refusals by reason.
+    /// The number of refusals by reason.
     pub refusals: BTreeMap<&'static str, usize>,
-    /// The 50th, 95th and 99th percentile of completed ones, in milliseconds.
+    /// The 50th, 95th and 99th percentile of the latency of requests completed in time, in milliseconds.
     pub latency_ms: [f64; 3],
 }
 
 impl GroupStats {
-    /// The share completed in time.
+    /// The share of requests completed in time.
     pub fn attainment(&self) -> f64 {
         self.completed_in_time as f64 / self.requests.max(1) as f64
     }
 }
 
-/// Everything that a replay says.
+/// The records of all requests of a replay, and the statistics computed from them.
 #[derive(Clone, Debug)]
 pub struct Report {
     class_by_pipeline: HashMap<String, String>,
@@ -71,7 +72,7 @@
 }
 
 impl Report {
-    /// An empty report on a deployment.
+    /// Creates an empty report for a deployment.
     pub fn new(deployment: &Deployment) -> Self {
         let class = |pipeline: &barleyspool_core::Pipeline| (pipeline.name.clone(), pipeline.class.clone());
         Self {
@@ -131,7 +132,7 @@
     }
 
     // ------------------------------------------------------------------------
-    // What is said
+    // Statistics
 
     fn stats_of<'a>(requests: impl Iterator<Item = &'a RequestRecord> + Clone) -> GroupStats {
         let mut group = GroupStats::default();
@@ -158,7 +159,7 @@
         group
     }
 
-    /// The requests of a class, of an organisation, of both, or all.
+    /// Statistics of the requests of a class, an organisation, or both; of all requests if neither is given.
     pub fn group_stats(&self, class: Option<&str>, organisation: Option<&str>) -> GroupStats {
         let is_selected = |request: &&RequestRecord| {
             class.is_none_or(|class| request.class == class)
@@ -167,7 +168,7 @@
         Self::stats_of(self.requests.values().filter(is_selected))
     }
 
-    /// What each service was busy with.
+    /// Returns the work done by each service.
     pub fn stage_usage(&self) -> BTreeMap<&str, StageUsage> {
         let mut stages: BTreeMap<&str, StageUsage> = BTreeMap::new();
         for request in self.requests.values() {
@@ -185,7 +186,7 @@
         stages
     }
 
-    /// Accelerator-seconds spent, and how many of them went into requests completed in time.
+    /// Returns the accelerator-seconds spent, and those spent on requests completed in time.
     pub fn accelerator_seconds(&self) -> (f64, f64) {
         self.stage_usage()
             .iter()
@@ -198,7 +199,8 @@
             })
     }
 
-    /// Accelerator-seconds that one completed request of `class` cost, wasted work of the class included.
+    /// Returns the accelerator-seconds per request of `class` completed in time, including the wasted work of
+    /// the class.
     pub fn cost_per_answer(&self, class: &str) -> f64 {
         let requests = self.requests.values().filter(|request| request.class == class);
         let cost = |(service, duration): &(String, Span)| {
@@ -215,18 +217,19 @@
                 .max(1) as f64
     }
 
-    /// The share of stage work that was wasted.
+    /// The share of accelerator-seconds spent on requests that were not completed in time.
     pub fn wasted_share(&self) -> f64 {
         let (spent, useful) = self.accelerator_seconds();
         if spent > 0.0 { 1.0 - useful / spent } else { 0.0 }
     }
 
-    /// The 50th, 95th and 99th percentile of the time to decide about an arrival, in milliseconds.
+    /// The 50th, 95th and 99th percentile of the time that the router takes to process an arriving request, in
+    /// milliseconds. This is the only value measured in real time.
     pub fn decision_percentiles_ms(&self) -> [f64; 3] {
         percentiles(self.decision_times.iter().copied())
     }
 
-    /// The stated outcomes with what was measured and whether they hold.
+    /// Returns the expected outcomes of the trace, each with the measured value and whether it holds.
     pub fn check_outcomes(&self, trace: &Trace) -> Vec<(ExpectedOutcome, f64, bool)> {
         let measured_value = |expected: &ExpectedOutcome| match expected.measure {
             Measure::Wasted => self.wasted_share(),
@@ -245,7 +248,7 @@
         results.collect()
     }
 
-    /// Tables per class, pipeline, organisation and stage.
+    /// Formats tables by class, pipeline, organisation and stage.
     pub fn to_tables(&self) -> String {
         let mut text = format!(
             "{:<28} {:>7} {:>7} {:>8} {:>8} {:>8}  refused\n",
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -1,4 +1,4 @@
-//! The loop of a replay: arrivals, answers, faults and the router's own wishes, in virtual time.
+//! The event loop of a replay: arrivals, answers, faults and the timers of the router, in virtual time.
 
 use super::fake_targets::{FakeTargets, StepResponse};
 use super::report::{FinalOutcome, Report};
@@ -14,21 +14,25 @@
 use std::error::Error;
 use std::sync::Arc;
 
-/// When replays begin; any time will do.
+/// The virtual time at which replays start; the value is arbitrary.
 const START: Time = Time::from_millis(1_000_000_000);
-/// How often the plan is vouched for.
+/// The interval at which the router's plan is refreshed, so that it does not become stale.
 const PLAN_REFRESH_INTERVAL: Span = Span::from_millis(300);
-/// How long a replay goes on after the last arrival.
+/// How long a replay continues after the last arrival.
 const DRAIN_TIME: Span = Span::from_secs(10);
 
-/// What happens next in a replay.
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug)]
 enum SimEvent {
+    /// The arrival with this index in the trace.
     Arrive(usize),
+    /// A target answers a step, unless it was cancelled.
     Answer(AttemptId),
+    /// The connection of a step is lost.
     Disconnect(AttemptId),
     Fault(FaultKind),
     RefreshPlan,
+    /// A timer of the router expires.
     Wake,
 }
 
@@ -37,6 +41,7 @@
     router: Router,
     targets: FakeTargets,
     plan: Plan,
+    /// Scheduled events by time, and by order of scheduling at the same time.
     event_queue: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
     orders: HashMap<AttemptId, StepOrder>,
@@ -47,7 +52,7 @@
 /// Replays `trace` under `policy`.
 ///
 /// # Errors
-/// When the deployment's configuration is not accepted or a chart does not load.
+/// When the deployment's configuration is invalid or a state chart cannot be loaded.
 pub fn replay(trace: &Trace, deployment: &Deployment, policy: Policy) -> Result<Report, Box<dyn Error>> {
     let settings = RouterSettings {
         node: NodeId(1),
@@ -73,7 +78,8 @@
     Ok(replay.report)
 }
 
-/// A node that is alone, settled and confirmed, with all targets of the deployment for itself.
+/// Builds the plan of a single node that serves, holds a lease that never expires, and uses all targets of the
+/// deployment.
 fn single_node_plan(deployment: &Deployment) -> Result<Plan, Box<dyn Error>> {
     let revision = barleyspool_core::Revision(1);
     let part = platform::PartValue {
@@ -215,7 +221,7 @@
         self.release_slot(now, attempt);
         let report = self.targets.load_report(now, order.target);
         let echo = Some(order.echo);
-        // Every stage answers with its input, so that each step tells whose it is.
+        // Every stage returns its input, so that the input of each later step identifies the caller.
         let (data, length) = (Arc::clone(&order.input), order.input.len() as u64);
         let mut output = Arc::clone(&data);
         if order.stream {
@@ -253,7 +259,8 @@
         );
     }
 
-    /// Frees a call's slot, books what it took, and lets the next one begin.
+    /// Releases the slot of a finished or cancelled step, records its slot time, and schedules the answer of the
+    /// queued step that takes the slot.
     fn release_slot(&mut self, now: Time, attempt: AttemptId) {
         let next = self.targets.finish_step(now, attempt);
         if let Some((service, duration)) = self.targets.execution_times.remove(&attempt) {
@@ -316,7 +323,7 @@
     }
 }
 
-/// The caller that a step is for, as its input says.
+/// Returns the caller of a step, which its input identifies.
 fn caller_of(order: &StepOrder) -> Option<CallerId> {
     let bytes = order.input.as_ref().try_into().ok()?;
     Some(CallerId(u64::from_le_bytes(bytes)))
--- a/crates/barleyspool_stands/src/replay/trace.rs
+++ b/crates/barleyspool_stands/src/replay/trace.rs
@@ -1,80 +1,80 @@
-//! The form of a recorded trace: JSON lines. The first is the head, with the outcomes that have to hold; the
-//! others are arrivals, as short arrays, and faults.
+//! The file format of traces: JSON lines. The first line is the header with the expected outcomes; the other
+//! lines are arrivals, as arrays of numbers, and faults.
 
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::Path;
 
-/// What an outcome speaks of.
+/// The measure that an expected outcome bounds.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    /// The share of requests answered completely before their deadline.
+    /// The share of requests completed before their deadline.
     Attainment,
-    /// The share of all stage work spent on requests that were not.
+    /// The share of all stage work spent on requests not completed before their deadline.
     Wasted,
 }
 
-/// Which way an outcome is bounded.
+/// The bound of an expected outcome.
 #[derive(Copy, Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bound {
-    /// At least this.
+    /// The measure is at least this value.
     #[serde(rename = "least")]
     AtLeast(f64),
-    /// At most this.
+    /// The measure is at most this value.
     #[serde(rename = "most")]
     AtMost(f64),
 }
 
-/// One stated outcome.
+/// An outcome that a replay of the trace must reach.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExpectedOutcome {
-    /// What it speaks of.
+    /// The bounded measure.
     pub measure: Measure,
-    /// Only this class.
+    /// Restricts the measure to requests of this class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// Only this organisation.
+    /// Restricts the measure to requests of this organisation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisation: Option<String>,
-    /// What has to hold.
+    /// The bound of the measure.
     pub bound: Bound,
 }
 
-/// The head of a trace.
+/// The header of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceHeader {
-    /// Its name.
+    /// The name of the trace.
     #[serde(rename = "trace")]
     pub name: String,
-    /// The deployment whose configuration and targets it is for, below `settings/`.
+    /// The deployment that provides configuration and targets: a directory below `settings/`.
     pub deployment: String,
-    /// The seed it was made with, or zero for a recorded one.
+    /// The seed from which the trace was generated, or zero for a recorded trace.
     pub seed: u64,
-    /// How old the load is that targets report, in milliseconds; nothing is reported without it.
+    /// The age of the load that targets report, in milliseconds; without it they report no load.
     pub report_lag_ms: Option<u64>,
-    /// Organisations, as arrivals number them.
+    /// Organisations; arrivals refer to them by index.
     pub organisations: Vec<String>,
-    /// Pipelines, as arrivals number them.
+    /// Pipelines; arrivals refer to them by index.
     pub pipelines: Vec<String>,
-    /// What has to hold under the default policy.
+    /// The outcomes that must hold under the default policy.
     pub outcomes: Vec<ExpectedOutcome>,
 }
 
-/// One arrival: when, by whom, for what, with how long a deadline. In the file an array of four numbers.
+/// The arrival of a request. In the file it is an array of four numbers, in the order of the fields.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 4]", into = "[u64; 4]")]
 pub struct Arrival {
-    /// Milliseconds from the beginning.
+    /// Milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// The organisation.
+    /// The index of the organisation in [`TraceHeader::organisations`].
     pub organisation: usize,
-    /// The pipeline.
+    /// The index of the pipeline in [`TraceHeader::pipelines`].
     pub pipeline: usize,
-    /// The deadline in milliseconds ahead.
+    /// The deadline, in milliseconds from the arrival.
     pub deadline_ms: u64,
 }
 
@@ -100,59 +100,59 @@
     }
 }
 
-/// What happens to targets or platform.
+/// A fault of targets or of the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Every target of a service takes this many times as long.
+    /// All targets of a service become slower.
     #[serde(rename = "slow")]
     SlowService {
         /// The service.
         service: String,
-        /// How many times as long.
+        /// The factor applied to service times.
         factor: f64,
     },
-    /// One target takes this many times as long, and still answers its health check.
+    /// One target becomes slower and still responds to health checks.
     SlowTarget {
-        /// The target's number.
+        /// The id of the target.
         target: u32,
-        /// How many times as long.
+        /// The factor applied to service times.
         factor: f64,
     },
-    /// The targets of a zone answer nothing any more.
+    /// The targets of an availability zone stop responding.
     ZoneLost {
         /// The zone.
         zone: String,
     },
-    /// Every call of a service breaks off.
+    /// Every call to a service fails with a lost connection.
     #[serde(rename = "failing")]
     FailingService {
         /// The service.
         service: String,
     },
-    /// The configuration service is down; the node goes on with what it has.
+    /// The configuration service is down; the node keeps using the configuration it has.
     ConfigurationDown,
 }
 
-/// A fault and when it begins.
+/// A fault and the time at which it starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Milliseconds from the beginning.
+    /// Milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// What happens.
+    /// The kind of the fault.
     #[serde(rename = "fault")]
     pub kind: FaultKind,
 }
 
-/// A whole trace.
+/// A trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// Its head.
+    /// The header.
     pub header: TraceHeader,
-    /// Arrivals in order.
+    /// Arrivals, ordered by time.
     pub arrivals: Vec<Arrival>,
-    /// Faults in order.
+    /// Faults, ordered by time.
     pub faults: Vec<Fault>,
 }
 
@@ -164,10 +164,11 @@
 }
 
 impl Trace {
-    /// Reads a trace.
+    /// Reads a trace from a file.
     ///
     /// # Errors
-    /// When the file cannot be read, with the line that is not understood.
+    /// When the file cannot be read, when a line is invalid (the error names its number), or when an arrival
+    /// refers to an organisation or pipeline that the header does not list.
     pub fn load(path: &Path) -> io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         let mut lines = text.lines().enumerate();
@@ -176,7 +177,7 @@
         };
         let (_, header) = lines
             .next()
-            .ok_or_else(|| io::Error::other("the trace is empty"))?;
+            .ok_or_else(|| io::Error::other("the trace file is empty"))?;
         let header = serde_json::from_str(header).map_err(|error| parse_error(0, &error))?;
         let mut trace = Self {
             header,
@@ -200,17 +201,17 @@
         };
         match self.arrivals.iter().position(|arrival| !is_in_range(arrival)) {
             Some(index) => Err(io::Error::other(format!(
-                "{}: arrival {index}: not in the head's lists",
+                "{}: arrival {index}: the header does not list its organisation or pipeline",
                 path.display()
             ))),
             None => Ok(()),
         }
     }
 
-    /// The trace as text.
+    /// Formats the trace as JSON lines.
     ///
     /// # Errors
-    /// When it cannot be put into JSON.
+    /// When the trace cannot be serialised.
     pub fn to_jsonl(&self) -> serde_json::Result<String> {
         let mut lines = vec![serde_json::to_string(&self.header)?];
         for fault in &self.faults {
