--- a/crates/barleyspool_stands/src/bin/barleyspool-slopes.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-slopes.rs
@@ -8,11 +8,11 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Measures what things cost at several sizes and draws them out to the size to come. Takes under a minute.
+        /// Measures costs at several sizes and extrapolates them to the planned size. Takes under a minute.
         cmd barleyspool-slopes {
-            /// Where the deployments are; "settings" if not given.
+            /// Directory with the deployments (default: "settings").
             optional --settings dir: PathBuf
-            /// Leave out what needs entry processes.
+            /// Skip the measurements that start entry processes.
             optional --core-only
         }
     }
@@ -23,7 +23,7 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     let flags = flags::BarleyspoolSlopes::from_env_or_exit();
     let settings = flags.settings.unwrap_or_else(|| "settings".into());
-    println!("| what | size counts | measured | line | drawn out |");
+    println!("| cost of | size in | measured | linear fit | extrapolated |");
     println!("|---|---|---|---|---|");
     for slope in core_slopes()? {
         println!("{}", slope.table_row());
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -1,4 +1,4 @@
-//! What the core's decisions cost, in this process.
+//! The cost of the core's state machines, measured within this process.
 
 use super::Slope;
 use crate::process::resident_bytes;
@@ -14,11 +14,12 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Parts into which organisations are spread, so that a value stays under a megabyte.
+/// The number of configuration parts that the organisations are distributed over, so that the stored value of
+/// each part stays under a megabyte.
 const PART_COUNT: usize = 64;
-/// Entry nodes of a cell at the size to come.
+/// The number of entry nodes in a cell at the planned size.
 const CELL_SIZE: usize = 13;
-/// When the measurements begin; any time will do.
+/// The virtual time at which the measurements start; the value is arbitrary.
 const START: Time = Time::from_millis(1_000_000_000);
 
 fn document(organisations: usize) -> ConfigDocument {
@@ -137,7 +138,7 @@
     Ok(Control::new(settings, START)?)
 }
 
-/// A control state of a whole fleet, ready to serve.
+/// Creates a control state machine that has read its configuration and a fleet list, and is ready to serve.
 fn control_with_fleet(
     organisations: usize,
     entries: usize,
@@ -176,7 +177,8 @@
     }
 }
 
-/// The best of several runs, in microseconds: what the machine does beside is left out.
+/// Returns the shortest of several runs, in microseconds. The minimum is the least affected by other load on
+/// the machine.
 fn best_us(runs: usize, mut body: impl FnMut()) -> f64 {
     let time = |_| {
         let started_at = Instant::now();
@@ -186,14 +188,15 @@
     (0..runs).map(time).fold(f64::MAX, f64::min)
 }
 
-/// Measures the core's slopes.
+/// Measures the costs of the core at several sizes.
 ///
 /// # Errors
-/// When a chart does not load or a message cannot be encoded.
+/// When a state chart cannot be loaded or a message cannot be encoded.
 pub fn core_slopes() -> Result<Vec<Slope>, Box<dyn Error>> {
     let organisations = [5, 11_750, 23_500, 47_000];
     let fleets = [(9, 40), (102, 180), (205, 360), (410, 720)];
-    // Memory is told by what the process has in use, so what measures it goes first.
+    // Memory is measured as growth of the resident size of this process. Memory freed by earlier measurements
+    // would hide that growth, so the measurements of memory run first.
     let mut slopes = request_slopes()?;
     slopes.extend(configuration_slopes(&organisations)?);
     slopes.extend(fleet_list_slopes(&fleets)?);
@@ -261,7 +264,7 @@
     ])
 }
 
-/// A copy that shares nothing, as a node that parsed it would have.
+/// Returns a copy that shares no parts with `document`, as if it had been parsed separately.
 fn deep_copy(document: &ConfigDocument) -> ConfigDocument {
     let copy = |at: &VersionedPart| VersionedPart {
         part: Arc::new(ConfigPart::clone(&at.part)),
@@ -334,35 +337,35 @@
     Ok(vec![
         slope("bulk: a fleet list", "entries and targets", "KB", 1130.0, bytes),
         slope(
-            "control: take a fleet list",
+            "control: apply a fleet list",
             "entries and targets",
             "ms",
             1130.0,
             apply_time,
         ),
         slope(
-            "control: one beat",
+            "control: one tick",
             "entries and targets",
             "ms",
             1130.0,
             tick_time,
         ),
         slope(
-            "control: answer one question of a peer",
+            "control: answer one gossip request",
             "entries and targets",
             "us",
             1130.0,
             answer_time,
         ),
         slope(
-            "control: questions to peers a second",
+            "control: questions (gossip requests) to peers a second",
             "entries",
             "questions",
             410.0,
             gossip_rate,
         ),
         slope(
-            "control: bytes of one question with its answer",
+            "control: bytes of one gossip request with its reply",
             "entries",
             "bytes",
             410.0,
@@ -381,9 +384,10 @@
 // ----------------------------------------------------------------------------
 // Requests
 
-/// A router in front of a whole fleet, with `active` organisations that have a request waiting.
+/// A router with the plan of a whole fleet, whose dispatched steps are answered by the harness.
 struct RouterHarness {
     router: Router,
+    /// Dispatched steps that have no answer yet.
     dispatched: Vec<(barleyspool_core::AttemptId, barleyspool_core::StepOrder)>,
     now: Time,
     last_request: u64,
@@ -451,7 +455,7 @@
         self.record_dispatches(actions);
     }
 
-    /// Microseconds for a request from its arrival through four stages.
+    /// Returns the average time, in microseconds, that the router takes to process a request of four stages.
     fn request_us(&mut self, count: usize) -> f64 {
         let started_at = Instant::now();
         for _ in 0..count {
@@ -486,7 +490,7 @@
             let used_bytes = resident_bytes(std::process::id()).saturating_sub(before);
             memory.push((harness.router.live_requests() as f64, used_bytes as f64 / 1e6));
         }
-        // Deciding about one more, with all of those waiting.
+        // The time to process one more arrival while all those requests wait.
         let best = (0..5)
             .map(|_| {
                 let started_at = Instant::now();
--- a/crates/barleyspool_stands/src/slopes/mod.rs
+++ b/crates/barleyspool_stands/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! Measuring what things cost at several sizes, and drawing a line through it.
+//! Measures the cost of operations at several sizes and extrapolates it by a linear fit.
 
 mod core_slopes;
 mod node_slopes;
@@ -6,24 +6,24 @@
 pub use core_slopes::core_slopes;
 pub use node_slopes::node_slopes;
 
-/// What one thing costs at several sizes.
+/// The cost of one operation or resource at several sizes.
 #[derive(Clone, Debug)]
 pub struct Slope {
-    /// What was measured.
+    /// What the cost is of.
     pub name: String,
-    /// What the size counts.
+    /// The unit of the sizes.
     pub size_unit: &'static str,
-    /// What the cost counts.
+    /// The unit of the costs.
     pub cost_unit: &'static str,
-    /// Sizes with their costs.
+    /// The measured sizes with their costs.
     pub points: Vec<(f64, f64)>,
-    /// The size to draw it out to.
+    /// The size to extrapolate to.
     pub projected_size: f64,
 }
 
 impl Slope {
-    /// The line through the points by least squares: cost at size zero, cost per size, and how much of the
-    /// variation it explains.
+    /// Fits a line to the points by least squares. Returns its intercept (the cost at size zero), its slope (the
+    /// cost per unit of size) and the coefficient of determination (r squared).
     pub fn fit(&self) -> (f64, f64, f64) {
         let n = self.points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / n;
@@ -43,13 +43,13 @@
         (y - slope * x, slope, r_squared)
     }
 
-    /// The cost that the line gives at the target size.
+    /// The cost at [`Slope::projected_size`] by the linear fit.
     pub fn projected_cost(&self) -> f64 {
         let (intercept, slope, _) = self.fit();
         intercept + slope * self.projected_size
     }
 
-    /// A line of the table.
+    /// Formats the slope as a row of the Markdown table.
     pub fn table_row(&self) -> String {
         let points: Vec<String> = self
             .points
--- a/crates/barleyspool_stands/src/slopes/node_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/node_slopes.rs
@@ -1,4 +1,4 @@
-//! What a real entry process costs while nobody asks it anything: its control.
+//! The cost of a real entry process without requests, which is the cost of its control thread.
 
 use super::Slope;
 use crate::deployment::{Deployment, EntrySpec};
@@ -10,11 +10,12 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How long the nodes are let come up, and then watched.
+/// How long the nodes may take to start and join.
 const STARTUP_TIME: Duration = Duration::from_secs(4);
+/// How long the idle nodes are measured.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
 
-/// Entry processes that end with this value.
+/// Entry processes that are killed, and their directory of settings that is removed, on drop.
 struct NodeProcesses {
     children: Vec<Child>,
     dir: PathBuf,
@@ -23,7 +24,7 @@
 impl Drop for NodeProcesses {
     fn drop(&mut self) {
         for child in &mut self.children {
-            // One that has ended cannot be killed, and need not be.
+            // Killing fails if the process has already exited, which is harmless.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -31,10 +32,11 @@
     }
 }
 
-/// Runs cells of several sizes as real processes and measures processor time and memory of a node.
+/// Runs cells of several sizes as real processes and measures the CPU time, memory and network traffic of a
+/// node.
 ///
 /// # Errors
-/// When the processes cannot be started.
+/// When the settings cannot be written or the processes cannot be started.
 pub async fn node_slopes(entry: &Path, deployment: &Deployment) -> Result<Vec<Slope>, Box<dyn Error>> {
     let (mut cpu, mut memory, mut traffic) = (Vec::new(), Vec::new(), Vec::new());
     for (index, size) in [3_u32, 9, 18, 26].into_iter().enumerate() {
@@ -54,24 +56,25 @@
         slope("process: control, share of a core, idle", "% of a core", cpu),
         slope("process: resident memory, idle", "MB", memory),
         slope(
-            "process: bytes sent and received, headers included, beat 500 ms",
+            "process: bytes sent and received, headers included, heartbeat 500 ms",
             "KB/s",
             traffic,
         ),
     ])
 }
 
-/// What one node of a cell used while nobody asked it anything.
+/// The average resource use of an idle node of a cell.
 struct NodeUsage {
-    /// Percent of a core.
+    /// CPU use, in percent of a core.
     cpu_percent: f64,
-    /// Megabytes.
+    /// Resident memory, in megabytes.
     memory_mb: f64,
-    /// Kilobytes a second, sent and received.
+    /// Bytes sent and received, in kilobytes per second.
     traffic_kb_per_s: f64,
 }
 
-/// Runs a cell of `size` nodes for a while.
+/// Runs an idle cell of `size` nodes and returns the average use of a node. `base` is the first port of the
+/// cell.
 async fn measure_cell(
     entry: &Path,
     deployment: &Deployment,
@@ -131,12 +134,12 @@
     Ok(NodeUsage {
         cpu_percent: percent_of_core,
         memory_mb: resident as f64 / 1e6 / f64::from(size),
-        // On loopback every byte that one node sends another one receives.
+        // Each byte on the loopback interface is sent by one node and received by another.
         traffic_kb_per_s: 2.0 * loopback / 1000.0 / MEASUREMENT_TIME.as_secs_f64() / f64::from(size),
     })
 }
 
-/// Bytes that have gone over the loopback interface.
+/// Returns how many bytes were sent over the loopback interface since boot.
 fn loopback_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:"));
