--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -170,8 +170,8 @@
 
     fn handle_event(&mut self, now: Time, event: SimEvent) {
         match event {
-            SimEvent::Arrive(index) => self.arrive(now, index),
-            SimEvent::Answer(attempt) => self.answer(now, attempt),
+            SimEvent::Arrive(index) => self.submit_request(now, index),
+            SimEvent::Answer(attempt) => self.answer_step(now, attempt),
             SimEvent::Disconnect(attempt) => {
                 self.orders.remove(&attempt);
                 self.finish_attempt(now, attempt, None, AttemptEnd::Interrupted, None);
@@ -183,20 +183,20 @@
                 self.execute(now, actions);
                 self.schedule(now + PLAN_REFRESH_INTERVAL, SimEvent::RefreshPlan);
             }
-            SimEvent::Wake => self.step(now, TrafficEvent::Tick),
+            SimEvent::Wake => self.step_router(now, TrafficEvent::Tick),
         }
     }
 
-    fn step(&mut self, now: Time, event: TrafficEvent) {
+    fn step_router(&mut self, now: Time, event: TrafficEvent) {
         let actions = self.router.step(now, event);
         self.execute(now, actions);
     }
 
-    fn arrive(&mut self, now: Time, index: usize) {
-        let arrival = self.trace.arrivals[index];
-        let caller = CallerId(index as u64);
+    fn submit_request(&mut self, now: Time, at: usize) {
+        let arrival = self.trace.arrivals[at];
+        let caller = CallerId(at as u64);
         let call = Call {
-            key: format!("t{index}"),
+            key: format!("t{at}"),
             organisation: self.trace.header.organisations[arrival.organisation].clone(),
             pipeline: self.trace.header.pipelines[arrival.pipeline].clone(),
             deadline: now + Span::from_millis(arrival.deadline_ms),
@@ -211,7 +211,7 @@
         self.execute(now, actions);
     }
 
-    fn answer(&mut self, now: Time, attempt: AttemptId) {
+    fn answer_step(&mut self, now: Time, attempt: AttemptId) {
         if !self.targets.is_active(attempt) {
             return;
         }
@@ -225,7 +225,7 @@
         let (data, length) = (Arc::clone(&order.input), order.input.len() as u64);
         let mut output = Arc::clone(&data);
         if order.stream {
-            self.step(
+            self.step_router(
                 now,
                 TrafficEvent::Part {
                     attempt,
@@ -247,7 +247,7 @@
         end: AttemptEnd,
         report: Option<barleyspool_core::LoadReport>,
     ) {
-        self.step(
+        self.step_router(
             now,
             TrafficEvent::Ended {
                 attempt,
@@ -274,7 +274,7 @@
     fn execute(&mut self, now: Time, actions: Vec<TrafficAction>) {
         for action in actions {
             match action {
-                TrafficAction::Dispatch { attempt, order } => self.dispatch(now, attempt, order),
+                TrafficAction::Dispatch { attempt, order } => self.dispatch_step(now, attempt, order),
                 TrafficAction::Cancel { attempt, .. } => {
                     self.orders.remove(&attempt);
                     self.release_slot(now, attempt);
@@ -283,7 +283,7 @@
                     self.report
                         .record_outcome(caller, FinalOutcome { at: now, outcome });
                 }
-                TrafficAction::Probe { target, .. } => self.probe(now, target),
+                TrafficAction::Probe { target, .. } => self.answer_probe(now, target),
                 TrafficAction::Part { .. }
                 | TrafficAction::NotifyLeaving { .. }
                 | TrafficAction::NotifyCooldown(_)
@@ -292,7 +292,7 @@
         }
     }
 
-    fn dispatch(&mut self, now: Time, attempt: AttemptId, order: StepOrder) {
+    fn dispatch_step(&mut self, now: Time, attempt: AttemptId, order: StepOrder) {
         if let Some(caller) = caller_of(&order) {
             self.report.record_dispatch(attempt, caller);
         }
@@ -304,14 +304,14 @@
         self.orders.insert(attempt, order);
     }
 
-    fn probe(&mut self, now: Time, target: TargetId) {
+    fn answer_probe(&mut self, now: Time, target: TargetId) {
         let ok = self.targets.is_healthy(target);
         let report = if ok {
             self.targets.load_report(now, target)
         } else {
             None
         };
-        self.step(
+        self.step_router(
             now,
             TrafficEvent::Probed {
                 target,
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -22,7 +22,7 @@
 /// The virtual time at which the measurements start; the value is arbitrary.
 const START: Time = Time::from_millis(1_000_000_000);
 
-fn document(organisations: usize) -> ConfigDocument {
+fn test_document(organisations: usize) -> ConfigDocument {
     let services = ["encode", "retrieve", "rerank", "generate"];
     let service = |name: &&str| Service {
         name: (*name).to_owned(),
@@ -84,7 +84,7 @@
     }
 }
 
-fn fleet(entries: usize, targets: usize) -> Fleet {
+fn test_fleet(entries: usize, targets: usize) -> Fleet {
     let cells = entries.div_ceil(CELL_SIZE);
     let entry = |nth: usize| EntryNode {
         id: NodeId(nth as u32 + 1),
@@ -148,13 +148,13 @@
     control.step(
         START,
         ControlEvent::ConfigRead {
-            document: Box::new(document(organisations)),
+            document: Box::new(test_document(organisations)),
         },
     );
     control.step(
         START,
         ControlEvent::FleetRead {
-            fleet: Box::new(fleet(entries, targets)),
+            fleet: Box::new(test_fleet(entries, targets)),
         },
     );
     control.step(START + Span::from_secs(4), ControlEvent::Tick);
@@ -179,7 +179,7 @@
 
 /// Returns the shortest of several runs, in microseconds. The minimum is the least affected by other load on
 /// the machine.
-fn best_us(runs: usize, mut body: impl FnMut()) -> f64 {
+fn shortest_run_us(runs: usize, mut body: impl FnMut()) -> f64 {
     let time = |_| {
         let started_at = Instant::now();
         body();
@@ -207,10 +207,10 @@
     let (mut check_time, mut memory, mut full_size, mut change_size) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for &size in sizes {
-        let document = document(size);
+        let document = test_document(size);
         check_time.push((
             size as f64,
-            best_us(3, || drop(black_box(Config::from_document(&document, None)))) / 1000.0,
+            shortest_run_us(3, || drop(black_box(Config::from_document(&document, None)))) / 1000.0,
         ));
         let before = resident_bytes(std::process::id());
         let copies: Vec<_> = (0..4)
@@ -281,14 +281,14 @@
         (Vec::new(), Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let (mut exchange_bytes, mut used_targets) = (Vec::new(), Vec::new());
     for &(entries, targets) in fleets {
-        let list = fleet(entries, targets);
+        let list = test_fleet(entries, targets);
         let size = (entries + targets) as f64;
         bytes.push((size, rmp_serde::to_vec_named(&list)?.len() as f64 / 1000.0));
         let mut revision = 1;
         let mut node = control_with_fleet(5, entries, targets)?;
         apply_time.push((
             size,
-            best_us(5, || {
+            shortest_run_us(5, || {
                 revision += 1;
                 let fleet = Box::new(Fleet {
                     revision: Revision(revision),
@@ -299,7 +299,7 @@
         ));
         let mut now = START + Span::from_secs(10);
         let mut gossip_sent = 0.0;
-        let cost = best_us(20, || {
+        let cost = shortest_run_us(20, || {
             now = now + Span::from_millis(500);
             let actions = node.step(now, ControlEvent::Tick);
             gossip_sent = actions
@@ -324,7 +324,7 @@
         };
         answer_time.push((
             size,
-            best_us(20, || drop(black_box(node.answer_gossip(now, &gossip)))),
+            shortest_run_us(20, || drop(black_box(node.answer_gossip(now, &gossip)))),
         ));
         let reply = PeerReply {
             gossip: gossip.clone(),
@@ -469,14 +469,14 @@
 }
 
 fn request_slopes() -> Result<Vec<Slope>, Box<dyn Error>> {
-    let (mut by_fleet, mut by_orgs, mut memory, mut answer_time) =
+    let (mut by_targets, mut by_organisations, mut memory, mut answer_time) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for (entries, targets) in [(9, 40), (102, 180), (205, 360), (410, 720)] {
         let mut harness = RouterHarness::new(5, entries, targets)?;
-        let best = (0..5).map(|_| harness.request_us(400)).fold(f64::MAX, f64::min);
-        by_fleet.push((targets as f64, best));
+        let shortest = (0..5).map(|_| harness.request_us(400)).fold(f64::MAX, f64::min);
+        by_targets.push((targets as f64, shortest));
         let plan = Arc::clone(harness.router.plan());
-        let lookup_time = best_us(20, || {
+        let lookup_time = shortest_run_us(20, || {
             (0..100).for_each(|n| drop(black_box(plan.addresses("zone-1", None, n))));
         }) / 100.0;
         answer_time.push((entries as f64, lookup_time));
@@ -491,14 +491,14 @@
             memory.push((harness.router.live_requests() as f64, used_bytes as f64 / 1e6));
         }
         // The time to process one more arrival while all those requests wait.
-        let best = (0..5)
+        let shortest = (0..5)
             .map(|_| {
                 let started_at = Instant::now();
                 (0..200).for_each(|nth| harness.submit_request(nth));
                 started_at.elapsed().as_secs_f64() * 1e6 / 200.0
             })
             .fold(f64::MAX, f64::min);
-        by_orgs.push((harness.router.active_organisations() as f64, best));
+        by_organisations.push((harness.router.active_organisations() as f64, shortest));
     }
     Ok(vec![
         slope(
@@ -506,14 +506,14 @@
             "targets",
             "us",
             720.0,
-            by_fleet,
+            by_targets,
         ),
         slope(
             "traffic: decide about an arrival, with others waiting",
             "organisations active",
             "us",
             47_000.0,
-            by_orgs,
+            by_organisations,
         ),
         slope(
             "traffic: memory of waiting requests of as many organisations",
--- a/crates/barleyspool_stands/src/slopes/node_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/node_slopes.rs
@@ -39,11 +39,11 @@
 /// When the settings cannot be written or the processes cannot be started.
 pub async fn node_slopes(entry: &Path, deployment: &Deployment) -> Result<Vec<Slope>, Box<dyn Error>> {
     let (mut cpu, mut memory, mut traffic) = (Vec::new(), Vec::new(), Vec::new());
-    for (index, size) in [3_u32, 9, 18, 26].into_iter().enumerate() {
-        let node = measure_cell(entry, deployment, size, 14_000 + index as u16 * 300).await?;
-        cpu.push((f64::from(size), node.cpu_percent));
-        memory.push((f64::from(size), node.memory_mb));
-        traffic.push((f64::from(size), node.traffic_kb_per_s));
+    for (index, node_count) in [3_u32, 9, 18, 26].into_iter().enumerate() {
+        let node = measure_cell(entry, deployment, node_count, 14_000 + index as u16 * 300).await?;
+        cpu.push((f64::from(node_count), node.cpu_percent));
+        memory.push((f64::from(node_count), node.memory_mb));
+        traffic.push((f64::from(node_count), node.traffic_kb_per_s));
     }
     let slope = |name: &str, cost_unit, points| Slope {
         name: name.to_owned(),
@@ -73,17 +73,17 @@
     traffic_kb_per_s: f64,
 }
 
-/// Runs an idle cell of `size` nodes and returns the average use of a node. `base` is the first port of the
-/// cell.
+/// Runs an idle cell of `node_count` nodes and returns the average use of a node. The ports of the cell start
+/// at `base`.
 async fn measure_cell(
     entry: &Path,
     deployment: &Deployment,
-    size: u32,
+    node_count: u32,
     base: u16,
 ) -> Result<NodeUsage, Box<dyn Error>> {
     let mut deployment = deployment.clone();
     deployment.platform_address = format!("127.0.0.1:{base}");
-    let address = |id: u32, nth: u32| format!("127.0.0.1:{}", u32::from(base) + id * 8 + nth);
+    let address = |id: u32, port_offset: u32| format!("127.0.0.1:{}", u32::from(base) + id * 8 + port_offset);
     let spec = |id: u32| EntrySpec {
         id,
         zone: deployment.zones[id as usize % deployment.zones.len()].clone(),
@@ -91,7 +91,7 @@
         control_address: address(id, 1),
         bulk_address: address(id, 2),
     };
-    deployment.entries = (1..=size).map(spec).collect();
+    deployment.entries = (1..=node_count).map(spec).collect();
     let platform = Platform::new(&deployment);
     let platform_task = tokio::spawn(platform.serve(net::listen(deployment.platform_address.parse()?)?));
     let dir = std::env::temp_dir().join(format!("barleyspool-slopes-{}-{base}", std::process::id()));
@@ -124,7 +124,7 @@
     let loopback = loopback_bytes() - loopback;
     let after: Duration = nodes.children.iter().map(|child| cpu_time(child.id())).sum();
     let percent_of_core =
-        (after - before).as_secs_f64() / MEASUREMENT_TIME.as_secs_f64() * 100.0 / f64::from(size);
+        (after - before).as_secs_f64() / MEASUREMENT_TIME.as_secs_f64() * 100.0 / f64::from(node_count);
     let resident: u64 = nodes
         .children
         .iter()
@@ -133,9 +133,9 @@
     platform_task.abort();
     Ok(NodeUsage {
         cpu_percent: percent_of_core,
-        memory_mb: resident as f64 / 1e6 / f64::from(size),
+        memory_mb: resident as f64 / 1e6 / f64::from(node_count),
         // Each byte on the loopback interface is sent by one node and received by another.
-        traffic_kb_per_s: 2.0 * loopback / 1000.0 / MEASUREMENT_TIME.as_secs_f64() / f64::from(size),
+        traffic_kb_per_s: 2.0 * loopback / 1000.0 / MEASUREMENT_TIME.as_secs_f64() / f64::from(node_count),
     })
 }
 
