--- a/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-bench.rs
@@ -52,7 +52,7 @@
 async fn main() -> Result<(), BoxError> {
     let mut deployment = Deployment::load(std::path::Path::new("settings/kirjakoda/deployment.json"))?;
     deployment.platform_address = format!("127.0.0.1:{BASE_PORT}");
-    deployment.first_target_port = BASE_PORT + 20;
+    deployment.base_target_port = BASE_PORT + 20;
     deployment.entries.truncate(1);
     deployment.entries[0].caller_address = format!("127.0.0.1:{}", BASE_PORT + 1);
     deployment.entries[0].control_address = format!("127.0.0.1:{}", BASE_PORT + 2);
--- a/crates/barleyspool_stands/src/deployment.rs
+++ b/crates/barleyspool_stands/src/deployment.rs
@@ -91,7 +91,7 @@
     pub platform_address: String,
     /// Base port of the targets. The port of a target is this port plus its id.
     #[serde(rename = "target_port")]
-    pub first_target_port: u16,
+    pub base_target_port: u16,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Services that targets provide.
@@ -188,7 +188,7 @@
             incarnation: Incarnation(1),
             address: format!(
                 "127.0.0.1:{}",
-                u32::from(self.first_target_port) + spec.first_id + index
+                u32::from(self.base_target_port) + spec.first_id + index
             ),
             zone: self.zones[index as usize % self.zones.len()].clone(),
             region: self.region.clone(),
--- a/crates/barleyspool_stands/src/fault_relay.rs
+++ b/crates/barleyspool_stands/src/fault_relay.rs
@@ -11,7 +11,7 @@
 /// Most bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Delay of each chunk in [`RelayMode::Delayed`].
-const DELAY: Duration = Duration::from_millis(150);
+const FORWARDING_DELAY: Duration = Duration::from_millis(150);
 
 /// How a relay handles traffic.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
@@ -91,7 +91,7 @@
                 Ok(0) | Err(_) => return,
                 Ok(len) => {
                     if *mode.borrow() == RelayMode::Delayed {
-                        tokio::time::sleep(DELAY).await;
+                        tokio::time::sleep(FORWARDING_DELAY).await;
                     }
                     if to.write_all(&chunk[..len]).await.is_err() {
                         return;
--- a/crates/barleyspool_stands/src/platform.rs
+++ b/crates/barleyspool_stands/src/platform.rs
@@ -137,7 +137,7 @@
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         match (&current.mode, &*stale) {
-            (ServiceMode::Stale, Some(old)) => old.clone(),
+            (ServiceMode::Stale, Some(stale)) => stale.clone(),
             _ => current,
         }
     }
--- a/crates/barleyspool_stands/src/target.rs
+++ b/crates/barleyspool_stands/src/target.rs
@@ -26,7 +26,7 @@
 /// Number of events into which an engine splits an answer.
 const EVENTS_PER_STREAM: usize = 8;
 /// Minimum interval between updates of the reported load.
-const REPORT_DELAY: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 type Body = BoxBody<Bytes, Infallible>;
 
@@ -296,11 +296,11 @@
     // ------------------------------------------------------------------------
     // Reports and orders
 
-    /// Current report. Its load may be out of date by up to [`REPORT_DELAY`].
+    /// Current report. Its load may be out of date by up to [`REPORT_INTERVAL`].
     fn report(&self) -> TargetReport {
         let mut state = self.state();
         let queued = state.queue.values().filter(|waiter| !waiter.is_closed()).count() as u32;
-        if state.reported_at.is_none_or(|at| at.elapsed() >= REPORT_DELAY) {
+        if state.reported_at.is_none_or(|at| at.elapsed() >= REPORT_INTERVAL) {
             state.reported = LoadReport {
                 running: state.running,
                 queued,
--- a/crates/barleyspool_stands/tests/support/mod.rs
+++ b/crates/barleyspool_stands/tests/support/mod.rs
@@ -52,7 +52,7 @@
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../settings/kirjakoda/deployment.json");
         let mut deployment = Deployment::load(&source).unwrap();
         deployment.platform_address = format!("127.0.0.1:{base}");
-        deployment.first_target_port = base + 30;
+        deployment.base_target_port = base + 30;
         reduce_for_tests(&mut deployment);
         deployment.entries = (1..=entries)
             .map(|id| entry_spec(&deployment, base, id))
