--- a/crates/barleyspool_stands/src/replay/generator.rs
+++ b/crates/barleyspool_stands/src/replay/generator.rs
@@ -23,7 +23,8 @@
     Steady(f64),
     /// A surge of three times capacity for ten seconds, as on a release day.
     Surge,
-    /// The service `rerank` becomes eight times slower after four seconds; the load on all other services is low.
+    /// A constant load of 0.3 times capacity; after four seconds the service `rerank` becomes eight times slower
+    /// while the other services are lightly loaded.
     SaturatedStage,
     /// All targets of an availability zone fail during a surge of 1.5 times capacity.
     ZoneLost,
--- a/crates/barleyspool_stands/src/replay/run.rs
+++ b/crates/barleyspool_stands/src/replay/run.rs
@@ -192,6 +192,7 @@
         self.execute(now, actions);
     }
 
+    /// Passes the arrival at index `at` of the trace to the router, and measures the time of its decision.
     fn submit_request(&mut self, now: Time, at: usize) {
         let arrival = self.trace.arrivals[at];
         let caller = CallerId(at as u64);
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -22,6 +22,7 @@
 /// The virtual time at which the measurements start; the value is arbitrary.
 const START: Time = Time::from_millis(1_000_000_000);
 
+/// Builds a configuration with four services, seven pipelines and this many organisations.
 fn test_document(organisations: usize) -> ConfigDocument {
     let services = ["encode", "retrieve", "rerank", "generate"];
     let service = |name: &&str| Service {
@@ -84,6 +85,7 @@
     }
 }
 
+/// Builds a fleet list with this many entry nodes and targets, in four zones and two regions.
 fn test_fleet(entries: usize, targets: usize) -> Fleet {
     let cells = entries.div_ceil(CELL_SIZE);
     let entry = |nth: usize| EntryNode {
