--- a/crates/barleyspool_core/src/concurrency_limit.rs
+++ b/crates/barleyspool_core/src/concurrency_limit.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sets the upper bound, which depends on the target's slots and on how many nodes share them.
+    /// Sets the upper bound of the limit, in calls, and reduces the limit to it. A bound below 1 counts as 1.
     pub fn set_ceiling(&mut self, ceiling: f64) {
         self.ceiling = ceiling.max(1.0);
         self.value = self.value.min(self.ceiling);
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -47,17 +47,19 @@
     NodeEvent {
         /// A configuration was accepted.
         Accepted = "accepted",
-        /// A majority of the cell has replied, or the startup timeout has expired.
+        /// A majority of the cell has replied and no peer has reported a newer configuration, or the startup
+        /// timeout has expired.
         CaughtUp = "caught_up",
         /// A planned stop was requested.
         Stop = "stop",
     }
 }
 
+/// The chart of the readiness of a node, [`NodePhase`].
 const CONFIGURATION_CHART: &str = include_str!("../../../../charts/configuration.json");
 
 /// Range of the random delay after which a starting node that has received no fleet list from a peer reads
-/// the platform itself.
+/// the platform itself: the configuration from the configuration service, and the fleet list.
 const FIRST_READ_DELAY: (Span, Span) = (Span::from_millis(100), Span::from_millis(1500));
 
 /// The control state of one entry node.
--- a/crates/barleyspool_core/src/crashes/answered_calls.rs
+++ b/crates/barleyspool_core/src/crashes/answered_calls.rs
@@ -4,7 +4,8 @@
 use crate::{Span, Time};
 use std::collections::HashSet;
 
-/// Minimum time for which an answered call is remembered.
+/// Time for which an answered call is remembered at least, unless more than [`MAX_CALLS`] calls are answered
+/// within it.
 const RETENTION: Span = Span::from_secs(60);
 /// Maximum number of calls in each of the two sets, 8 bytes each: 68 calls a second at one node, four times
 /// its share of 6,600 calls a second in front of 410 nodes. Above that rate the oldest calls are dropped
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -30,8 +30,9 @@
 /// Minimum retention of a record after its last crash.
 const MIN_RETENTION: Span = Span::from_secs(600);
 /// Two reports of a crash of the same incarnation are about one crash if they are this close, which covers
-/// clock differences between nodes and network latency. A target restarts within seconds, at times with the
-/// same [`IncarnationId`].
+/// network latency: an update carries the age of a crash when it is sent, and the receiver subtracts the age
+/// from its own time, so the clocks of two nodes are never compared. A target restarts within seconds, at
+/// times with the same [`IncarnationId`].
 const SAME_CRASH: Span = Span::from_secs(1);
 /// Maximum number of calls in the table, some 200 bytes each.
 const MAX_RECORDS: usize = 4096;
@@ -222,8 +223,8 @@
         self.crashes.last().map_or(Time(0), |crash| crash.at)
     }
 
-    /// Number of crashes that count together. A crash does not count towards a later one that is too far
-    /// apart from it.
+    /// Number of crashes that count together, up to the latest. If the time between a crash and the one
+    /// before it is [`retention_after`] the crashes counted until then or longer, the count starts again at 1.
     fn counted(&self) -> usize {
         let mut counted = 0;
         let mut last = Time(0);
@@ -255,8 +256,8 @@
     }
 }
 
-/// How long `crashes` crashes count together with the next one: as long as the call would be blocked after
-/// that one.
+/// How long after the last of `crashes` crashes the next one still counts together with them: as long as the
+/// call would be blocked after that next crash, and at least [`MIN_RETENTION`].
 fn retention_after(crashes: usize) -> Span {
     let next = (crashes + 1).checked_sub(BLOCKED_FROM);
     next.map_or(MIN_RETENTION, |more| block_time(more).max(MIN_RETENTION))
--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -4,8 +4,8 @@
 //! Each key has one home node in its cell, found by rendezvous hashing. A node accepts an unrepeatable
 //! key only as its home node, and only while both of these hold:
 //!
-//! - Enough other nodes of its cell to form a majority with it have recently voted that they are at exactly
-//!   its epoch and know no newer incarnation of it.
+//! - More than half of the other nodes of its cell have recently voted that they are at exactly its epoch and
+//!   know no newer incarnation of it. Its own vote does not count.
 //! - The takeover wait is over, so every key that an earlier home node may have accepted is past its
 //!   deadline.
 //!
@@ -94,7 +94,8 @@
     /// This node is the home node, but the takeover wait goes on for this time.
     #[serde(rename = "Settling")]
     TakeoverWait(Span),
-    /// This node is the home node, but has no valid votes of a majority.
+    /// This node is the home node, but has no valid votes of a majority, or the takeover wait has not begun
+    /// for any era since which it has been the home node.
     Unconfirmed,
 }
 
--- a/crates/barleyspool_core/src/lib.rs
+++ b/crates/barleyspool_core/src/lib.rs
@@ -1,9 +1,13 @@
 //! The decision logic of barleyspool, without a clock, sockets or threads.
 //!
-//! The daemons are thin I/O shells around two state machines of this crate: [`Router`], which runs requests
-//! through their pipelines, and [`Control`], which tracks the configuration in force, the fleet and the peers.
-//! Both are stepped with the current time and an event and return actions. Tests and replays step them in
-//! the same way.
+//! The daemons are thin I/O shells around state machines of this crate, among them [`Router`], which runs
+//! requests through their pipelines, [`Control`], which tracks the configuration in force, the fleet list and
+//! the peers, and [`Membership`], the table of nodes that probe each other and pass on what they learn about
+//! each other, calls and targets. [`Control`] and [`Membership`] do not use each other: the first knows its
+//! peers from the fleet list, the second from messages between nodes. All are stepped with the current time
+//! and an event and return actions. Tests and replays step them in the same way.
+//!
+//! Where a name in a message or file differs from the Rust name, a `serde` attribute keeps the outer name.
 //!
 //! Good entry points are [`Router::step`] for the life cycle of a request, [`Lease`] for why an unrepeatable
 //! request runs at most once, and [`Config::from_document`] for what a configuration consists of.
--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -2,7 +2,8 @@
 //!
 //! Updates that are piggybacked on probes reach a large fleet within seconds, which is enough when a single
 //! node joins or leaves. When all nodes start at the same moment it is not: a node that knows only a few
-//! others believes that it owns pools which other nodes own too. So a node that has just started sends
+//! others believes that it owns pools (the targets of a stage, whose calls one owner node makes) which other
+//! nodes own too. So a node that has just started sends
 //! `Join` requests repeatedly, at first to the seeds and then to any node, with short digests of what it
 //! knows; the receiver replies with what is missing. Each reply is limited in size, so that no seed has to
 //! send everything to everyone (docs/DESIGN.md, "Members").
@@ -44,10 +45,10 @@
 /// same moment.
 const MIN_CONVERGENCE_TIME: Span = Span::from_millis(300);
 /// The time after its start at which a table counts as converged in any case: it is better to begin
-/// while some nodes are still unknown than to wait. In a fleet of 295 whose pools waited until all nodes
-/// were known, a third as many pieces ran in the first two seconds after a start of all nodes. Without
-/// waiting 50 nodes own nine shards for half a second, and nine of ten calls meet a full target, which
-/// costs 2 ms each.
+/// while some nodes are still unknown than to wait longer. If the pools of a fleet of 295 wait until all nodes
+/// are known, only a third as many pieces run in the first two seconds after a start of all nodes. Not
+/// waiting at all costs something too: 50 nodes then own nine shards (parts of pools that should have one
+/// owner each) for half a second, and nine of ten calls meet a full target, which costs 2 ms each.
 const MAX_CONVERGENCE_TIME: Span = Span::from_millis(600);
 /// A node that has received no reply by this time after its start assumes that it is alone.
 const ALONE_AFTER: Span = Span::from_millis(600);
@@ -77,8 +78,10 @@
 }
 
 impl Membership {
-    /// Whether this node most likely knows all nodes. Until then it should not act as the only owner of
-    /// anything.
+    /// Whether this node acts as if it knew all nodes: because the latest replies contained nothing new,
+    /// because it seems to be alone, or because it has waited long enough even if some nodes are still
+    /// unknown.
+    /// Until then it should not act as the only owner of anything.
     pub fn converged(&self, now: Time) -> bool {
         let Some(started) = self.catch_up.started else {
             return false;
--- a/crates/barleyspool_core/src/membership/crash_updates.rs
+++ b/crates/barleyspool_core/src/membership/crash_updates.rs
@@ -12,8 +12,8 @@
 use crate::{CallFingerprint, CrashKnowledge, CrashTable, CrashUpdate, IncarnationId, Time, rendezvous};
 use std::collections::HashMap;
 
-/// Number of nodes in different zones that collect all reports about a call. A zone may be lost, and
-/// another datagram, without a report being missed.
+/// Number of nodes in different zones that collect all reports about a call. Even if the zone of one of them
+/// is lost, and the datagram to a second one as well, the third receives the report.
 const COLLECTORS: usize = 3;
 /// Number of nodes that are notified at once by the node that confirms that a call crashes targets.
 const NOTIFIED_FIRST: usize = 16;
@@ -21,7 +21,8 @@
 /// simulation of 89 and 410 nodes that lose 3 of 100 datagrams this reaches 98 of 100 nodes, and the rest
 /// receive it with the next messages that are sent anyway.
 const NOTIFIED_NEXT: usize = 4;
-/// Maximum number of calls in a message, 30 to 61 bytes each; the whole message fits into a datagram that
+/// Maximum number of calls in a message with the full number of updates of nodes, 30 to 61 bytes each; a
+/// message with fewer of those updates holds more calls. The whole message fits into a datagram that
 /// no network has to fragment. A node receives some eight messages a second, so it learns of 24 calls a
 /// second.
 const MAX_UPDATES: usize = 3;
@@ -70,8 +71,9 @@
         }
     }
 
-    /// Returns the updates that go with a message that has space for `spare` more updates of nodes, which
-    /// are larger.
+    /// Returns the crash updates that go with a message, [`MAX_UPDATES`] at most and one more for each of the
+    /// `spare` updates of nodes by which the message is below its maximum. An update of a node is the larger
+    /// of the two, so a crash update fits in its place.
     pub(super) fn take_crash_updates(&mut self, now: Time, spare: usize) -> Vec<CrashUpdate> {
         let Crashes { table, queue } = &mut self.crashes;
         let confirmed = |fingerprint| {
--- a/crates/barleyspool_core/src/membership/member.rs
+++ b/crates/barleyspool_core/src/membership/member.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The health of a node. The order matters: of two updates with the same incarnation and facts version, the
-/// greater health wins.
+/// greater health wins, except that an update from the node itself wins with a lower one too.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberHealth {
     /// Responds to probes.
@@ -23,7 +23,7 @@
 pub enum Evidence {
     /// A message or an ack from the node itself.
     Answer,
-    /// The node did not respond to this one, or did not refute a suspicion in time.
+    /// The node did not respond to the node that holds this table, or did not refute a suspicion in time.
     Silence,
     /// An update that another node passed on.
     Gossip,
@@ -48,7 +48,8 @@
     pub link_mbps: u32,
 }
 
-/// How far a node has read the source.
+/// How far a node has read the source: the platform, from which nodes read the configuration, the list of
+/// targets and the evacuated zones.
 ///
 /// Each node sends only its own state, with every message. If it were gossiped, every configuration would
 /// cause an update about every node, and these would delay updates about deaths and planned stops: with ten
--- a/crates/barleyspool_core/src/membership/message.rs
+++ b/crates/barleyspool_core/src/membership/message.rs
@@ -75,7 +75,7 @@
     pub kind: MessageKind,
     /// The source state of the sender.
     pub source: SourceState,
-    /// Updates about nodes, with that of the sender itself first.
+    /// Updates about nodes, with that of the sender itself first. Empty in an `Announce`.
     pub updates: Vec<MemberUpdate>,
     /// Calls that crash targets. Omitted when empty, which it nearly always is: a node that reads the
     /// source announces its state to its whole zone, where one more byte in each message costs 60 bytes a
--- a/crates/barleyspool_core/src/membership/probes.rs
+++ b/crates/barleyspool_core/src/membership/probes.rs
@@ -13,8 +13,7 @@
 
 /// Factor on the probe interval while more updates of health are queued than one message takes.
 ///
-/// When half of a fleet of 86 dies at once, the last of the other nodes has received every death after 4 s;
-/// with the full interval and eight updates per message it took 7 to 8 s.
+/// When half of a fleet of 86 dies at once, the last of the other nodes has received every death after 4 s.
 const BACKLOG_INTERVAL_FACTOR: f64 = 0.5;
 
 impl Membership {
--- a/crates/barleyspool_core/src/membership/reachability.rs
+++ b/crates/barleyspool_core/src/membership/reachability.rs
@@ -4,7 +4,8 @@
 use super::{Member, MemberHealth};
 use crate::{Reachability, Span, Time};
 
-/// How long a node runs with a converged table before it assumes that it knows all nodes.
+/// Age, counted from the start of this node, from which it assumes that it knows all nodes, provided that its
+/// table has converged.
 const STEADY_AFTER: Span = Span::from_secs(5);
 /// How long a dead node counts as part of the fleet for nodes that reach more than half of it: the node may
 /// be alive on the other side of a network partition.
--- a/crates/barleyspool_core/src/membership/receive.rs
+++ b/crates/barleyspool_core/src/membership/receive.rs
@@ -16,7 +16,9 @@
         if let Some(member) = self.members.get_mut(from) {
             member.heard_directly = true;
             member.source = message.source;
-            // Accepted from known members only, since these reports block calls.
+            // Accepted from known members only, since these reports block calls. A sender that was unknown
+            // is known by now if the message holds an update about it; one whose message holds none, as an
+            // `Announce` does, stays unknown.
             self.apply_crashes(now, &message.crashes);
             match &message.kind {
                 MessageKind::Limits { updates } => self.apply_limits(now, updates),
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Reports the source state of another node if it is newer than that of this node, or if that node
-    /// reads the source.
+    /// Reports the source state of another node if its configuration or list of targets is newer than that of
+    /// this node, or if that node reads the source. Newer evacuations alone are not reported.
     fn report_source(&mut self, source: SourceState, reads: bool) {
         let newer = source.version > self.source.version || source.list > self.source.list;
         if newer || reads {
@@ -154,9 +156,9 @@
         let is_later = update.incarnation > self.me.incarnation;
         if (is_unhealthy && update.incarnation >= self.me.incarnation) || is_later {
             self.me.incarnation = Incarnation(update.incarnation.0 + 1);
-            // The suspicion times out at every node that received it. When only probes carried the
-            // refutation, a pause of 0.7 s was taken for a death for 10 node-seconds in a fleet of 86
-            // nodes; sent at once, for 2.9.
+            // The suspicion times out at every node that received it, so the refutation is sent at once and
+            // not only with the next probes. In a fleet of 86 nodes, the time for which nodes take one that
+            // paused for 0.7 s for dead, added up over the nodes, is then 2.9 s instead of 10 s.
             self.send_own_update();
         }
     }
@@ -209,10 +211,10 @@
 /// Whether an update that reports `member` dead is enough for this node to mark it dead rather than
 /// suspect.
 ///
-/// A node that was cut off takes all other nodes for dead and reports so on its return. When every node
-/// accepted such reports, 848 of 7,140 pairs of other nodes took each other for dead two seconds after one
-/// node of 86 returned from a partition of 8 s; now 197 do. So the first report of a death only starts the
-/// suspicion timeout, unless this node has never received anything from the member directly.
+/// A node that was cut off takes all other nodes for dead and reports so on its return. If every node
+/// accepted such reports, 848 of 7,140 pairs of other nodes would take each other for dead two seconds after
+/// one node of 86 returned from a partition of 8 s, instead of 197. So the first report of a death only
+/// starts the suspicion timeout, unless this node has never received anything from the member directly.
 fn accepts_reported_death(member: &Member) -> bool {
     member.health == MemberHealth::Suspect || !member.heard_directly
 }
--- a/crates/barleyspool_core/src/membership/settings.rs
+++ b/crates/barleyspool_core/src/membership/settings.rs
@@ -10,7 +10,8 @@
     pub facts: MemberFacts,
     /// The incarnation of this node.
     pub incarnation: Incarnation,
-    /// Addresses to contact while no other node is known; some may be stale or down.
+    /// Addresses to contact while no other node is known; some may be stale or down. Those that are unknown
+    /// are also tried later, one a second together with dead nodes, in case they are reachable again.
     pub seeds: Vec<String>,
     /// The time between two probes.
     pub probe_interval: Span,
@@ -24,7 +25,8 @@
     pub dead_retention: Span,
     /// How many other nodes are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Maximum number of updates in a message besides that of the sender: some 85 bytes each, so that a
+    /// Maximum number of updates in a message besides that of the sender, and besides that of the receiver,
+    /// which is added if the receiver is recorded as not alive: some 85 bytes each, so that a
     /// message fits into a datagram of 1,472 bytes, which no network has to fragment.
     pub max_updates: usize,
     /// Seed of the random number generator.
--- a/crates/barleyspool_core/src/membership/table.rs
+++ b/crates/barleyspool_core/src/membership/table.rs
@@ -117,7 +117,10 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When the table next needs a [`MemberEvent::Tick`].
+    /// When the table next needs a [`MemberEvent::Tick`] for its probes: at the start of the next probe
+    /// interval, or when a probe times out. Nothing else that falls due by time (`Join` requests,
+    /// reconnection, suspicion timeouts) is considered. Every step handles it, so it waits for the next tick
+    /// or other event, which is no later than the next probe interval.
     pub fn next_wake(&self) -> Time {
         let probe = self
             .probes
--- a/crates/barleyspool_core/src/peer_message.rs
+++ b/crates/barleyspool_core/src/peer_message.rs
@@ -35,7 +35,8 @@
     pub stopping: bool,
     /// Where its configuration and fleet list can be fetched: IP address and port.
     pub bulk: String,
-    /// Targets that it knows to be leaving and that the fleet list does not show as leaving yet.
+    /// Targets that it has learned to be leaving, each until the fleet list drops the target or has a newer
+    /// incarnation of it.
     pub leaving: Vec<LeavingTarget>,
 }
 
--- a/crates/barleyspool_core/src/plan.rs
+++ b/crates/barleyspool_core/src/plan.rs
@@ -56,7 +56,7 @@
     pub until: Time,
 }
 
-/// Another entry node.
+/// An entry node of this node's region, which may be this node itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlanPeer {
     /// Its number.
@@ -67,7 +67,8 @@
     pub zone: String,
     /// Whether it is leaving, according to its own messages or the fleet list.
     pub state: ListState,
-    /// Whether it replied recently, or is a node from which no replies are expected.
+    /// False if it has sent messages before, but none recently. True for this node itself, and for a listed
+    /// node that has sent nothing yet.
     pub reachable: bool,
 }
 
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -13,8 +13,9 @@
 /// How long a limit is remembered that no answer has repeated. Any node that sends to the target receives
 /// it again.
 const LIMIT_RETENTION: Span = Span::from_secs(600);
-/// Reports of two nodes that are this close count as simultaneous, since their ages include the latency
-/// between nodes. A limit then takes precedence over its removal.
+/// Reports of two nodes that are this close count as simultaneous. An update carries the age of a report when
+/// it is sent, so at the receiver the report seems younger by the latency between the nodes; no clocks are
+/// compared. A limit then takes precedence over its removal.
 const CLOCK_TOLERANCE: Span = Span::from_millis(100);
 /// The age after which an unchanged report is sent to other nodes again.
 const NOTIFY_INTERVAL: Span = Span::from_secs(2);
@@ -60,7 +61,9 @@
     /// to be notified.
     ///
     /// An answer without a limit removes a known limit only if its call was sent after the limit was known:
-    /// calls that were already in flight when the target reported the limit may be answered without one.
+    /// calls that were already in flight when the target reported the limit may be answered without one. The
+    /// membership table passes `now` as `sent`, so there every report without a limit removes a known one: the
+    /// event with the report is meant to state no limit only once there is none.
     pub fn apply_report(
         &mut self,
         now: Time,
--- a/crates/barleyspool_core/src/rate_limits/ownership.rs
+++ b/crates/barleyspool_core/src/rate_limits/ownership.rs
@@ -19,7 +19,8 @@
 pub enum RateRole {
     /// The owner of the targets.
     Owner,
-    /// A fallback owner, for nodes that do not reach the owner.
+    /// A fallback owner: a node that does not own the targets and gets the requests of nodes that do not
+    /// reach the owner, or a new owner in its first 2 s.
     #[default]
     Fallback,
 }
@@ -49,9 +50,10 @@
 /// Whether a node owns some targets.
 ///
 /// While a change of owner spreads, and while an owner is frozen, dead or cut off, some nodes send their
-/// requests to another node than the owner. Each of them contributes its own fraction of the rate, one part
-/// in as many as there are nodes. So all fallback owners together grant no more than the fraction of the
-/// fleet that does not reach the owner, and the whole rate if no node reaches it.
+/// requests to another node than the owner. Each node that sends requests to a fallback owner adds to the
+/// fraction of the rate that the fallback owner may grant: one part in as many as there are nodes. So all
+/// fallback owners together grant no more than the fraction of the fleet that does not reach the owner, and
+/// the whole rate if no node reaches it.
 #[derive(Clone, Debug, Default)]
 pub struct Ownership {
     /// Since when this node has owned the targets; `None` while it does not.
--- a/crates/barleyspool_core/src/rate_limits/target_bucket.rs
+++ b/crates/barleyspool_core/src/rate_limits/target_bucket.rs
@@ -18,7 +18,9 @@
 }
 
 impl TargetBucket {
-    /// Sets the share of the node with key `me` of the rate of the target with this hash.
+    /// Resets the bucket if the role of `share`, or the time since which the node has it, is not that for
+    /// which the bucket was created. `me` is the key of the node and `target` the hash of the target. The
+    /// fraction of `share` is not used here: [`Self::wait`] and [`Self::take`] get it with each call.
     ///
     /// In a new role the bucket starts with nothing to grant, since the previous owner may have granted the
     /// whole rate a moment ago. Nodes that become fallback owners at the same moment start at different
--- a/crates/barleyspool_core/src/traffic.rs
+++ b/crates/barleyspool_core/src/traffic.rs
@@ -159,7 +159,9 @@
         /// The target's IP address and port.
         address: String,
     },
-    /// Notify the other lanes that a target requested a cooldown from this node.
+    /// Notify the other lanes (traffic threads) of this node that a target requested a cooldown from this
+    /// node. The control state gets it as [`crate::ControlEvent::CooldownRequested`], and publishes a plan
+    /// with the cooldown to all lanes.
     #[serde(rename = "NotifyRest")]
     NotifyCooldown(TargetCooldown),
     /// Notify the control thread that a target is leaving.
