--- a/crates/barleyspool_core/src/forward/call_head.rs
+++ b/crates/barleyspool_core/src/forward/call_head.rs
@@ -30,7 +30,8 @@
     pub tokens: (u32, u32),
     /// The number of pieces of each stage; a stage with zero pieces is skipped.
     pub pieces: Vec<u32>,
-    /// The key that the pieces of stages without predecessors are computed from.
+    /// The key that is sent with the pieces of stages without predecessors, and from which the targets
+    /// compute them: these pieces read no results.
     pub piece_key: String,
     /// The id of the last event that the caller received of a stream it resumes; `None` for a new stream.
     pub resume_after: Option<u64>,
--- a/crates/barleyspool_core/src/forward/feed_cursor.rs
+++ b/crates/barleyspool_core/src/forward/feed_cursor.rs
@@ -2,7 +2,9 @@
 
 use crate::{Revision, Span};
 
-/// Maximum delay before the first retry after an error.
+/// Maximum delay before the first retry after an error; the smallest of the maximum delays that
+/// [`FeedCursor::record_failure`] returns. Each further failure doubles it, up to [`MAX_RETRY_DELAY`]. No
+/// random delay is drawn here: the caller chooses a delay up to this maximum.
 const MIN_RETRY_DELAY: Span = Span::from_millis(60);
 /// Limit of the exponential backoff. The platform charges for each call, including failed ones, and updates
 /// also arrive from other nodes meanwhile.
--- a/crates/barleyspool_core/src/forward/forwarder.rs
+++ b/crates/barleyspool_core/src/forward/forwarder.rs
@@ -31,7 +31,8 @@
 const FIRST_OUTPUT_WEIGHT: f64 = 0.15;
 /// Minimum number of tokens of a sample of the prefill rate; shorter ones are too inaccurate.
 const MIN_SAMPLE_TOKENS: f64 = 500.0;
-/// How long a target that refused a call because it is full receives no calls.
+/// How long a target that refused a call receives no calls. Every refusal counts as one because the target
+/// is full, unless the address belongs to another target now or inputs are gone.
 const FULL_TARGET_PAUSE: Span = Span::from_millis(40);
 /// Maximum fraction of a service's targets that may be in quarantine. Beyond it, this node's own view is more
 /// likely to be wrong than the targets.
@@ -74,7 +75,8 @@
     expected: f64,
     /// Prompt tokens of this call that the target has to prefill.
     prefill_tokens: f64,
-    /// Tokens to prefill at the target when the call was sent, including its own.
+    /// Tokens to prefill at the target when the call was sent, including its own. Zero if the target is not
+    /// an engine, and for an engine with nothing to prefill.
     queue_tokens: f64,
     first_output: bool,
 }
@@ -213,7 +215,8 @@
         self.targets.values()
     }
 
-    /// The target with this id, if this node may send to it at `now`.
+    /// The target with this id, if this node may send to it at `now`: [`TargetRecord::usable`] holds, and
+    /// the target is not in a cooldown. Its rate limit is not checked.
     pub fn usable(&mut self, now: Time, id: &str) -> Option<TargetChoice> {
         let key = *self.by_id.get(id)?;
         let record = self.targets.get_mut(key)?;
@@ -342,6 +345,8 @@
         }
         match end {
             SendEnd::Answered { success } => {
+                // The target is not an engine, or is one that had nothing to prefill. Other engines are
+                // measured at their first output, if they had at least `MIN_SAMPLE_TOKENS` to prefill.
                 if send.queue_tokens == 0.0 {
                     record.record_answer(now, took / send.expected.max(1000.0), !success, &self.chart);
                     if success {
--- a/crates/barleyspool_core/src/forward/mod.rs
+++ b/crates/barleyspool_core/src/forward/mod.rs
@@ -5,6 +5,12 @@
 //! computed them and pass on only handles. As everywhere in this crate, the types do no I/O and are driven
 //! with the time and events: [`Forwarder`] chooses targets and limits retries, [`StageProgress`] tracks the
 //! graph of stages, and [`PieceQueue`] batches pieces of many requests into calls to a stage pool.
+//!
+//! A piece is a unit of the work of one stage for one request, which a target of the pool computes by itself
+//! or together with others in a batch call. It reads the results of earlier stages or, if its stage has no
+//! predecessors, is computed from a key that is sent with it. The result of a piece is the data that the
+//! target computed and keeps in its memory. A handle names a result; it starts with the address of the
+//! target that holds the result, followed by a slash (see [`handle_address`]).
 
 mod call_head;
 mod catalog;
--- a/crates/barleyspool_core/src/forward/piece_batching.rs
+++ b/crates/barleyspool_core/src/forward/piece_batching.rs
@@ -9,7 +9,9 @@
 
 /// A slow target gets a call again this long after its last measured one.
 const SLOW_RETRY_INTERVAL: Span = Span::from_millis(1500);
-/// Pieces of rank r are scheduled as if they were due r times this much later.
+/// Pieces of rank r are scheduled as if they were due r times this much later. For a target outside the zone
+/// in which the results of an order are read, the order is scheduled as if it were due this much later once
+/// more.
 const RANK_PENALTY: Span = Span::from_millis(150);
 /// An order that can no longer be done when it is due is scheduled as if it were due this much later.
 const LATE_PENALTY: Span = Span::from_secs(2);
@@ -145,6 +147,7 @@
     /// The scheduling key of an order; the lowest is scheduled first.
     fn urgency(&self, now: Time, order: &QueuedOrder) -> (Time, Time) {
         let rank = Span(RANK_PENALTY.0 * u64::from(order.order.rank));
+        // Late means here that the order cannot be done when it is due; it may still meet its deadline.
         let late = now + self.call_time(1) > order.order.due;
         let penalty = if late { LATE_PENALTY } else { Span::ZERO };
         (order.order.due + rank + penalty, order.submitted_at)
--- a/crates/barleyspool_core/src/forward/piece_order.rs
+++ b/crates/barleyspool_core/src/forward/piece_order.rs
@@ -1,4 +1,5 @@
-//! Orders of pieces, batch calls with pieces of several orders, and the outcomes of both.
+//! Orders of pieces, batch calls with pieces of several orders, and the outcomes of both. The module
+//! documentation of `forward` defines pieces, results and handles.
 
 use crate::{CallFingerprint, Span, Time};
 use serde::{Deserialize, Serialize};
@@ -22,7 +23,8 @@
     pub stage: u32,
     /// The number of pieces; their indexes start at 0.
     pub pieces: u32,
-    /// The key that pieces without inputs are computed from; empty for pieces with inputs.
+    /// The key that is sent with pieces without inputs, from which the target computes them; empty for
+    /// pieces with inputs.
     pub key: String,
     /// The handles of the results that each piece reads.
     pub inputs: Vec<String>,
--- a/crates/barleyspool_core/src/forward/piece_queue.rs
+++ b/crates/barleyspool_core/src/forward/piece_queue.rs
@@ -57,6 +57,7 @@
     pub(super) incarnation: TargetIncarnation,
     pub(super) items: Vec<BatchItem>,
     pub(super) started: Time,
+    /// The expected duration: `call_time` of its pieces times the slowness of the target.
     pub(super) expected: Span,
     reserved: u64,
     /// The size of the results that the target was known to hold before the call, in bytes.
@@ -76,7 +77,8 @@
     /// The times at which pieces were computed within the last `RATE_WINDOW`.
     pub(super) completions: VecDeque<Time>,
     pub(super) releasable: Vec<String>,
-    /// The ratio of the duration of calls to that in the specification, averaged over all targets.
+    /// The ratio of the duration of calls to that in the specification, averaged over all targets. It is
+    /// part of `call_time`; the slowness of a target is relative to that.
     pub(super) slowdown: f64,
 }
 
@@ -106,7 +108,8 @@
     /// Queues an order, or refuses it when it cannot be completed by its deadline.
     ///
     /// # Errors
-    /// The time after which the pool should have capacity for the same order.
+    /// The time after which to submit the order again: half the expected time until its pieces would be
+    /// computed, and at most two seconds.
     pub fn submit(&mut self, now: Time, order: PieceOrder) -> Result<OrderKey, Span> {
         let wait = self.expected_wait(now, u64::from(order.pieces));
         if now + wait > order.deadline {
--- a/crates/barleyspool_core/src/forward/piece_timeouts.rs
+++ b/crates/barleyspool_core/src/forward/piece_timeouts.rs
@@ -60,6 +60,8 @@
         [overdue, retry, rate, poll].into_iter().flatten().min()
     }
 
+    /// Ends the orders with waiting pieces that can no longer meet their deadlines. Late means here that a
+    /// call with a single piece would end after the deadline, whatever the due time of the order.
     pub(super) fn fail_late_orders(&mut self, now: Time) {
         let least = self.call_time(1);
         let late: Vec<OrderKey> = self
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -20,8 +20,9 @@
 const SMOOTHING: f64 = 0.3;
 /// The number of consecutive overdue calls after which a target counts as slow.
 const SLOW_STREAK: u32 = 2;
-/// A target this many times slower than the fastest is used only while all others are busy and many
-/// pieces wait.
+/// A target more than this many times as slow as the fastest usable one gets a call only if it was last
+/// measured so long ago that it is due for another try, or if more pieces wait than one full call to every
+/// target of the pool holds.
 pub(super) const MAX_SLOWNESS_RATIO: f64 = 1.8;
 
 /// A target of a pool as its owner sees it.
@@ -35,7 +36,10 @@
     pub owned: bool,
     /// Calls of this node that the target is working on.
     pub in_flight: u32,
-    /// The time of its calls relative to the expected one.
+    /// The moving average of the duration of its calls, each divided by [`super::PieceQueue::call_time`]
+    /// for its number of pieces; 1 is as fast as expected. The slowdown of the queue, which is part of
+    /// `call_time`, describes all targets of the pool together; the slowness describes this one beside
+    /// them.
     pub slowness: f64,
     /// The size in bytes of its known results, including space reserved for running calls.
     pub stored_bytes: u64,
@@ -121,12 +125,14 @@
         }
     }
 
-    /// Whether it may get calls now.
+    /// Whether it may get calls now: this node owns it, its entry accepts work, it is neither excluded nor
+    /// in cooldown, and its rate limit allows a call. Free slots are not checked.
     pub fn usable(&self, now: Time) -> bool {
         self.is_available(now) && self.capacity_wait(now) == Span::ZERO
     }
 
-    /// Whether it may get calls now, apart from its rate limit.
+    /// Whether it may get calls now, apart from its rate limit: all checks of [`Self::usable`] except
+    /// that one.
     pub(super) fn is_available(&self, now: Time) -> bool {
         self.owned && self.entry.accepts_work() && now >= self.excluded_until.max(self.cooldown_until)
     }
@@ -155,7 +161,8 @@
             .saturating_sub(unaccounted_bytes)
     }
 
-    /// Records a successful call; `relative` is its time divided by the expected one.
+    /// Records a successful call; `relative` is its duration divided by the `call_time` of its pieces,
+    /// which includes the slowdown of the pool but not the slowness of this target.
     pub fn record_answer(&mut self, now: Time, relative: f64) {
         self.slowness += SMOOTHING * (relative - self.slowness);
         self.measured_at = now;
@@ -169,10 +176,9 @@
     /// be in use.
     ///
     /// Sizes of results are approximate, so that a pool with little free capacity rejects one result in
-    /// a hundred. When most of a target's capacity was then taken as used, calls carried 50 pieces where
-    /// 70 fit and 1,000 waited. Counting only the missing bytes improved the value of the completed work
-    /// by 0.017 (standard error 0.006, ten paired days of the shifted deployment,
-    /// docs/design/shifted.md).
+    /// a hundred. If most of a target's capacity were then taken as used, its calls would carry fewer
+    /// pieces than fit while others wait: 50 where 70 fit, with 1,000 waiting, in the shifted deployment
+    /// (docs/design/shifted.md).
     pub fn record_no_capacity(&mut self, now: Time, capacity: u64, known: u64, bytes: u64) {
         let explained = (capacity + 1).saturating_sub(known + bytes);
         self.unaccounted_bytes = explained;
--- a/crates/barleyspool_core/src/forward/prefix_tracker.rs
+++ b/crates/barleyspool_core/src/forward/prefix_tracker.rs
@@ -5,7 +5,8 @@
 
 /// A prefix that was not sent for this long counts as evicted.
 const PREFIX_TTL: Span = Span::from_secs(30);
-/// The number of entries from which expired ones are dropped.
+/// The number of entries from which expired ones are dropped whenever another is recorded. The table still
+/// grows beyond it if more entries than this have not expired.
 const MAX_PREFIXES: usize = 4096;
 
 #[derive(Copy, Clone, Debug)]
--- a/crates/barleyspool_core/src/forward/rate_limited_targets.rs
+++ b/crates/barleyspool_core/src/forward/rate_limited_targets.rs
@@ -47,8 +47,9 @@
         limits.peek().is_some() && limits.all(|(_, rate_limit)| rate_limit.is_some())
     }
 
-    /// The targets of a service that accept work, even if not at this moment, and the rate limit of
-    /// each.
+    /// The targets of a service whose list entries accept work, and the rate limit of each. They include
+    /// targets that can get no call now because they are in quarantine or cooldown, are full, or have
+    /// used up their rate limit.
     pub(super) fn working_rate_limits(
         &self,
         now: Time,
@@ -93,7 +94,8 @@
         self.targets.values().filter(stated).count()
     }
 
-    /// The limit in calls per second that the target with this id stated.
+    /// The limit in calls per second that the target with this id stated, raised to the lowest rate that
+    /// is applied if it is below that; `None` if it states none.
     pub fn limit(&self, id: &str) -> Option<f64> {
         let record = self.targets.get(*self.by_id.get(id)?)?;
         self.limits.per_s(record.incarnation_id)
@@ -134,8 +136,9 @@
         })
     }
 
-    /// Decides whether a call of the node `asker` may go to a target of a service without engines within
-    /// `max_wait`, and counts the call if so.
+    /// Decides whether a call for which the node `asker` chose a target itself may go to it within
+    /// `max_wait`, and counts the call if so. This is meant for services without engines, which is not
+    /// checked here: only the owner of rate-limited engines chooses among them ([`Forwarder::place`]).
     pub fn grant(&mut self, now: Time, id: &str, asker: u64, max_wait: Span) -> Grant {
         let Some(key) = self.by_id.get(id).copied() else {
             return Grant::NoCapacity(max_wait);
@@ -167,7 +170,9 @@
         record.bucket.wait(now, rate_limit.per_s, share)
     }
 
-    /// The key of the shard to which a target belongs, for services without pools.
+    /// The key of the shard to which a target belongs, in the division that `ServiceTargets::engines`
+    /// describes. It is computed for every service, but is not used for stage pools, which are divided by
+    /// `ServiceTargets::pool`.
     fn shard_of(&self, key: TargetKey) -> u128 {
         let record = &self.targets[key];
         let service = &record.entry.service;
@@ -178,7 +183,8 @@
         shard_key(service, Shard::number_of(record.hash, of))
     }
 
-    /// The key of the shard that owns the target with this id; `None` if it is not listed.
+    /// The key of the shard to which the target with this id belongs, and which determines the node that
+    /// grants its rate; `None` if the target is not listed.
     pub fn shard_of_target(&self, id: &str) -> Option<u128> {
         Some(self.shard_of(*self.by_id.get(id)?))
     }
@@ -196,7 +202,7 @@
     }
 }
 
-/// The change in what is known about a target's limit after an answer.
+/// What is known about a target's limit after an answer, for the notification of other nodes.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct ReportedLimit {
     /// The incarnation of the target.
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -1,4 +1,7 @@
-//! Tracks the results that the targets of a pool hold until they are released.
+//! Tracks the results that the targets of a pool hold.
+//!
+//! A result is released when this node no longer needs it, and freed when its holder has dropped it at the
+//! request of this node. Its memory counts as used until it is freed or expires.
 
 use super::PieceQueue;
 use super::wait_estimate::RATE_WINDOW;
@@ -34,9 +37,10 @@
         self.releasable.extend(handles);
     }
 
-    /// Takes the results to be freed now: address and id of their holder, and their handles. A rate-limited
-    /// holder gets a request to free results only when its rate allows one and no piece waits; otherwise
-    /// its results expire.
+    /// Takes the results to be freed now: address and id of their holder, and their handles. A holder that
+    /// states a limit itself gets a request to free results only when its rate allows one and no piece
+    /// waits; the rate limit of a cold start does not matter here. If a holder gets no request now, its
+    /// results expire.
     pub fn take_releasable(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
         let has_waiting = self.waiting() > 0;
         let mut by_holder: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
--- a/crates/barleyspool_core/src/forward/send_end.rs
+++ b/crates/barleyspool_core/src/forward/send_end.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The reason to count if the call is retried.
+    /// The reason to count if the call is retried. A complete answer that is a failure counts as an
+    /// interruption, like one that broke off.
     pub const fn retry_reason(self) -> RetryReason {
         match self {
             Self::Answered { .. } | Self::BrokenOff => RetryReason::Interrupted,
--- a/crates/barleyspool_core/src/forward/service_spec.rs
+++ b/crates/barleyspool_core/src/forward/service_spec.rs
@@ -45,9 +45,11 @@
 const LINK_SHARING_FACTOR: u64 = 4;
 
 impl PoolSpec {
-    /// How long results of `bytes` are kept for a target that has received a call which needs them.
-    /// `None` if the bandwidth is unknown; then the target's first output shows that it has them.
+    /// The time that a target which has received a call gets to fetch results of `bytes` that the call
+    /// needs; the results are kept for it that long. `None` if the bandwidth is unknown; then the target's
+    /// first output shows that it has them.
     pub fn fetch_time(&self, bytes: u64) -> Option<Span> {
+        // Bits divided by megabits per second are microseconds, the unit of a span.
         let transfer_time = (bytes * 8).checked_div(self.link_mbps)?;
         Some(FETCH_OVERHEAD + Span(transfer_time * LINK_SHARING_FACTOR))
     }
--- a/crates/barleyspool_core/src/forward/source_role.rs
+++ b/crates/barleyspool_core/src/forward/source_role.rs
@@ -45,7 +45,8 @@
 /// How a node uses the source.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceRole {
-    /// Whether it reads the source for its zone.
+    /// Whether it is one of the readers of its zone. Another node may still read the source as a fallback;
+    /// [`super::SourceWatch::reads`] covers both.
     pub reads: bool,
     /// Whether it uses a short watch timeout.
     pub short_watch: bool,
--- a/crates/barleyspool_core/src/forward/source_watch.rs
+++ b/crates/barleyspool_core/src/forward/source_watch.rs
@@ -47,6 +47,9 @@
 }
 
 /// Tracks the role of this node and the announcements of others, to decide where it gets source data from.
+///
+/// It is not a watch in the sense of [`super::FeedStep::Watch`], which is a request that the source holds
+/// until there are changes or the watch times out.
 #[derive(Debug)]
 pub struct SourceWatch {
     role: SourceRole,
@@ -95,7 +98,8 @@
         self.role.reads
     }
 
-    /// Whether this node reads the source itself at `now`.
+    /// Whether this node reads the source itself at `now`: as a reader of its zone, or as a fallback because
+    /// no announcement has arrived in time.
     pub fn reads(&self, now: Time) -> bool {
         self.role.reads || now >= self.fallback_at
     }
@@ -111,7 +115,7 @@
     }
 
     /// Records an announcement of a node to which the source responds, or a response of the source to this
-    /// node.
+    /// node. Either postpones the time from which this node reads the source as a fallback.
     pub fn record_reader_answer(&mut self, now: Time) {
         let jitter = self.random.random_range(0..READER_TIMEOUT_JITTER.0);
         self.fallback_at = now + READER_TIMEOUT + Span(jitter);
--- a/crates/barleyspool_core/src/forward/stage_progress.rs
+++ b/crates/barleyspool_core/src/forward/stage_progress.rs
@@ -148,8 +148,8 @@
             .all(|state| matches!(state, StageState::Done(_)))
     }
 
-    /// The handles of the results that the call itself reads: those of the stages that no other stage
-    /// depends on.
+    /// The outputs of the graph of stages, which are the inputs of the call itself: the handles of the
+    /// results of the stages that no other stage depends on.
     pub fn outputs(&self) -> Vec<String> {
         (0..self.specs.len())
             .filter(|&stage| self.is_final(stage))
--- a/crates/barleyspool_core/src/forward/target_choice.rs
+++ b/crates/barleyspool_core/src/forward/target_choice.rs
@@ -58,6 +58,7 @@
                 usable.push(*key);
             }
         }
+        // So far the targets are usable apart from their rate limits; these are applied next.
         let capacity = self.retain_with_capacity(now, query, &mut usable);
         if usable.iter().any(|key| !query.avoid.contains(key)) {
             usable.retain(|key| !query.avoid.contains(key));
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Whether any target without a rate limit and outside a cooldown accepts work, even if not at this
-    /// moment.
+    /// Whether the list entry of any target without a rate limit and outside a cooldown accepts work. The
+    /// target may be in quarantine or full now.
     fn has_unlimited_target(&self, now: Time, query: &TargetQuery) -> bool {
         let in_cooldown = |record: &TargetRecord| !query.for_other_node && record.cooldown(now) > Span::ZERO;
         let placed_here = |hash| query.placing.is_none_or(|shard| shard.holds(hash));
@@ -213,7 +214,8 @@
         }
     }
 
-    /// The zone in which a call should be answered.
+    /// The zone whose targets are preferred for a call: the one that holds its inputs, or this node's own
+    /// zone if the query names none.
     fn zone<'a>(&'a self, query: &'a TargetQuery) -> &'a str {
         if query.zone.is_empty() {
             &self.settings.zone
--- a/crates/barleyspool_core/src/forward/target_entry.rs
+++ b/crates/barleyspool_core/src/forward/target_entry.rs
@@ -19,8 +19,9 @@
     pub appeared_at: Time,
     /// Until when it is cold according to its own report.
     pub warm_at: Time,
-    /// When it was first seen to restart under the same id; whatever the previous incarnation held is
-    /// lost. Zero if it never did.
+    /// When this node first saw the current incarnation after another one under the same id. Each
+    /// restart sets it anew, as whatever the previous incarnation held is lost. Zero if no restart was
+    /// seen.
     pub restarted_at: Time,
 }
 
--- a/crates/barleyspool_core/src/forward/target_history.rs
+++ b/crates/barleyspool_core/src/forward/target_history.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// How long the last report of a removed target is kept, so that an older report that arrives late is
-/// recognised: three heartbeats and the two seconds in which entries reappear add up to less than six
-/// seconds.
+/// recognised. Three heartbeats of a target, each of which rewrites its entry about a second after the last,
+/// and the two seconds in which entries reappear add up to less than six seconds.
 const LAST_REPORT_TTL: Span = Span::from_secs(10);
 
 /// How long a removed target is remembered, in case the source is restored from a backup that still
--- a/crates/barleyspool_core/src/forward/target_query.rs
+++ b/crates/barleyspool_core/src/forward/target_query.rs
@@ -18,7 +18,7 @@
     pub prefix_tokens: u32,
     /// The length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// The zone that holds the inputs; empty for this node's own zone.
+    /// The zone that holds the inputs, whose targets are preferred; empty for this node's own zone.
     pub zone: String,
     /// The size of the inputs in bytes.
     pub input_bytes: u64,
--- a/crates/barleyspool_core/src/forward/target_record.rs
+++ b/crates/barleyspool_core/src/forward/target_record.rs
@@ -48,7 +48,8 @@
     pub slowness: f64,
     /// The share of answers that were failures.
     pub failure_rate: f64,
-    /// Until when the target gets no calls since it reported that it is full.
+    /// Until when the target gets no calls since it refused one because it is full, or without another
+    /// known cause.
     pub full_until: Time,
     /// The end of the cooldown that the target requested from this node.
     pub cooldown_until: Time,
@@ -94,8 +95,9 @@
         self.cooldown_until.since(now)
     }
 
-    /// Whether the target may get a call now, apart from a cooldown. After its quarantine a target is on
-    /// trial and gets one call at a time.
+    /// Whether the target may get a call now: it is not in quarantine or leaving, its entry accepts work,
+    /// and it is not in the pause after a refusal (`full_until`). Neither its cooldown nor its rate limit is checked.
+    /// After its quarantine a target is on trial and gets one call at a time.
     pub fn usable(&mut self, now: Time, chart: &Chart<TargetPhase, TargetEvent>) -> bool {
         if self.phase == TargetPhase::Quarantined && now >= self.quarantine_until {
             // Probes cost money, and a call tells more than a probe does, so the end of the quarantine
--- a/crates/barleyspool_core/src/forward/target_store.rs
+++ b/crates/barleyspool_core/src/forward/target_store.rs
@@ -38,7 +38,8 @@
     /// The revision of the last change of the list. This one is sent to other nodes: changes elsewhere
     /// on the platform raise `at`, and would make them request a list that they already have.
     pub changed_at: Revision,
-    /// Entries that were missing when the source returned, and when they count as removed.
+    /// Entries that were missing when the source returned, and when they count as removed. They may have
+    /// expired at the source only because it was unavailable, so they are kept until then.
     pub expired: BTreeMap<String, Time>,
     /// Until when a missing entry may have expired while the source was unavailable.
     grace_until: Time,
--- a/crates/barleyspool_core/src/forward/wait_estimate.rs
+++ b/crates/barleyspool_core/src/forward/wait_estimate.rs
@@ -11,13 +11,14 @@
 const NO_RATE_WAIT: Span = Span::from_millis(1000);
 
 impl PieceQueue {
-    /// The time until `more` pieces submitted now would be computed, including their wait.
+    /// The time until `more` pieces submitted now would be computed: the time that they wait and the
+    /// duration of the last call.
     pub fn expected_wait(&self, now: Time, more: u64) -> Span {
         let available = |target: &&PoolTarget| target.is_available(now);
         let usable = self.targets.values().filter(available).count();
         if usable == 0 {
-            // A pool without usable targets may get some; until then the duration of a call is the best
-            // estimate.
+            // A pool without usable targets may get some. Until then the estimate is the shortest cooldown
+            // plus the duration of two full calls.
             return self.shortest_cooldown(now)
                 + self.call_time(self.spec.batch)
                 + self.call_time(self.spec.batch);
--- a/crates/barleyspool_core/src/router/admission.rs
+++ b/crates/barleyspool_core/src/router/admission.rs
@@ -31,7 +31,7 @@
     at_most_once: bool,
 }
 
-/// Why and how a call is rejected.
+/// Why and how a call is rejected: refused by admission before a request is started for it.
 struct Rejection {
     reason: Reason,
     retry_after: Span,
@@ -59,7 +59,8 @@
     }
 }
 
-/// What admission would do with a call, for operators.
+/// What admission would do with a call, for operators. `ForecastCorrection` has nothing to do with it: that
+/// one corrects the forecast durations of the stages of forwarded calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Forecast {
     /// Why it would be refused, and after which delay to retry; `None` if it would be admitted.
--- a/crates/barleyspool_core/src/router/answer.rs
+++ b/crates/barleyspool_core/src/router/answer.rs
@@ -340,6 +340,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
+        // Wherever the request is given up below, the refusal originates at the target that failed.
         let peer = Some(RefusalOrigin::Target(failed));
         if late {
             return self.give_up(now, id, Reason::DeadlineMissed, peer);
--- a/crates/barleyspool_core/src/router/completion.rs
+++ b/crates/barleyspool_core/src/router/completion.rs
@@ -23,7 +23,8 @@
         self.finish(id, &Outcome::Complete { length }, late);
     }
 
-    /// Ends a request without a complete answer. Its callers get the final outcome at once.
+    /// Ends a request without a complete answer. Its callers get the final outcome at once. `peer` is the
+    /// target or node at which the refusal originated, if there is one.
     pub(super) fn give_up(&mut self, now: Time, id: RequestId, reason: Reason, peer: Option<RefusalOrigin>) {
         let Some(attempt) = self.requests.get(id).map(|request| request.attempt) else {
             return;
@@ -190,6 +191,7 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
+        // The expected time of a step of the stage, in microseconds: the average of its service.
         let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].avg_step_us;
         now.since(since).0 as f64 > 2.0 * took(request.stage())
     }
--- a/crates/barleyspool_core/src/router/dispatch.rs
+++ b/crates/barleyspool_core/src/router/dispatch.rs
@@ -274,6 +274,7 @@
         if !self.settings.policy.attempt_timeouts || !request.repeatable() {
             return request.deadline;
         }
+        // The expected time of a step of the stage, in microseconds: the average of its service.
         let took = |stage: &ResolvedStage| self.services[usize::from(stage.service.0)].avg_step_us;
         let timeout_at = from
             + Span(took(request.stage()) as u64)
--- a/crates/barleyspool_core/src/router/mod.rs
+++ b/crates/barleyspool_core/src/router/mod.rs
@@ -176,6 +176,7 @@
         self.plan = plan;
         if let Some(config) = self.plan.config.clone() {
             for service in config.services.iter().skip(self.services.len()) {
+                // The configured expected time of a step, in microseconds.
                 let took = Span::from_millis(service.expected_ms).0 as f64;
                 self.services.push(ServiceState {
                     avg_step_us: took,
