--- a/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
+++ b/crates/barleyspool_stands/src/bin/barleyspool-stand-caller.rs
@@ -62,7 +62,7 @@
     let progress_interval = (total / 10).max(1);
     let records = caller::run_load(&deployment, &settings, move |finished| {
         if finished % progress_interval == 0 {
-            println!("  {finished} of {total} finished");
+            println!("  {finished} of {total} ended");
         }
     })
     .await;
