--- a/crates/barleyspool_core/src/concurrency_limit.rs
+++ b/crates/barleyspool_core/src/concurrency_limit.rs
@@ -52,6 +52,7 @@
     }
 
     /// Sets the upper bound of the limit, in calls, and reduces the limit to it. A bound below 1 counts as 1.
+    /// For an adaptive limit it is the number of the target's slots, however many nodes share them.
     pub fn set_ceiling(&mut self, ceiling: f64) {
         self.ceiling = ceiling.max(1.0);
         self.value = self.value.min(self.ceiling);
--- a/crates/barleyspool_core/src/config/document.rs
+++ b/crates/barleyspool_core/src/config/document.rs
@@ -12,7 +12,7 @@
     pub classes: Vec<Class>,
     /// Services: stage pools, engines and plain services.
     pub services: Vec<Service>,
-    /// Pipelines; a plain service is a pipeline of one stage.
+    /// Pipelines; a plain service is called through a pipeline with one stage.
     pub pipelines: Vec<Pipeline>,
     /// References to the parts that hold the organisations.
     pub parts: Vec<PartRef>,
--- a/crates/barleyspool_core/src/config/resolved.rs
+++ b/crates/barleyspool_core/src/config/resolved.rs
@@ -40,7 +40,8 @@
     pub revision: Revision,
     /// Priority classes, the highest priority first.
     pub classes: Vec<Class>,
-    /// Services, indexed by [`ServiceIx`]; includes those that a newer revision no longer defines.
+    /// Services, indexed by [`ServiceIx`]; includes those that only earlier revisions define, so that a
+    /// service keeps its index.
     pub services: Vec<Service>,
     /// Pipelines, indexed by [`PipelineIx`].
     pub pipelines: Vec<ResolvedPipeline>,
--- a/crates/barleyspool_core/src/control/message.rs
+++ b/crates/barleyspool_core/src/control/message.rs
@@ -70,7 +70,7 @@
     },
     /// Start or stop the watches on the configuration service and on the fleet list.
     Watch(bool),
-    /// Read the configuration and the fleet list once.
+    /// Read the platform once: the configuration from the configuration service, and the fleet list.
     ReadPlatform,
     /// Publish a plan to the traffic threads.
     Publish(Box<Plan>),
--- a/crates/barleyspool_core/src/control/mod.rs
+++ b/crates/barleyspool_core/src/control/mod.rs
@@ -82,7 +82,7 @@
     /// The latest read of the configuration service that this node knows of, by any node.
     read_at: Time,
     next_heartbeat_at: Time,
-    /// The earliest time of the next read by a node that keeps no watch.
+    /// The earliest time of the next read of the platform by a node that keeps no watch.
     next_read_at: Time,
     /// When this node starts to read the platform if it still has no fleet list.
     first_read_at: Time,
--- a/crates/barleyspool_core/src/crashes/crash_table.rs
+++ b/crates/barleyspool_core/src/crashes/crash_table.rs
@@ -223,8 +223,8 @@
         self.crashes.last().map_or(Time(0), |crash| crash.at)
     }
 
-    /// Number of crashes that count together, up to the latest. If the time between a crash and the one
-    /// before it is [`retention_after`] the crashes counted until then or longer, the count starts again at 1.
+    /// Number of crashes that count together, up to the latest. The count starts again at 1 with a crash that
+    /// follows the one before it by [`retention_after`] the crashes counted until then, or more.
     fn counted(&self) -> usize {
         let mut counted = 0;
         let mut last = Time(0);
--- a/crates/barleyspool_core/src/ids.rs
+++ b/crates/barleyspool_core/src/ids.rs
@@ -61,9 +61,9 @@
     Epoch(u64)
 );
 id!(
-    /// Identifies one incarnation of a process by its start time, in microseconds since the Unix epoch. In the
-    /// membership table a node also raises its incarnation while it runs, to refute a report that it is
-    /// unhealthy: the new value is that of the report plus one.
+    /// Identifies one incarnation of a process by its start time, in microseconds since the Unix epoch. In
+    /// the membership table a node also raises its incarnation while it runs, to refute a report that it is
+    /// unhealthy or has a later incarnation: the new value is that of the report plus one.
     Incarnation(u64)
 );
 id!(
--- a/crates/barleyspool_core/src/lease.rs
+++ b/crates/barleyspool_core/src/lease.rs
@@ -108,7 +108,8 @@
     eras: Vec<KnownEra>,
     /// Whether the fleet list has left out eras older than the oldest in `eras`.
     truncated: bool,
-    /// Every epoch up to this one is closed: a majority of its members has moved to a later epoch.
+    /// Every epoch up to this one is closed: a majority of its members has moved to a later epoch. An epoch
+    /// that was closed once stays closed, so the highest value that any list or counted vote names holds.
     closed: Epoch,
     peers: BTreeMap<NodeId, PeerRecord>,
     /// Whether this node has caught up since it started, so that its votes count.
--- a/crates/barleyspool_core/src/membership/catch_up.rs
+++ b/crates/barleyspool_core/src/membership/catch_up.rs
@@ -20,9 +20,9 @@
 
 /// How long a node sends `Join` requests after its start or a suspension.
 const CATCH_UP_PERIOD: Span = Span::from_secs(4);
-/// The time between two `Join` requests until the table has converged. After a simultaneous start of all
-/// 295 nodes of a fleet, the median node knew 252 of them 0.6 s after the last one was up with 100 ms, and
-/// all of them with 50 ms.
+/// The minimum time between two `Join` requests until the table has converged. After a simultaneous start of
+/// all 295 nodes of a fleet, the median node knows all of them 0.6 s after the last one is up; with 100 ms it
+/// would know 252.
 const JOIN_INTERVAL: Span = Span::from_millis(50);
 /// The time between two `Join` requests once the table has converged: by then little is missing, and each
 /// request carries a digest of every known node.
@@ -45,10 +45,11 @@
 /// same moment.
 const MIN_CONVERGENCE_TIME: Span = Span::from_millis(300);
 /// The time after its start at which a table counts as converged in any case: it is better to begin
-/// while some nodes are still unknown than to wait longer. If the pools of a fleet of 295 wait until all nodes
-/// are known, only a third as many pieces run in the first two seconds after a start of all nodes. Not
-/// waiting at all costs something too: 50 nodes then own nine shards (parts of pools that should have one
-/// owner each) for half a second, and nine of ten calls meet a full target, which costs 2 ms each.
+/// while some nodes are still unknown than to wait longer. If the pools of a fleet of 295 wait until all
+/// nodes are known, only a third as many pieces (the units of work that are batched into the calls to a
+/// pool) run in the first two seconds after a start of all nodes. Not waiting at all costs something too: 50
+/// nodes then own nine shards (parts of pools that should have one owner each) for half a second, and nine
+/// of ten calls meet a full target, which costs 2 ms each.
 const MAX_CONVERGENCE_TIME: Span = Span::from_millis(600);
 /// A node that has received no reply by this time after its start assumes that it is alone.
 const ALONE_AFTER: Span = Span::from_millis(600);
--- a/crates/barleyspool_core/src/membership/member.rs
+++ b/crates/barleyspool_core/src/membership/member.rs
@@ -37,7 +37,8 @@
     /// Address for callers.
     #[serde(rename = "callers")]
     pub caller_address: String,
-    /// Address at which other nodes place pieces and fetch stage results.
+    /// Address at which other nodes place pieces (the units of work that are batched into the calls to a
+    /// stage pool) and fetch stage results.
     #[serde(rename = "peers")]
     pub peer_address: String,
     /// The availability zone of the node.
@@ -53,7 +54,7 @@
 ///
 /// Each node sends only its own state, with every message. If it were gossiped, every configuration would
 /// cause an update about every node, and these would delay updates about deaths and planned stops: with ten
-/// configurations a second the median node of 86 received a death after 13.7 s instead of 1.6 s.
+/// configurations a second the median node of 86 would receive a death after 13.7 s instead of 1.6 s.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceState {
     /// The version of its configuration.
--- a/crates/barleyspool_core/src/membership/update_queue.rs
+++ b/crates/barleyspool_core/src/membership/update_queue.rs
@@ -9,9 +9,9 @@
 /// The nodes whose updates are passed on, each a limited number of times.
 ///
 /// Updates of health go before those of facts, and each queue is round robin, however often some of the
-/// nodes have new updates. With the newest update always first, 56 of 85 nodes had not received a
-/// death after 3.5 s while 20 others changed their facts ten times a second. With one queue for both kinds
-/// 64 had not, since a fleet that has just started passes on the facts of all nodes for half a minute.
+/// nodes have new updates. If the newest update always went first, 56 of 85 nodes would not have received a
+/// death after 3.5 s while 20 others change their facts ten times a second. With one queue for both kinds 64
+/// would not, since a fleet that has just started passes on the facts of all nodes for half a minute.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
     health: NodeQueue,
--- a/crates/barleyspool_core/src/orders.rs
+++ b/crates/barleyspool_core/src/orders.rs
@@ -1,8 +1,8 @@
 //! Fenced orders to model engines: reconciles the models that an engine reports with its placement.
 //!
-//! A keeper sends these orders to the engines that it is responsible for; [`OrderBook`] holds the engines that
-//! it knows and the orders that it has sent. Engines load models from the weight store, whose rate of loads
-//! all keepers share.
+//! A keeper sends these orders to the engines that it is responsible for; [`OrderBook`] holds the engines
+//! that it knows and the orders that it has sent. Engines load models from the weight store, whose rate of
+//! loads all keepers share.
 //!
 //! The target itself arbitrates between keepers: the fence of an order holds the counter that the target
 //! reported plus one, so if two keepers send an order concurrently, only one is accepted. See docs/DESIGN.md,
--- a/crates/barleyspool_core/src/rate_limits/limit_table.rs
+++ b/crates/barleyspool_core/src/rate_limits/limit_table.rs
@@ -62,8 +62,8 @@
     ///
     /// An answer without a limit removes a known limit only if its call was sent after the limit was known:
     /// calls that were already in flight when the target reported the limit may be answered without one. The
-    /// membership table passes `now` as `sent`, so there every report without a limit removes a known one: the
-    /// event with the report is meant to state no limit only once there is none.
+    /// membership table passes `now` as `sent`, so there every report without a limit removes a known one:
+    /// the event with the report is meant to state no limit only once there is none.
     pub fn apply_report(
         &mut self,
         now: Time,
--- a/crates/barleyspool_core/src/subset.rs
+++ b/crates/barleyspool_core/src/subset.rs
@@ -88,8 +88,8 @@
 
 /// Number of entry nodes that share a target according to the fleet list; the target's slots are divided by it.
 ///
-/// It counts the nodes that the list shows as live, whether they are reachable or not. Otherwise, in a network
-/// partition, the nodes of each side would claim the whole target.
+/// It counts the nodes that the list shows as live, whether they are reachable or not. Otherwise, in a
+/// network partition, the nodes of each side would claim the whole target.
 pub fn sharers(fleet: &Fleet, target: &TargetNode, size: SubsetSize) -> usize {
     let live = |entry: &&EntryNode| entry.region == target.region && entry.state == ListState::Live;
     let pool = |other: &&TargetNode| {
