--- a/crates/barleyspool_core/src/forward/initial_list_read.rs
+++ b/crates/barleyspool_core/src/forward/initial_list_read.rs
@@ -3,10 +3,10 @@
 //! The size of a full list grows with the number of targets. If every node of a starting fleet read it,
 //! the traffic would grow as nodes times targets and fill the source's link for seconds. Therefore only
 //! the seeds (the nodes of the settings to which a starting node sends its first `Join` requests) read the
-//! list, and the readers of each zone if no seed has it in time; all others ask a
-//! node that has it (docs/DESIGN.md, "Configuration and targets"). The number of seeds is independent of
-//! the size of the fleet, and a seed needs no membership information to know its role: during the first
-//! quarter of a second of a fleet of 585, half of the nodes know none of the others.
+//! list, and the readers of each zone if no seed has it in time; all others ask a node that has it
+//! (docs/DESIGN.md, "Configuration and targets"). The number of seeds is independent of the size of the
+//! fleet, and a seed needs no membership information to know its role: during the first quarter of a second
+//! of a fleet of 585, half of the nodes know none of the others.
 
 use crate::{Span, Time};
 
--- a/crates/barleyspool_core/src/forward/pool_target.rs
+++ b/crates/barleyspool_core/src/forward/pool_target.rs
@@ -37,7 +37,8 @@
     /// Calls of this node that the target is working on.
     pub in_flight: u32,
     /// The moving average of the duration of its calls, each divided by [`super::PieceQueue::call_time`]
-    /// for its number of pieces; 1 is as fast as expected. The slowdown of the queue, which is part of
+    /// for its number of pieces; 1 is as fast as expected. Overdue calls in a row raise it too, see
+    /// [`Self::record_overdue`]. The slowdown of the queue, which is part of
     /// `call_time`, describes all targets of the pool together; the slowness describes this one beside
     /// them.
     pub slowness: f64,
@@ -177,8 +178,7 @@
     ///
     /// Sizes of results are approximate, so that a pool with little free capacity rejects one result in
     /// a hundred. If most of a target's capacity were then taken as used, its calls would carry fewer
-    /// pieces than fit while others wait: 50 where 70 fit, with 1,000 waiting, in the shifted deployment
-    /// (docs/design/shifted.md).
+    /// pieces than fit while others wait: 50 where 70 fit, with 1,000 waiting (docs/design/shifted.md).
     pub fn record_no_capacity(&mut self, now: Time, capacity: u64, known: u64, bytes: u64) {
         let explained = (capacity + 1).saturating_sub(known + bytes);
         self.unaccounted_bytes = explained;
--- a/crates/barleyspool_core/src/forward/result_store.rs
+++ b/crates/barleyspool_core/src/forward/result_store.rs
@@ -39,8 +39,8 @@
 
     /// Takes the results to be freed now: address and id of their holder, and their handles. A holder that
     /// states a limit itself gets a request to free results only when its rate allows one and no piece
-    /// waits; the rate limit of a cold start does not matter here. If a holder gets no request now, its
-    /// results expire.
+    /// waits; the rate limit of a cold start alone does not prevent the request. If a holder gets no
+    /// request now, its results expire.
     pub fn take_releasable(&mut self, now: Time) -> Vec<(String, String, Vec<String>)> {
         let has_waiting = self.waiting() > 0;
         let mut by_holder: BTreeMap<String, (String, Vec<String>)> = BTreeMap::new();
