--- a/crates/barleyspool_gateway/src/adapters.rs
+++ b/crates/barleyspool_gateway/src/adapters.rs
@@ -39,7 +39,7 @@
 /// What the gateway sends to a target in the headers of a call.
 #[derive(Clone, Debug, Default)]
 pub struct SendHead {
-    /// The incarnation of the target that the call is meant for.
+    /// The id of the target that the call is meant for.
     pub incarnation: String,
     /// The organisation that the call's key belongs to; empty when there is none.
     pub organisation: String,
@@ -105,7 +105,7 @@
     pub read_run_answer: fn(&[u8]) -> Option<Vec<PieceOutcome>>,
     /// Builds the path and body of a request that releases results.
     pub release_request: fn(&[String]) -> (&'static str, Bytes),
-    /// Sets the headers of a request to the given incarnation of a target.
+    /// Sets the headers of a request to the target with the given id.
     pub prepare_headers: fn(&mut HeaderMap, &str),
 }
 
--- a/crates/barleyspool_gateway/src/control/peer_sync.rs
+++ b/crates/barleyspool_gateway/src/control/peer_sync.rs
@@ -44,6 +44,7 @@
 /// process ends.
 pub async fn run(state: Rc<ControlState>) {
     let mut avoided = AvoidedPeers::new();
+    // The longest time until the next check.
     let mut max_wait = CHECK_INTERVAL;
     loop {
         state.source_access.wait_for_newer_report(max_wait).await;
--- a/crates/barleyspool_gateway/src/control/state.rs
+++ b/crates/barleyspool_gateway/src/control/state.rs
@@ -87,11 +87,13 @@
             facts: MemberFacts {
                 address: settings.members.to_string(),
                 caller_address: settings.callers.to_string(),
+                // The port for pieces also serves placements, grants and pings.
                 peer_address: settings.pieces.to_string(),
                 zone: settings.zone.clone(),
                 serving: false,
                 link_mbps: settings.link_mbps(),
             },
+            // The incarnation of this node among the members is the wall-clock time of its start.
             incarnation: Incarnation(shared.clock.started_at().0),
             seeds: seeds
                 .map(|seed| format!("{}:{members_port}", seed.ip()))
--- a/crates/barleyspool_gateway/src/event_log.rs
+++ b/crates/barleyspool_gateway/src/event_log.rs
@@ -96,7 +96,7 @@
         evacuated: usize,
         /// Targets that receive no calls because their entries cannot be read.
         unreadable: usize,
-        /// Targets that restarted under the same id.
+        /// Targets that restarted under the same id, which a different start time shows.
         restarted: usize,
         /// Targets that receive no calls because their entries reappeared when the source was restored from a backup and
         /// have not been verified since.
@@ -258,7 +258,8 @@
         wait_ms: u64,
         /// The number of targets of all services that have a rate limit, as far as this node knows.
         limited: usize,
-        /// Whether this node has run long enough to know all nodes.
+        /// Whether this node has run for 5 s and its membership table has converged, so that it assumes that it knows
+        /// all nodes. Convergence alone may come earlier.
         steady: bool,
     },
     /// Rate limits of targets changed, as reported in answers to this node or by other nodes.
@@ -304,7 +305,7 @@
         /// Milliseconds until its deadline.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
-        /// Its expected duration, in milliseconds.
+        /// The expected time from now to its first output, in milliseconds.
         expected_ms: u64,
         /// The version of the configuration.
         version: u64,
@@ -321,9 +322,9 @@
         /// The objective of its route for the time to the first output, in milliseconds.
         #[serde(rename = "aim_ms")]
         objective_ms: u64,
-        /// Its expected duration, in milliseconds.
+        /// The expected time from now to its first output, in milliseconds.
         expected_ms: u64,
-        /// The part of that duration spent in queues, in milliseconds.
+        /// The part of that time spent in queues, in milliseconds.
         wait_ms: u64,
         /// The pool with the longest queueing delay.
         #[serde(rename = "slowest")]
--- a/crates/barleyspool_gateway/src/failure.rs
+++ b/crates/barleyspool_gateway/src/failure.rs
@@ -9,7 +9,8 @@
     pub reason: Reason,
     /// Whether the call may have run.
     pub verdict: Verdict,
-    /// The step that failed: the name of a service, or empty before the first one. For an invalid call, what is invalid.
+    /// The step that failed: the name of its service, or empty before the first one. For an invalid call, the text that
+    /// says what is invalid.
     pub step: String,
     /// The target or node that caused the failure; empty for this node.
     pub peer: String,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The failure of a call that ran or may have run.
+    /// The failure of a call that ran or may have run: nothing rules out that it ran.
     pub fn unknown(reason: Reason) -> Self {
         Self {
             verdict: Verdict::Unknown,
--- a/crates/barleyspool_gateway/src/settings.rs
+++ b/crates/barleyspool_gateway/src/settings.rs
@@ -82,7 +82,7 @@
     pub directory: SocketAddr,
     /// UDP address for membership messages of other nodes.
     pub members: SocketAddr,
-    /// Listen address for pieces that other nodes submit.
+    /// Listen address for requests of other nodes: pieces that they submit, placements, grants and pings.
     pub pieces: SocketAddr,
     /// Listen address from which other nodes read the configuration and the list of targets.
     pub relay: SocketAddr,
@@ -104,10 +104,11 @@
     pub retry: RetrySettings,
     /// Bandwidth of the node's network link, in Mbit/s; at least 1. Nodes with a fast link read the source for others.
     pub link_mbps: f64,
-    /// Maximum total size of call and answer bodies in memory, in megabytes; at least 1.
+    /// Maximum total size of call and answer bodies in memory, in mebibytes (1,048,576 bytes); at least 1.
     pub body_memory_mb: u64,
-    /// Whether callers retry a call under the same key. This gateway does not remember keys, so only `false` is allowed;
-    /// deployments whose callers do that run `barleyspool-entry`.
+    /// Whether callers retry an unrepeatable call under the same key, by which the retry is to be recognised. This
+    /// gateway does not remember keys, so only `false` is allowed; deployments whose callers do that run
+    /// `barleyspool-entry`, the entry daemon of this workspace, which remembers them.
     pub callers_resend_keys: bool,
     /// The limits of the log.
     pub log: LogSettings,
--- a/crates/barleyspool_gateway/src/traffic/admission.rs
+++ b/crates/barleyspool_gateway/src/traffic/admission.rs
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// The expected time until a stage, or the whole call, is done.
+/// The expected time until a stage is done, or until the first output of the whole call.
 #[derive(Clone, Debug, Default)]
 struct Forecast {
     /// The time without queueing.
@@ -155,6 +155,7 @@
         .and_then(|service| service.pool.as_ref());
     let Some(spec) = spec else { return start };
     let alone = spec.call_overhead + Span(spec.piece_time.0 * u64::from(spec.batch));
+    // The reported time includes the run time of a batch call, which `alone` already counts.
     let queued = Span(reported_wait(call, stage).0.saturating_sub(alone.0));
     let planned = planned_time(call, plan, service, spec);
     // The pool works off its queue while the earlier stages run.
@@ -172,7 +173,8 @@
     }
 }
 
-/// How long a full batch call takes at the pool of a stage, by the latest report of the pool's owner.
+/// How long a piece takes until it is computed at the pool of a stage, the run time of its batch call included: the
+/// current estimate if this node owns the pool, else the latest report of its owner, and zero when there is none.
 fn reported_wait(call: &Call, stage: usize) -> Span {
     let traffic = &call.traffic;
     let id = stages::likely_pool(call, stage);
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -289,6 +289,7 @@
             input_bytes: self.input_bytes(),
             avoid: self.failed_targets.borrow().clone(),
             can_copy_prefixes: self.can_copy_prefixes,
+            // The wait for capacity of a rate-limited target, not the time limit of the caller.
             max_wait: Span::ZERO,
             placing: None,
             for_other_node: false,
--- a/crates/barleyspool_gateway/src/traffic/caller_io.rs
+++ b/crates/barleyspool_gateway/src/traffic/caller_io.rs
@@ -24,8 +24,9 @@
 /// the network delay of a call that crosses the close, and it adds a bounded time to a planned stop. A caller that
 /// needs longer to read the bytes in the kernel still receives them, unless it sends more meanwhile.
 const LINGER: Duration = Duration::from_secs(1);
-/// How long a caller may read none of the written bytes before its connection ends. No call is held longer than this
-/// ([`DEFAULT_MAX_WAIT`]), so a caller that reads nothing for so long has given up or has lost power.
+/// How long a caller may read none of the written bytes before its connection ends. A call is held no longer than this
+/// ([`DEFAULT_MAX_WAIT`]) unless its route sets a longer timeout, so a caller that reads nothing for so long counts as
+/// one that has given up or has lost power.
 const STALL_TIMEOUT: Duration = Duration::from_micros(DEFAULT_MAX_WAIT.0);
 /// The buffer size for reading a connection that is closed for writing, in bytes.
 const DISCARD_BUFFER_BYTES: usize = 4096;
--- a/crates/barleyspool_gateway/src/traffic/connections.rs
+++ b/crates/barleyspool_gateway/src/traffic/connections.rs
@@ -20,7 +20,7 @@
 /// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection to one incarnation of a target.
+/// A connection to the target with the id `target`.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -34,7 +34,8 @@
 pub enum SendFailure {
     /// Nothing of the request was written.
     NotWritten,
-    /// Some of the request may have been written.
+    /// Some of the request may have been written, and no header of an answer was received. The end of the send is then
+    /// recorded as `BrokenOff`.
     Interrupted,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Connections {
-    /// Sends a request to an incarnation of a target, on an idle connection if there is one. An idle connection
+    /// Sends a request to the target with the id `target`, on an idle connection if there is one. An idle connection
     /// that turns out to be closed is replaced by a new one, since nothing was written to it.
     ///
     /// # Errors
--- a/crates/barleyspool_gateway/src/traffic/peers.rs
+++ b/crates/barleyspool_gateway/src/traffic/peers.rs
@@ -61,7 +61,8 @@
     links: RefCell<HashMap<String, Rc<Link>>>,
     excluded: RefCell<HashMap<String, Time>>,
     reported_waits: RefCell<HashMap<PoolId, (Span, Time)>>,
-    /// Until when the engines of a shard have no capacity, as their owner reported, and when it did.
+    /// Until when the engines of a shard have no capacity, as their owner reported, and when it did. The id names a
+    /// shard of engines here, not a pool.
     no_capacity: RefCell<HashMap<PoolId, (Time, Time)>>,
 }
 
@@ -85,7 +86,8 @@
 }
 
 impl Peers {
-    /// The node that owns a pool, as far as this one knows. Nodes that did not answer recently are excluded.
+    /// The node that owns a pool or a shard of engines, as far as this one knows. Nodes that did not answer
+    /// recently are excluded.
     pub fn owner(&self, traffic: &Traffic, id: &PoolId) -> Owner {
         self.owner_of_key(traffic, id.owner_key())
     }
@@ -107,8 +109,9 @@
         }
     }
 
-    /// Expected wait for a full batch call at another node's pool: the wait it reported last, less half of
-    /// the age of that report. `None` when there is no recent report.
+    /// Expected time until a piece that is submitted now is computed at another node's pool, the run time of its batch
+    /// call included: the time that the node reported last, less half of the age of that report. `None` when there
+    /// is no recent report.
     pub fn pool_wait(&self, now: Time, id: &PoolId) -> Option<Span> {
         let (wait, at) = *self.reported_waits.borrow().get(id)?;
         let age = now.since(at);
--- a/crates/barleyspool_gateway/src/traffic/pool.rs
+++ b/crates/barleyspool_gateway/src/traffic/pool.rs
@@ -128,7 +128,8 @@
         self.releasable.notify_one();
     }
 
-    /// How long a full batch call that is submitted now is expected to take.
+    /// How long one piece that is submitted now is expected to take until it is computed: its wait in the queue and
+    /// the run time of its batch call.
     pub fn expected_wait(&self, traffic: &Traffic) -> Span {
         self.queue.borrow().expected_wait(traffic.now(), 1)
     }
@@ -181,7 +182,9 @@
 /// share of the rates that this node may grant.
 ///
 /// A node counts as a requester while an order of it is open here, and this node always does: without a share
-/// of the rate it would refuse the orders of its own callers and never request a share.
+/// of the rate it would refuse the orders of its own callers and never request a share. Asking for the share on behalf
+/// of a node records that node as a requester, which raises the share of a fallback owner. The share returned in the
+/// loop is dropped, since the one returned for this node, after it, counts all recorded requesters.
 fn apply_reports(traffic: &Traffic, pool: &Pool, queue: &mut PieceQueue) {
     let (now, me) = (traffic.now(), traffic.plan().me);
     let mut forwarder = traffic.forwarder.borrow_mut();
@@ -284,6 +287,9 @@
         .call_ended(traffic.now(), key, answer.outcome);
     match answer.connection {
         Some((connection, keep_alive)) if usable => traffic.connections.add_idle(connection, keep_alive),
+        // An answer that parses but is not usable for this call: its outcomes do not match the pieces, or the call is
+        // no longer known. An answer by which the target reports that it was not the intended one is a refusal,
+        // which is not counted here.
         Some(_) if done => traffic.count(Counter::Misdirected),
         _ => {}
     }
@@ -317,6 +323,8 @@
     }
 }
 
+/// Sends a batch call once. [`BatchOutcome::BrokenOff`] also covers calls whose request could not be built,
+/// answers that are too large or malformed, and answers with an error status that do not report a refusal.
 async fn send_batch(traffic: &Traffic, call: &BatchCall) -> BatchAnswer {
     let sent_at = traffic.now();
     let (path, body) = (traffic.adapters.pool.run_request)(&call.pieces);
--- a/crates/barleyspool_gateway/src/traffic/pools.rs
+++ b/crates/barleyspool_gateway/src/traffic/pools.rs
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Identifies a pool: a shard of the targets of a service.
+/// Identifies a shard of the targets of a service: a pool, or for a service of engines a shard of its engines, at which
+/// calls are placed and which is no pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PoolId {
     pub service: String,
@@ -22,7 +23,7 @@
         shards.is_none_or(|shards| shards.contains(self.shard))
     }
 
-    /// Key from which the owner of the pool is derived.
+    /// Key from which the owner of the pool, or of the shard of engines, is derived.
     pub fn owner_key(&self) -> u128 {
         shard_key(&self.service, self.shard)
     }
--- a/crates/barleyspool_gateway/src/traffic/read_call.rs
+++ b/crates/barleyspool_gateway/src/traffic/read_call.rs
@@ -56,6 +56,7 @@
     if organisation.is_none() && catalog.requires_key() && !route.public {
         return Err(CallFailure::not_run(Reason::UnknownKey));
     }
+    // From mebibytes to bytes.
     let limit = traffic.shared.settings.body_memory_mb << 20;
     if traffic.held_bytes.get() > limit {
         return Err(CallFailure::not_run(Reason::MemoryFull).with_retry_after(MEMORY_FULL_RETRY_AFTER));
@@ -97,7 +98,8 @@
     }
 }
 
-/// The maximum time that a call is held.
+/// The maximum time that a call is held: the time limit that its caller states, but at most the timeout of the
+/// route, or [`DEFAULT_MAX_WAIT`] when the route sets none.
 pub fn max_wait(head: &CallHead, route: &Route) -> Span {
     let route = if route.timeout == Span::ZERO {
         DEFAULT_MAX_WAIT
--- a/crates/barleyspool_gateway/src/traffic/target_choice.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_choice.rs
@@ -18,8 +18,8 @@
 /// at each try a shortage of engines would bring each owner some ten requests for each call.
 const OWNER_POLL_INTERVAL: Span = Span::from_millis(60);
 /// How much later than granted a call may be sent. A later one could coincide with calls that were granted a
-/// later time: with half a second more in each span, a target still receives less than one and a half times
-/// its rate and five calls.
+/// later time. With this delay, the calls that a target receives within any span of a second or more were granted
+/// within a span that is half a second longer, and are still fewer than one and a half times its rate plus five calls.
 const MAX_SEND_DELAY: Span = Span::from_millis(500);
 
 /// The chosen target, and the placement when the owner chose it.
