--- a/crates/barleyspool_client/src/client.rs
+++ b/crates/barleyspool_client/src/client.rs
@@ -148,8 +148,9 @@
         let reason = outcome.reason.clone();
         let retry_after_ms = outcome.come_back_ms;
         progress.last_outcome = Some(if not_run {
-            // After an uncertain send only the home node of the key reports `NotRun`, and only after its takeover
-            // wait. Then no earlier send has run either.
+            // After an uncertain send only the home node of the key, the one node of its cell that accepts the key,
+            // reports `NotRun`, and only after its takeover wait, at whose end every key that an earlier home node may
+            // have accepted is past its deadline. Then no earlier send has run either.
             progress.earlier_sends = rpc::EarlierSends::AllNotRun;
             JobOutcome::NotRun {
                 reason,
--- a/crates/barleyspool_ctl/src/explain_log.rs
+++ b/crates/barleyspool_ctl/src/explain_log.rs
@@ -1,4 +1,10 @@
 //! Collects the log lines of a request from the logs of several gateways, by time, and summarises its outcome.
+//!
+//! A gateway is a process of `barleyspool-gateway`, the HTTP gateway daemon. Entry nodes log in another format; their
+//! lines lack the fields `at_ms`, `node` and `event` that a gateway's log line has at its top level, and are skipped.
+//!
+//! An attempt here is one time that the caller sends a call. In the entry daemon an attempt is one send of a step to a
+//! target.
 
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -62,7 +68,8 @@
 }
 
 /// The log lines with the id `id` from all files, by time. Two kinds of lines with other ids are included:
-/// - if the call was blocked because it crashes targets: the crashes under other attempts of the same call,
+/// - if the call was blocked because it crashes targets: the crashes under other attempts of the same call, which the
+///   caller sent under other ids and which have the same fingerprint (the field `print`),
 /// - if it was refused at the rate limits: the last limit that each target of the service had reported by then.
 ///
 /// # Errors
@@ -152,7 +159,8 @@
     }
 }
 
-/// The targets that crashed while running this attempt or other attempts of the same call.
+/// The targets that crashed while running this attempt or other attempts of the same call. Each attempt is one send of
+/// the call by its caller.
 fn crashed_targets(lines: &[LogLine]) -> String {
     let crashes = lines.iter().filter(|line| line.event == TARGET_CRASHED);
     let ids: BTreeSet<&str> = crashes.map(|line| line.text_field("target")).collect();
@@ -180,7 +188,8 @@
     )
 }
 
-/// The stage with the longest duration; empty if no stage ran.
+/// The stage with the longest duration; empty if no stage ran. The field `stage` of a log line is the index of the
+/// stage in the route, and `service` is the name of its service.
 fn slowest_stage(lines: &[LogLine]) -> String {
     let stages = lines.iter().filter(|line| line.event == "stage");
     let slowest = stages.max_by_key(|line| line.number_field("took_ms"));
--- a/crates/barleyspool_ctl/src/output.rs
+++ b/crates/barleyspool_ctl/src/output.rs
@@ -140,7 +140,9 @@
         );
     }
 
-    /// Prints the log lines of a request with times relative to the first line, then its cause.
+    /// Prints the log lines of a request, as text with times relative to the first line, then `cause`: the summary of
+    /// the outcome from [`crate::explain_log::describe_outcome`]. The summary exists for every request, also for one
+    /// that a target answered.
     pub fn request_log(&self, lines: &[LogLine], cause: &str) {
         if self.json {
             let line = |line: &LogLine| json!({ "at_ms": line.at_ms, "node": line.node, "event": line.event, "fields": line.fields });
--- a/crates/barleyspool_entry/src/control_thread.rs
+++ b/crates/barleyspool_entry/src/control_thread.rs
@@ -18,7 +18,8 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, mpsc, oneshot};
 
-/// The interval of the timer events of the control state.
+/// The interval at which the control thread sends [`ControlEvent::LiveRequests`] to the control state. These are its
+/// timer events: every event also tells it the time, so this thread never sends [`ControlEvent::Tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// The timeout of a gossip exchange with a peer.
 const GOSSIP_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -346,6 +347,8 @@
     // ------------------------------------------------------------------------
     // Replies to operators
 
+    /// The reply to a status request. Its `running` counts the unfinished requests and the open streams to callers,
+    /// whereas `running` in the reply to a stop request counts the requests only.
     fn status(&self) -> rpc::StatusReply {
         let now = self.shared.clock.now();
         let plan = self.shared.plan.load();
--- a/crates/barleyspool_entry/src/daemon.rs
+++ b/crates/barleyspool_entry/src/daemon.rs
@@ -160,6 +160,7 @@
 
 async fn serve_callers(listener: tokio::net::TcpListener, shared: Arc<Shared>) {
     let mut shutdown = shared.shutdown.subscribe();
+    // This limit only bounds what is decoded. The router refuses requests whose payload exceeds `max_payload`.
     let max_message = shared.settings.max_payload * 2 + MESSAGE_OVERHEAD;
     let service =
         GatewayServer::new(GatewayService::new(Arc::clone(&shared))).max_decoding_message_size(max_message);
--- a/crates/barleyspool_entry/src/lane.rs
+++ b/crates/barleyspool_entry/src/lane.rs
@@ -279,7 +279,10 @@
     }
 }
 
-/// Logs a request in the format of a trace, which can be replayed.
+/// Logs a request with what a replay needs: its arrival as a Unix time in milliseconds, organisation, pipeline and
+/// deadline in milliseconds from the arrival. The log line is an object with the names of organisation and pipeline; in
+/// a trace file an arrival is an array of four numbers, with the time from the start of the trace and the indexes of
+/// organisation and pipeline, so the lines must be converted before a replay.
 fn log_arrival(now: Time, call: &Call) {
     spdlog::info!("arrival", kv: {
         at_ms = now.as_millis(),
--- a/crates/barleyspool_entry/src/operations_service.rs
+++ b/crates/barleyspool_entry/src/operations_service.rs
@@ -41,6 +41,7 @@
         receiver.await.map_err(stopping)
     }
 
+    /// Converts a forecast to the reply. The field `stage` of an `ExplainStage` is the name of a service, not a number.
     fn explain_reply(&self, forecast: &Forecast) -> rpc::ExplainReply {
         let stage_reply =
             |stage: &(_, Option<barleyspool_core::TargetId>, barleyspool_core::Span)| rpc::ExplainStage {
@@ -131,6 +132,7 @@
     }
 
     async fn stop(&self, _: Request<rpc::StopRequest>) -> Result<Response<rpc::StopReply>, Status> {
+        // Only unfinished requests count; `running` in the reply to a status request includes open streams to callers.
         let running: usize = self
             .shared
             .lane_stats
--- a/crates/barleyspool_entry/src/settings.rs
+++ b/crates/barleyspool_entry/src/settings.rs
@@ -37,7 +37,8 @@
     pub lanes: u32,
     /// The least severe level that is logged.
     pub log_level: String,
-    /// The time spans of the lease protocol.
+    /// The time spans of the lease protocol. Its horizon is how far ahead the deadline of an unrepeatable request may
+    /// be at most.
     pub lease_rules: LeaseRules,
     /// The interval between two gossip messages to a peer.
     pub heartbeat_interval: Span,
@@ -60,7 +61,8 @@
     pub max_keys: usize,
     /// The maximum age of a plan; the node does not act on an older one.
     pub max_plan_age: Span,
-    /// Whether each request is logged, so that the traffic can be replayed.
+    /// Whether the arrival of each request is logged. The lines hold what a replay needs, but are not in the format of
+    /// a trace file.
     pub log_arrivals: bool,
 }
 
--- a/crates/barleyspool_keeper/src/keeper.rs
+++ b/crates/barleyspool_keeper/src/keeper.rs
@@ -159,7 +159,8 @@
 
     fn plan_orders(&mut self) -> Vec<EngineOrder> {
         let placement = self.placement().to_vec();
-        // A keeper holds no lease, so engines that do not check fences get no orders; see docs/DESIGN.md.
+        // The last argument, `confirmed`, says whether this keeper's lease is confirmed. A keeper holds no lease, so it
+        // is `false`, and engines that do not check fences get no orders; see docs/DESIGN.md.
         self.order_book
             .plan(self.clock.now(), self.revision(), &placement, false)
     }
@@ -210,6 +211,7 @@
                 .and_then(|engine| engine.report.as_ref())
                 .map(|(report, _)| report.clone());
             let report = report.unwrap_or_default();
+            // `false`: the lease is not confirmed, as in `plan_orders`.
             let reason = match self.order_book.order_for(now, self.revision(), placement, false) {
                 Ok(_) => "ordering",
                 Err(blocker) => blocker.name(),
--- a/crates/barleyspool_stands/src/caller.rs
+++ b/crates/barleyspool_stands/src/caller.rs
@@ -54,13 +54,14 @@
 pub struct CheckSummary {
     /// All requests.
     pub requests: usize,
-    /// Complete answers.
+    /// Complete answers with the data of their request.
     pub complete: usize,
-    /// Requests refused as not run.
+    /// Requests refused as not run. `barleyspool-stand-caller` prints the sum of these and the unknown ones as refused.
     pub refused: usize,
-    /// Requests reported as unknown: a part may have run, and they must not be sent again.
+    /// Requests reported as unknown, which are not among the refused ones here: a part may have run, and they must not
+    /// be sent again.
     pub unknown: usize,
-    /// Requests without an outcome that could have been sent to another node.
+    /// Repeatable requests for which no node reported an outcome. Such a request could have been sent to another node.
     pub lost: usize,
     /// Unrepeatable steps that started more than once.
     pub duplicated: usize,
--- a/crates/barleyspool_stands/src/lib.rs
+++ b/crates/barleyspool_stands/src/lib.rs
@@ -1,4 +1,7 @@
 //! Simulators of the external systems: platform, targets and callers. The system itself does not depend on them.
+//!
+//! Such a simulator is called a stand-in (`stand` in names): it takes the place of the external system in tests and
+//! measurements.
 
 pub mod caller;
 pub mod deployment;
--- a/crates/barleyspool_stands/src/replay/generator.rs
+++ b/crates/barleyspool_stands/src/replay/generator.rs
@@ -33,7 +33,8 @@
     /// One organisation sends forty times as many requests as all others together, in a surge of three times
     /// capacity.
     Flood,
-    /// One target of the service `generate` becomes ten times slower and still responds to health checks.
+    /// The first engine target of the deployment, of whatever service, becomes ten times slower and still responds to
+    /// health checks.
     SlowTarget,
 }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The outcomes that the default policy must reach. They were set before the policy was tuned.
+    /// The outcomes that the default policy must reach.
     fn expected_outcomes(self, deployment: &Deployment) -> Vec<ExpectedOutcome> {
         let top = deployment.classes[0].name.clone();
         let attainment = |class: &str, least| ExpectedOutcome {
--- a/crates/barleyspool_stands/src/slopes/core_slopes.rs
+++ b/crates/barleyspool_stands/src/slopes/core_slopes.rs
@@ -311,6 +311,7 @@
             drop(black_box(actions));
         });
         tick_time.push((size, cost / 1000.0));
+        // Each step is one heartbeat, and the default heartbeat interval is 500 ms, so there are two per second.
         gossip_rate.push((entries as f64, gossip_sent * 2.0));
         let gossip = Gossip {
             from: NodeId(2),
--- a/crates/barleyspool_stands/src/slopes/mod.rs
+++ b/crates/barleyspool_stands/src/slopes/mod.rs
@@ -1,4 +1,8 @@
-//! Measures the cost of operations at several sizes and extrapolates it by a linear fit.
+//! Measures the cost of operations at several sizes and computes it at a planned size by a linear fit.
+//!
+//! The planned sizes lie within the measured sizes or are the largest of them. The exception is the number of active
+//! organisations, which the measurement reads from the router, so its largest measured size may be below the planned
+//! one.
 
 mod core_slopes;
 mod node_slopes;
@@ -17,7 +21,7 @@
     pub cost_unit: &'static str,
     /// The measured sizes with their costs.
     pub points: Vec<(f64, f64)>,
-    /// The size to extrapolate to.
+    /// The planned size, for which the fit gives the cost.
     pub projected_size: f64,
 }
 
--- a/crates/barleyspool_wire/src/http.rs
+++ b/crates/barleyspool_wire/src/http.rs
@@ -1,5 +1,8 @@
 //! Small HTTP/1.1 helpers on `hyper`: a request with a timeout, and a server that isolates the connections from
 //! each other's failures.
+//!
+//! `peer` is the IP address and port of the HTTP server of a request, such as a target or the configuration service; it
+//! need not be a node.
 
 use crate::net;
 use crate::timer;
--- a/crates/barleyspool_wire/src/lib.rs
+++ b/crates/barleyspool_wire/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`rpc`]: the code generated from `schema/barleyspool.proto`, for callers and operators.
 //! - [`peer`]: gossip between entry nodes, by `tarpc`.
-//! - [`pieces`]: orders for pieces of stages, placements and grants between nodes, by `tarpc`.
+//! - [`pieces`]: orders for pieces of stages, placements and grants between gateway nodes, by `tarpc`.
 //! - [`target`] and [`platform`]: the JSON of targets and of the platform's services.
 //! - [`http`]: HTTP/1.1 requests and a small server.
 //! - [`net`]: opens and accepts all connections.
@@ -10,6 +10,9 @@
 //! - [`logging`]: structured logs.
 //! - [`timer`]: timeouts that process received data first, and that count suspensions of the machine.
 //! - [`settings`]: reads and validates settings files.
+//!
+//! Where a type or field has another name in messages or files than in the code, a serde attribute keeps the outer
+//! name.
 
 mod clock;
 pub mod http;
--- a/crates/barleyspool_wire/src/peer.rs
+++ b/crates/barleyspool_wire/src/peer.rs
@@ -1,4 +1,7 @@
 //! Gossip between entry nodes: `tarpc` with MessagePack over the connections of [`net`].
+//!
+//! A peer of an entry node is another entry node. The transport of this module also carries the calls of
+//! [`crate::pieces`] between gateway nodes.
 
 use crate::net;
 use barleyspool_core::{Gossip, PeerReply};
@@ -12,10 +15,11 @@
 use tokio::net::TcpStream;
 use tokio_serde::formats::MessagePack;
 
-/// The largest message between peers.
+/// The largest message between two nodes, in bytes.
 const MAX_FRAME_BYTES: usize = 512 * 1024;
 
-/// The service that a node offers to its peers. The method name is part of the wire format.
+/// The service that an entry node offers to its peers, the other entry nodes. The method name is part of the
+/// wire format.
 #[tarpc::service]
 pub trait Peer {
     /// Exchanges gossip: the request carries the state of the requesting node, the reply the state of the answering
--- a/crates/barleyspool_wire/src/pieces.rs
+++ b/crates/barleyspool_wire/src/pieces.rs
@@ -1,9 +1,14 @@
-//! Calls between nodes: orders for pieces of stages, from the node that has the request to the node that owns the
-//! pool; placements of calls at engines; and grants for rate-limited targets.
+//! Calls between nodes of the HTTP gateway (`barleyspool_gateway`): orders for pieces of stages, from the node that has
+//! the request to the node that owns the pool; placements of calls at engines; and grants for rate-limited targets.
+//!
+//! A piece is a unit of the work of one stage for one request. A pool is the set of targets that compute the pieces of
+//! a service. A large pool is split into shards; one node owns each shard and makes the calls to its targets. A pool
+//! that is not split is one shard with the number zero.
 //!
 //! Times in a message are relative to its arrival, in microseconds, because the clocks of two nodes may differ.
-//! Messages are encoded by position, so the order of the fields is part of the wire format, and so are the names of
-//! the enum variants and of the service methods.
+//! The fields of a message are encoded by position, so their order is part of the wire format. Their names are not
+//! sent; the `rename` attributes on fields only keep the outer names. Enum variants are sent by name, so their outer
+//! names and the names of the service methods are part of the wire format.
 
 use crate::net;
 use crate::peer::{self, PeerTransport};
@@ -35,7 +40,8 @@
     /// The outcome of the order.
     #[serde(rename = "end")]
     pub outcome: OrderOutcome,
-    /// How long a full batch submitted now would take, including the wait in the queue.
+    /// The time until one more piece submitted now would be computed, which is its wait in the queue plus the duration
+    /// of its call; zero if the owner did not try to compute the order.
     #[serde(rename = "wait")]
     pub expected_wait: Span,
 }
@@ -56,7 +62,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(crate = "tarpc::serde")]
 pub struct PlaceRequest {
-    /// The id of the placement: the id of the call and the number of this placement.
+    /// The id of the placement, not of the call: the id of the call, a slash and the number of this placement.
     pub call: String,
     /// The service.
     pub service: String,
@@ -69,7 +75,7 @@
     pub max_wait: Span,
     /// The route of the call.
     pub route: String,
-    /// How many tokens fit into the memory of one engine.
+    /// The memory of one engine, in tokens.
     pub engine_memory: u64,
     /// The hash of the shared prefix of the prompt; zero for none.
     pub prefix: u64,
@@ -147,10 +153,12 @@
     Failed,
 }
 
-/// The service that the owner of a pool offers to other nodes.
+/// The service that a gateway node offers to other gateway nodes: as the owner of a pool or of one of its shards it
+/// computes and releases pieces, as the owner of a shard of an engine service it places calls, and as the owner of a
+/// target's rate limit it grants calls.
 #[tarpc::service]
 pub trait Pieces {
-    /// Computes pieces; answers when all are computed or the order has failed.
+    /// Computes the pieces of an order; answers when all are computed or the order has failed.
     async fn make(order: RemoteOrder) -> RemoteOrderOutcome;
     /// Releases results.
     async fn release(release: RemoteRelease);
--- a/crates/barleyspool_wire/src/process.rs
+++ b/crates/barleyspool_wire/src/process.rs
@@ -16,7 +16,8 @@
     pub terminate: Signal,
     /// SIGINT: starts a planned stop.
     pub interrupt: Signal,
-    /// SIGHUP: reloads the settings.
+    /// SIGHUP: the control thread of the HTTP gateway reloads its settings. Entry nodes and keepers do not read this
+    /// signal, so it has no effect on them.
     pub hangup: Signal,
 }
 
--- a/crates/barleyspool_wire/src/rpc_convert.rs
+++ b/crates/barleyspool_wire/src/rpc_convert.rs
@@ -26,7 +26,9 @@
     }
 }
 
-/// Converts an outcome to the message for the caller. `step` is the name of the service at which it arose.
+/// Converts an outcome to the message for the caller. `step` is the name of the service at which a refusal arose, not
+/// the index of a step. The field `peer` of the message is the origin of a refusal: a target or an entry node, as
+/// [`origin_name`] formats it.
 pub fn outcome_message(
     outcome: &Outcome,
     step: &str,
@@ -57,7 +59,7 @@
     message
 }
 
-/// The name of the origin of a refusal, for callers and operators.
+/// The name of the origin of a refusal, a target or an entry node, for callers and operators.
 pub fn origin_name(origin: RefusalOrigin) -> String {
     match origin {
         RefusalOrigin::Target(id) => format!("target {id}"),
--- a/crates/barleyspool_wire/src/target.rs
+++ b/crates/barleyspool_wire/src/target.rs
@@ -1,4 +1,8 @@
 //! The JSON of targets: steps, streams, load reports and orders. docs/OPERATING.md specifies it.
+//!
+//! An order in this module is an [`OrderRequest`], which makes an engine load and unload models. It carries the
+//! contents of a [`barleyspool_core::EngineOrder`]. A [`StepOrder`] is one attempt to run a step at a target and is
+//! sent as a [`StepRequest`]. The orders for pieces between gateway nodes are in [`crate::pieces`].
 
 use barleyspool_core::{Echo, EngineReport, Fence, LoadReport, Payload, StepOrder};
 use base64::Engine as _;
@@ -11,9 +15,9 @@
 pub const STEPS_PATH: &str = "/v1/steps";
 /// Path at which a target accepts cancellations.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path at which a target reports its load.
+/// Path at which a target answers with a [`TargetReport`]: its load and, if it is an engine, its models and fence.
 pub const LOAD_PATH: &str = "/v1/load";
-/// Path at which an engine accepts orders.
+/// Path at which an engine accepts orders to load and unload models.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
 /// Bytes, encoded as base64 in JSON.
@@ -121,10 +125,11 @@
     pub load: Option<LoadReport>,
 }
 
-/// The answer of a target to a request for its load.
+/// The answer of a target to a request for its load; an engine also reports its models and its fence.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// Running and queued calls, and the capacity; `None` from services that do not report their load.
+    /// The utilisation: running and queued calls, and the capacity in calls; `None` from services that do not
+    /// report their load.
     #[serde(default)]
     pub load: Option<LoadReport>,
     /// Whether the target is leaving.
@@ -135,14 +140,14 @@
     pub engine: Option<EngineReport>,
 }
 
-/// An order that is sent to an engine.
+/// An order that a keeper sends to an engine, to load and unload models.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderRequest {
     /// The fence of the order; an engine that checks fences refuses an order whose fence is not higher than the last.
     pub fence: Fence,
-    /// Models to load.
+    /// The names of the models to load; not a load report.
     pub load: BTreeSet<String>,
-    /// Models to unload.
+    /// The names of the models to unload.
     pub unload: BTreeSet<String>,
 }
 
