--- a/crates/barleyspool_gateway/src/control/relay.rs
+++ b/crates/barleyspool_gateway/src/control/relay.rs
@@ -1,4 +1,5 @@
-//! Serves source data to other nodes, and metrics.
+//! Serves source data to other nodes, and metrics. The relay of streams to callers is another part, in the traffic
+//! thread (`traffic/stream_relay.rs`).
 
 use super::http_port::{self, PortResponse};
 use super::state::ControlState;
--- a/crates/barleyspool_gateway/src/control/source_access.rs
+++ b/crates/barleyspool_gateway/src/control/source_access.rs
@@ -13,7 +13,8 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// Duration of feed failures after which entries that are missing from the feed may only have expired.
+/// Duration of feed failures after which an entry that is missing from the feed may have expired at the source only
+/// because the source was unavailable, instead of having been removed. It is then kept for a while.
 const SOURCE_LOSS_TIMEOUT: Span = Span::from_millis(300);
 /// All feeds.
 const FEEDS: [Feed; 2] = [Feed::Configuration, Feed::Targets];
@@ -32,7 +33,7 @@
     /// Start and last cause of the current failure of each feed; `None` while it responds.
     failures: RefCell<[Option<(Time, String)>; 2]>,
     /// Whether the known members most likely include all nodes. Before that, no node watches the source as a
-    /// reader.
+    /// reader. A copy of [`ControlState::converged`] as of the last [`ControlState::update_source_role`].
     converged: Cell<bool>,
     /// The source state in the last announcement.
     last_announced: Cell<SourceState>,
@@ -98,7 +99,7 @@
 
     /// Requests a full read of a feed from the source, and cancels its current watch: that watch should have
     /// delivered the missing data, so it may be lost and deliver nothing until its timeout of 20 s. Without
-    /// the cancellation, a node was seen to use an outdated configuration for five seconds.
+    /// the cancellation, a node can use an outdated configuration for five seconds.
     pub fn request_full_read(&self, feed: Feed) {
         self.needs_full_read[feed as usize].set(true);
         self.cancel_watch(feed);
@@ -216,7 +217,8 @@
     }
 
     /// Called before the result of a full read is applied. If the feed failed for longer than
-    /// [`SOURCE_LOSS_TIMEOUT`] before, targets that are missing from it may only have expired.
+    /// [`SOURCE_LOSS_TIMEOUT`] before, targets that are missing from it may have expired only because the source was
+    /// unavailable, and are kept for a while.
     pub fn note_feed_recovery(&self, feed: Feed) {
         let since = self.source_access.failures.borrow()[feed as usize]
             .as_ref()
@@ -246,7 +248,8 @@
     // ------------------------------------------------------------------------
     // Announcements of this node
 
-    /// The source state that this node reports to others.
+    /// The source state that this node reports to others. It holds the revisions of the last changes (`changed_at`):
+    /// other changes at the source raise `at` alone, and would make other nodes request data that they already have.
     pub(super) fn source_state(&self) -> SourceState {
         SourceState {
             version: self.catalogs.borrow().version(),
@@ -263,7 +266,8 @@
         known.then(|| self.targets.borrow().at)
     }
 
-    /// The revisions of the source data that this node holds, for requests to other nodes.
+    /// The revisions up to which this node knows the source data (`at`), for requests to other nodes. They are higher
+    /// than those that it reports (`changed_at`) when the source has changed since in other places only.
     pub fn held_revisions(&self) -> HeldRevisions {
         HeldRevisions {
             version: self.catalogs.borrow().version(),
--- a/crates/barleyspool_gateway/src/traffic/call.rs
+++ b/crates/barleyspool_gateway/src/traffic/call.rs
@@ -385,7 +385,8 @@
             .expected_first_output(&self.target_query())
     }
 
-    /// The time of its longest stage, without queueing.
+    /// The run time of one batch call of its longest stage, without queueing. The batch call is taken to have as many
+    /// pieces as the stage, but at least half a batch and at most a whole one.
     pub fn longest_stage_time(&self) -> Span {
         let times = self.route.stages.iter().enumerate().map(|(stage, spec)| {
             let pieces = self.head.pieces.get(stage).copied().unwrap_or(1);
--- a/crates/barleyspool_gateway/src/traffic/connection_watch.rs
+++ b/crates/barleyspool_gateway/src/traffic/connection_watch.rs
@@ -1,9 +1,9 @@
 //! The state of a caller's connection: timeouts of headers and idle connections, and whether answers are delivered.
 //!
 //! The HTTP library has one timeout for idle connections and for incomplete headers, and checks it before it reads
-//! the bytes that have arrived: a process that was paused closed connections with whole calls on them. Callers may
-//! be idle far longer than a header may take, so both timeouts are kept here, and bytes that have arrived are read
-//! first ([`timer`]).
+//! the bytes that have arrived: after a pause of the process, it would close connections on which complete calls have
+//! arrived. Callers may be idle far longer than a header may take, so both timeouts are kept here, and bytes that have
+//! arrived are read first ([`timer`]).
 
 use barleyspool_wire::timer;
 use std::cell::{Cell, RefCell};
--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -292,7 +292,10 @@
 /// Sends a call once.
 ///
 /// # Errors
-/// How the send ended when it brought no answer that may be passed on.
+/// How the send ended when it brought no answer that may be passed on. [`SendEnd::BrokenOff`] covers interrupted sends
+/// and answers that must not be passed on: those with a wrong id or a content encoding, successes without the header that
+/// marks a complete answer, failures whose status a caller would take as a promise that the call did not run, and bodies
+/// that are too large. A request that cannot be built ends as [`SendEnd::Unreachable`].
 pub async fn send_once(
     call: &Call,
     chosen: &TargetChoice,
@@ -319,6 +322,8 @@
         sent_at,
     };
     let head = target_reports::read_head(traffic, sent_request, &parts);
+    // An answer with the id of another call, or with none. An answer by which the target reports that it was not the
+    // intended one, or that it did not run the call, is a refusal (below), which is not counted here.
     if head.id.as_deref() != Some(call.head.id.as_str()) && !head.misdirected && !head.not_run {
         traffic.count(Counter::Misdirected);
         return Err(SendEnd::BrokenOff);
--- a/crates/barleyspool_gateway/src/traffic/placement.rs
+++ b/crates/barleyspool_gateway/src/traffic/placement.rs
@@ -37,6 +37,7 @@
 pub struct Placement {
     traffic: Rc<Traffic>,
     owner: Owner,
+    /// The key of the placement: the id of the call and the number of the placement, as `id/number`.
     call: String,
     first_output: bool,
     ended: bool,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Reports how the send ended.
+    /// Reports how the send ended. A refusal because inputs are lost is no failure of the target, as in
+    /// `Forwarder::end`.
     pub fn end(&mut self, end: SendEnd) {
         let success = matches!(
             end,
@@ -291,6 +293,8 @@
     let mut forwarder = traffic.forwarder.borrow_mut();
     match event {
         PlacedCallEvent::FirstOutput => return forwarder.first_output(now, send),
+        // This event is also reported when the caller has left, which says nothing about the target. So the send is
+        // only removed from the load of the engine, without a measurement.
         PlacedCallEvent::Finished => forwarder.abandon(send),
         PlacedCallEvent::Failed => {
             forwarder.end(now, send, SendEnd::BrokenOff);
--- a/crates/barleyspool_gateway/src/traffic/stages.rs
+++ b/crates/barleyspool_gateway/src/traffic/stages.rs
@@ -12,7 +12,8 @@
 use futures::stream::FuturesUnordered;
 use std::time::Duration;
 
-/// Results below this size, in bytes, may be computed in any zone.
+/// A stage may be computed in any zone when the inputs of all its pieces together, and the results that the call itself
+/// reads from it, are each below this size, in bytes.
 const MIN_ZONE_BYTES: u64 = 100_000;
 /// Number of unreachable owners after which a stage fails.
 const MAX_UNREACHABLE_OWNERS: usize = 4;
@@ -104,7 +105,7 @@
     } else {
         (zone.to_owned(), upstream_service(call, stage))
     };
-    // The requests of all nodes are spread over the zones in proportion to the targets of the step before.
+    // The requests of all nodes are taken to come from the zones in proportion to the targets of `upstream`.
     let zone_share = plan.zone_share(upstream, &source_zone);
     let shards = plan.pool_shards(&spec.service);
     PoolId {
@@ -113,8 +114,10 @@
     }
 }
 
-/// The service whose targets are spread over zones like the calls at a stage: that of the stage before it, or
-/// of the call itself when the stage has no inputs.
+/// The service whose targets tell which share of the calls at a stage comes from a zone: the share of its targets that
+/// are in that zone. It is the service of the first stage that the stage needs. A stage that needs no other one is
+/// computed near the zone in which its results will be read, so for it this is the service of the call itself, which is
+/// a later step.
 fn upstream_service(call: &Call, stage: usize) -> &str {
     let stages = &call.route.stages;
     let needs = &stages[stage].needs;
--- a/crates/barleyspool_gateway/src/traffic/stream_relay.rs
+++ b/crates/barleyspool_gateway/src/traffic/stream_relay.rs
@@ -1,4 +1,5 @@
 //! Relays a stream of events from a target to the caller, and resumes it at another target where that is allowed.
+//! It has nothing to do with the relay port, which passes source data to other nodes.
 
 use super::answer_body::AnswerBody;
 use super::call::Call;
@@ -30,7 +31,8 @@
 const EVENT_END: &[u8] = b"\n\n";
 /// The name of the field with an event's number.
 const EVENT_ID_FIELD: &[u8] = b"id:";
-/// The maximum size of one event, in bytes.
+/// The maximum size of an incomplete event that is buffered, in bytes. When it is exceeded, the buffered bytes are
+/// dropped, and the rest of the event is handled like the start of one.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A stream that has started, with the state needed to resume it.
@@ -58,6 +60,7 @@
 /// Why the relay of one target's stream ended.
 enum StreamEnd {
     Complete,
+    /// The stream failed, or ended within an event. The send is recorded as [`SendEnd::BrokenOff`].
     Interrupted,
     CallerLeft,
     TimedOut,
@@ -81,7 +84,8 @@
     event: Option<u64>,
     /// Bytes of an incomplete event, where only complete events are relayed.
     part: BytesMut,
-    /// The last two bytes, which show whether the stream ends between two events.
+    /// The last two bytes, which show whether the stream ends between two events. Where only complete events are
+    /// relayed, `xx` stands for the end of an incomplete event, whatever its last two bytes are.
     tail: [u8; 2],
 }
 
--- a/crates/barleyspool_gateway/src/traffic/target_crashes.rs
+++ b/crates/barleyspool_gateway/src/traffic/target_crashes.rs
@@ -1,8 +1,8 @@
 //! Detects targets that crash during a call, and blocks calls that crash targets.
 //!
-//! A broken connection alone is no sign of a crash: it may have been reset, or the target may interrupt one
-//! answer in fifty. So this node connects to the target's port: if nothing listens there any more, the target
-//! has crashed. See docs/DESIGN.md, "Calls that crash targets".
+//! A broken connection alone is no sign of a crash: it may have been reset, or the target may have interrupted
+//! the answer and run on, as it may do with one answer in fifty. So this node connects to the target's port: if
+//! nothing listens there any more, the target has crashed. See docs/DESIGN.md, "Calls that crash targets".
 
 use super::Traffic;
 use super::call::Call;
