--- a/crates/barleyspool_gateway/src/traffic/final_send.rs
+++ b/crates/barleyspool_gateway/src/traffic/final_send.rs
@@ -293,9 +293,9 @@
 ///
 /// # Errors
 /// How the send ended when it brought no answer that may be passed on. [`SendEnd::BrokenOff`] covers interrupted sends
-/// and answers that must not be passed on: those with a wrong id or a content encoding, successes without the header that
-/// marks a complete answer, failures whose status a caller would take as a promise that the call did not run, and bodies
-/// that are too large. A request that cannot be built ends as [`SendEnd::Unreachable`].
+/// and answers that must not be passed on: those with a wrong id or a content encoding, successes without the
+/// header that marks a complete answer, failures whose status a caller would take as a promise that the call did
+/// not run, and bodies that are too large. A request that cannot be built ends as [`SendEnd::Unreachable`].
 pub async fn send_once(
     call: &Call,
     chosen: &TargetChoice,
