--- a/crates/barleyspool_ctl/src/flags.rs
+++ b/crates/barleyspool_ctl/src/flags.rs
@@ -41,11 +41,12 @@
             /// Whether the request may run at most once.
             optional --unrepeatable
         }
-        /// Show the log lines and the outcome of a request from the logs of gateways: 0 if a line has its id, 1 if not.
+        /// Show the log lines and the outcome of a request from the logs of gateways (barleyspool-gateway processes):
+        /// 0 if a line has its id, 1 if not.
         cmd explain-log {
             /// The id of the request.
             required id: String
-            /// The log files of one or more gateways.
+            /// The log files of one or more gateways; lines of other processes, such as entry nodes, are skipped.
             repeated file: PathBuf
         }
         /// Commands for settings files.
